--- a/packages/fleet/src/teaselledge_fleet/process/choosing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/choosing.py
@@ -7,8 +7,8 @@
 from teaselledge_fleet.process.distance import Distance
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.forecast import PlainForecast, engine_wait
-from teaselledge_fleet.process.parts import ranked, shared_part, shared_tokens
-from teaselledge_fleet.process.reading import ReadingModel
+from teaselledge_fleet.process.prefill import ReadingModel
+from teaselledge_fleet.process.prefixes import ranked, shared_part, shared_tokens
 from teaselledge_fleet.process.results import Results
 from teaselledge_fleet.process.work import FleetWork, key_of
 from teaselledge_fleet.request.call import Prompt
--- a/packages/fleet/src/teaselledge_fleet/process/forecast.py
+++ b/packages/fleet/src/teaselledge_fleet/process/forecast.py
@@ -2,7 +2,7 @@
 
 from collections import defaultdict
 
-from teaselledge_fleet.process.reading import BUSY_PART
+from teaselledge_fleet.process.prefill import BUSY_PART
 from teaselledge_fleet.process.work import Work
 
 __all__ = ["PlainForecast", "engine_wait"]
--- a/packages/fleet/src/teaselledge_fleet/process/spreading.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -28,21 +28,21 @@
 from teaselledge_fleet.connection.peers import StateClient
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.admission import Admission
+from teaselledge_fleet.process.admissionrpc import Socket
 from teaselledge_fleet.process.advertised import AdvertisedLog
-from teaselledge_fleet.process.asking import Socket
-from teaselledge_fleet.process.belief import Belief
 from teaselledge_fleet.process.coordinators import Coordinators
 from teaselledge_fleet.process.endpoints import Endpoint, Entry, Statement
-from teaselledge_fleet.process.members import Member, Members, Report
-from teaselledge_fleet.process.relaying import (
+from teaselledge_fleet.process.forwarding import (
     Delivery,
     SeenMessages,
     deliveries,
 )
+from teaselledge_fleet.process.members import Member, Members, Report
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.sent import NO_MARK, Figures
 from teaselledge_fleet.process.shares import OrganisationShares
 from teaselledge_fleet.process.stalls import StallDetector
+from teaselledge_fleet.process.storecache import Belief
 from teaselledge_fleet.process.sums import Sums
 from teaselledge_fleet.process.topology import Scope, Topology
 from teaselledge_fleet.process.work import FleetWork, key_of
--- a/packages/fleet/src/teaselledge_fleet/process/locating.py
+++ b/packages/fleet/src/teaselledge_fleet/process/locating.py
@@ -3,7 +3,7 @@
 from teaselledge_wire.gen.fleet.ttypes import PartNote, PartReply, PartRequest
 
 from teaselledge_fleet.connection.replies import PendingReplies
-from teaselledge_fleet.process.asking import Socket
+from teaselledge_fleet.process.admissionrpc import Socket
 from teaselledge_fleet.process.coordinators import Coordinators
 from teaselledge_fleet.process.directory import PartDirectory
 from teaselledge_fleet.process.endpoints import Endpoint
--- a/packages/fleet/src/teaselledge_fleet/process/placing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/placing.py
@@ -21,8 +21,8 @@
 from teaselledge_fleet.process.distance import Distance
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView
 from teaselledge_fleet.process.forecast import engine_wait
-from teaselledge_fleet.process.parts import shared_tokens
-from teaselledge_fleet.process.reading import BUSY_PART
+from teaselledge_fleet.process.prefill import BUSY_PART
+from teaselledge_fleet.process.prefixes import shared_tokens
 from teaselledge_fleet.process.results import Results
 from teaselledge_fleet.process.shares import OrganisationShares, Standing
 from teaselledge_fleet.process.waiting import WaitBounds
--- a/packages/fleet/src/teaselledge_fleet/process/registration.py
+++ b/packages/fleet/src/teaselledge_fleet/process/registration.py
@@ -7,9 +7,9 @@
 from thrift.TSerialization import deserialize, serialize
 
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.belief import Belief
 from teaselledge_fleet.process.members import Member, Members, Report
 from teaselledge_fleet.process.store import StateStore
+from teaselledge_fleet.process.storecache import Belief
 from teaselledge_fleet.process.topology import rank
 
 __all__ = ["Registration"]
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -14,13 +14,12 @@
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.addresses import addresses_for
 from teaselledge_fleet.process.admission import Admission
-from teaselledge_fleet.process.asking import Asking
-from teaselledge_fleet.process.belief import Belief, Decode
+from teaselledge_fleet.process.admissionrpc import Asking
 from teaselledge_fleet.process.budget import RepeatBudget, RepeatLimits
 from teaselledge_fleet.process.busyness import Busyness
 from teaselledge_fleet.process.connectionlimit import ConnectionLimit
 from teaselledge_fleet.process.coordinators import Coordinators
-from teaselledge_fleet.process.following import StoreFollower
+from teaselledge_fleet.process.gossip import Spreading
 from teaselledge_fleet.process.leaving import Leaving
 from teaselledge_fleet.process.locating import PartLocator
 from teaselledge_fleet.process.members import Member, Members, MemberState
@@ -30,8 +29,9 @@
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.registration import Registration
 from teaselledge_fleet.process.settings import FleetSettings
-from teaselledge_fleet.process.spreading import Spreading
 from teaselledge_fleet.process.store import StateStore
+from teaselledge_fleet.process.storecache import Belief, Decode
+from teaselledge_fleet.process.storepoller import StoreFollower
 from teaselledge_fleet.request.call import Dialect
 from teaselledge_fleet.request.serving import Server
 from teaselledge_fleet.version.routes import CallerLimits
--- a/packages/fleet/src/teaselledge_fleet/process/following.py
+++ b/packages/fleet/src/teaselledge_fleet/process/storepoller.py
@@ -4,9 +4,9 @@
 import random
 
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.belief import Belief
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.store import StateStore, StoreFault
+from teaselledge_fleet.process.storecache import Belief
 
 __all__ = ["StoreFollower"]
 
--- a/packages/fleet/src/teaselledge_fleet/process/topology.py
+++ b/packages/fleet/src/teaselledge_fleet/process/topology.py
@@ -10,13 +10,13 @@
 import xxhash
 
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.members import Member, Members
-from teaselledge_fleet.process.relaying import (
+from teaselledge_fleet.process.forwarding import (
     CROWDED,
     Delivery,
     deliveries,
     relay_order,
 )
+from teaselledge_fleet.process.members import Member, Members
 
 __all__ = ["Audience", "Scope", "Topology", "rank"]
 
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -4,7 +4,7 @@
 
 from teaselledge_fleet.process.admission import Admission, Question
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_fleet.process.reading import BUSY_PART, FIRST_SECONDS
+from teaselledge_fleet.process.prefill import BUSY_PART, FIRST_SECONDS
 from teaselledge_fleet.process.waiting import WAIT_PART
 from teaselledge_fleet.process.work import Work, key_of
 from teaselledge_fleet.request.call import Call, Prompt, PromptPart
--- a/packages/fleet/tests/test_relaying.py
+++ b/packages/fleet/tests/test_forwarding.py
@@ -4,13 +4,13 @@
 from collections import Counter
 
 from teaselledge_fleet.connection.codec import PROTOCOL, encode_datagram
-from teaselledge_fleet.process.members import Member
-from teaselledge_fleet.process.relaying import (
+from teaselledge_fleet.process.forwarding import (
     FANOUT,
     SeenMessages,
     deliveries,
     relay_order,
 )
+from teaselledge_fleet.process.members import Member
 from teaselledge_fleet.process.sent import NO_MARK, Figures, SentFigures, mark_of
 from teaselledge_fleet.process.shares import Use
 from teaselledge_fleet.process.stalls import StallDetector
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -6,8 +6,8 @@
 from teaselledge_fleet.faults import FaultKind
 from teaselledge_fleet.process.admission import Answer
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView, Entry
-from teaselledge_fleet.process.parts import ranked
 from teaselledge_fleet.process.placing import FleetPlacer
+from teaselledge_fleet.process.prefixes import ranked
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.shares import Use
 from teaselledge_fleet.process.work import Work, key_of
--- a/packages/fleet/tests/test_reading.py
+++ b/packages/fleet/tests/test_prefill.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass
 
-from teaselledge_fleet.process.reading import BUSY_PART, ReadingModel
+from teaselledge_fleet.process.prefill import BUSY_PART, ReadingModel
 
 PROMPTS = (
     (826, 628),
--- a/packages/fleet/tests/test_restored_store.py
+++ b/packages/fleet/tests/test_restored_store.py
@@ -3,10 +3,10 @@
 import asyncio
 from dataclasses import replace
 
-from teaselledge_fleet.process.belief import CONFIRM_SECONDS, Belief
 from teaselledge_fleet.process.endpoints import Endpoint, Entry
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.store import EndpointRows
+from teaselledge_fleet.process.storecache import CONFIRM_SECONDS, Belief
 from teaselledge_standins.restores import RestoreHistory
 from teaselledge_standins.spreadfleet import spread_fleet
 from teaselledge_standins.statestore import MemoryStateStore, decode_number, store_of
--- a/packages/fleet/tests/test_belief.py
+++ b/packages/fleet/tests/test_storecache.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
-from teaselledge_fleet.process.belief import SETTLE_SECONDS, Belief
 from teaselledge_fleet.process.endpoints import Endpoint, Entry
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.store import EndpointRows
+from teaselledge_fleet.process.storecache import SETTLE_SECONDS, Belief
 from teaselledge_standins.statestore import decode_number
 
 VIRTUAL_CLOCK = True
--- a/packages/standins/src/teaselledge_standins/spreadfleet.py
+++ b/packages/standins/src/teaselledge_standins/spreadfleet.py
@@ -15,16 +15,16 @@
     encode_state,
 )
 from teaselledge_fleet.process.admission import Admission
-from teaselledge_fleet.process.asking import Asking
-from teaselledge_fleet.process.belief import Belief, Decode
+from teaselledge_fleet.process.admissionrpc import Asking
 from teaselledge_fleet.process.coordinators import Coordinators
-from teaselledge_fleet.process.following import StoreFollower
+from teaselledge_fleet.process.gossip import Spreading
 from teaselledge_fleet.process.locating import PartLocator
 from teaselledge_fleet.process.members import Member, Members, MemberState
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.registration import Registration
-from teaselledge_fleet.process.spreading import Spreading
 from teaselledge_fleet.process.stalls import StallDetector
+from teaselledge_fleet.process.storecache import Belief, Decode
+from teaselledge_fleet.process.storepoller import StoreFollower
 from teaselledge_fleet.process.work import FleetWork
 from teaselledge_wire.gen.fleet.ttypes import WholeState
 
