--- a/packages/fleet/src/teaselledge_fleet/connection/figures.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/figures.py
@@ -9,7 +9,7 @@
     Status,
 )
 from teaselledge_fleet.process.shares import Use
-from teaselledge_fleet.process.work import Work, key_of
+from teaselledge_fleet.process.work import EndpointLoad, name_hash
 
 __all__ = [
     "pack_ages",
@@ -44,23 +44,25 @@
 """Figures beyond this are left out, the smallest first, so that a datagram is whole."""
 
 
-def pack_work(work: dict[int, Work]) -> bytes:
+def pack_work(work: dict[int, EndpointLoad]) -> bytes:
     """Return the work at endpoints as bytes."""
-    rows = sorted(work.items(), key=lambda item: -item[1].running)
+    rows = sorted(work.items(), key=lambda item: -item[1].in_flight)
     rows = rows[: MOST_BYTES // WORK.size]
     return b"".join(
         WORK.pack(
-            key, _cut(each.running, SHORT), _cut(each.reading * MILLISECONDS, SHORT)
+            key,
+            _cut(each.in_flight, SHORT),
+            _cut(each.prefill_seconds * MILLISECONDS, SHORT),
         )
         for key, each in rows
     )
 
 
-def unpack_work(data: bytes) -> dict[int, Work]:
+def unpack_work(data: bytes) -> dict[int, EndpointLoad]:
     """Return the work that bytes tell of; what does not fit is ignored."""
     whole = data[: len(data) - len(data) % WORK.size]
     return {
-        key: Work(running, reading / MILLISECONDS)
+        key: EndpointLoad(running, reading / MILLISECONDS)
         for key, running, reading in WORK.iter_unpack(whole)
     }
 
@@ -87,7 +89,7 @@
     """Return which routers answer, as bytes."""
     return b"".join(
         ALIVE.pack(
-            key_of(report.member.vm),
+            name_hash(report.member.vm),
             int(report.member.state),
             _cut(report.member.busy * PERCENT, PERCENT),
         )
--- a/packages/fleet/src/teaselledge_fleet/process/admission.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admission.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from teaselledge_fleet.process.forecast import engine_wait
-from teaselledge_fleet.process.work import Work
+from teaselledge_fleet.process.work import EndpointLoad
 
 __all__ = ["Admission", "Answer", "Question"]
 
@@ -46,7 +46,7 @@
     sequence: int
     endpoint: int
     slots: int
-    work: Work
+    work: EndpointLoad
     added: float
     most_wait: float
 
@@ -64,14 +64,14 @@
     """
 
     admitted: bool
-    others: Work
+    others: EndpointLoad
 
 
 @dataclass(frozen=True)
 class _Record:
     at: float
     sequence: int
-    work: Work
+    work: EndpointLoad
 
 
 class Admission:
@@ -87,7 +87,9 @@
     def __init__(self) -> None:
         self._records: defaultdict[int, dict[int, _Record]] = defaultdict(dict)
 
-    def report(self, sender: int, sequence: int, work: Mapping[int, Work]) -> None:
+    def report(
+        self, sender: int, sequence: int, work: Mapping[int, EndpointLoad]
+    ) -> None:
         """Take what a router has at endpoints; 0 requests where it has ended."""
         for endpoint, each in work.items():
             self._note(endpoint, sender, sequence, each)
@@ -99,15 +101,17 @@
         wait = engine_wait(others + work, question.slots)
         admitted = wait <= question.most_wait
         if admitted:
-            work = Work(work.running + 1, work.reading + question.added)
+            work = EndpointLoad(
+                work.in_flight + 1, work.prefill_seconds + question.added
+            )
         self._note(question.endpoint, question.sender, question.sequence, work)
         return Answer(admitted, others)
 
-    def total(self, endpoint: int) -> Work:
+    def total(self, endpoint: int) -> EndpointLoad:
         """Return what all routers together have at an endpoint, as far as told here."""
         return self._others(endpoint, NOBODY)
 
-    def totals(self) -> dict[int, Work]:
+    def totals(self) -> dict[int, EndpointLoad]:
         """Return what all routers together have at the endpoints known here."""
         oldest = self._now() - FORGET_SECONDS
         totals = {}
@@ -118,12 +122,12 @@
             if not records:
                 del self._records[endpoint]
                 continue
-            total = sum((record.work for record in records.values()), Work())
-            if total.running:
+            total = sum((record.work for record in records.values()), EndpointLoad())
+            if total.in_flight:
                 totals[endpoint] = total
         return totals
 
-    def _known(self, question: Question) -> Work:
+    def _known(self, question: Question) -> EndpointLoad:
         """Return what the router that asks has at the endpoint without this request.
 
         What was counted here goes before what it says: it may have asked for several
@@ -134,18 +138,20 @@
             return question.work
         return record.work
 
-    def _others(self, endpoint: int, sender: int) -> Work:
+    def _others(self, endpoint: int, sender: int) -> EndpointLoad:
         records = self._records.get(endpoint)
         if not records:
-            return Work()
+            return EndpointLoad()
         oldest = self._now() - FORGET_SECONDS
-        others = Work()
+        others = EndpointLoad()
         for name, record in records.items():
             if name != sender and record.at >= oldest:
                 others = others + record.work
         return others
 
-    def _note(self, endpoint: int, sender: int, sequence: int, work: Work) -> None:
+    def _note(
+        self, endpoint: int, sender: int, sequence: int, work: EndpointLoad
+    ) -> None:
         known = self._records[endpoint].get(sender)
         if known is not None and known.sequence > sequence:
             # datagrams overtake one another; the later word holds
--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -19,7 +19,7 @@
 from teaselledge_fleet.process.coordinators import Coordinators
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView
 from teaselledge_fleet.process.members import Members
-from teaselledge_fleet.process.work import FleetWork, Work, key_of
+from teaselledge_fleet.process.work import EndpointLoad, FleetLoad, name_hash
 
 __all__ = ["Asking", "Socket"]
 
@@ -33,7 +33,7 @@
 
 SENDER_BITS = 31
 MILLISECONDS = 1000
-UNKNOWN = Work(-1)
+UNKNOWN = EndpointLoad(-1)
 """Unlike any work that there can be."""
 
 
@@ -78,7 +78,7 @@
         self,
         members: Members,
         view: EndpointView,
-        work: FleetWork,
+        work: FleetLoad,
         admission: Admission,
         socket: Socket,
         coordinators: Coordinators,
@@ -92,7 +92,7 @@
         self._number = secrets.randbits(SENDER_BITS)
         self._sequence = 0
         self._replies: PendingReplies[Answer] = PendingReplies()
-        self._known: dict[str, Work] = {}
+        self._known: dict[str, EndpointLoad] = {}
         """What the routers that admit know of this router's work, by endpoint."""
         self.asked = 0
         self.unanswered = 0
@@ -148,8 +148,8 @@
         would look as if it had never been counted, and would stay counted.
         """
         if answer.admitted:
-            known = self._known.get(endpoint.id, Work())
-            self._known[endpoint.id] = known + Work(1, added)
+            known = self._known.get(endpoint.id, EndpointLoad())
+            self._known[endpoint.id] = known + EndpointLoad(1, added)
         return answer
 
     async def run(self) -> None:
@@ -157,18 +157,18 @@
         loop = asyncio.get_running_loop()
         refreshed = loop.time()
         while True:
-            await self._work.wait_changed(REFRESH_SECONDS)
+            await self._work.wait_for_change(REFRESH_SECONDS)
             await asyncio.sleep(REPORT_SECONDS)
-            changed = {n for n in self._work.take_changed() if self._is_news(n)}
+            changed = {n for n in self._work.pop_changed() if self._is_news(n)}
             if loop.time() - refreshed >= REFRESH_SECONDS:
                 refreshed = loop.time()
-                changed |= set(self._work.busy)
+                changed |= set(self._work.active_endpoints)
                 self._forget()
             self.report(changed)
 
     def report(self, endpoints: Iterable[str]) -> None:
         """Tell of this router's work at some endpoints."""
-        reports: defaultdict[str, dict[int, Work]] = defaultdict(dict)
+        reports: defaultdict[str, dict[int, EndpointLoad]] = defaultdict(dict)
         addresses: dict[str, str] = {}
         for name in endpoints:
             endpoint = self._view.get(name)
@@ -178,8 +178,8 @@
             if coordinator is None:
                 continue
             addresses[coordinator.vm] = coordinator.peers
-            self._known[name] = self._work.own(name)
-            reports[coordinator.vm][key_of(name)] = self._work.own(name)
+            self._known[name] = self._work.local(name)
+            reports[coordinator.vm][name_hash(name)] = self._work.local(name)
         for vm, work in reports.items():
             self._sequence += 1
             if vm == self._members.own.vm:
@@ -193,9 +193,9 @@
 
         Of four changes that a request makes, it knows two from its own answers.
         """
-        own, known = self._work.own(name), self._known.get(name, Work())
-        apart = abs(own.reading - known.reading)
-        return own.running != known.running or apart * MILLISECONDS >= 1
+        own, known = self._work.local(name), self._known.get(name, EndpointLoad())
+        apart = abs(own.prefill_seconds - known.prefill_seconds)
+        return own.in_flight != known.in_flight or apart * MILLISECONDS >= 1
 
     def _forget(self) -> None:
         """Forget endpoints that are gone."""
@@ -205,11 +205,11 @@
 
     def _question(self, endpoint: Endpoint, added: float, most_wait: float) -> Question:
         self._sequence += 1
-        own = self._work.own(endpoint.id).without(Work(1, added))
+        own = self._work.local(endpoint.id).subtract(EndpointLoad(1, added))
         return Question(
             self._number,
             self._sequence,
-            key_of(endpoint.id),
+            name_hash(endpoint.id),
             endpoint.slots,
             own,
             added,
@@ -223,14 +223,14 @@
     def _take_request(self, request: AdmissionRequest, sender: str) -> None:
         answer = self._admission.ask(_from_wire(request))
         others = answer.others
-        reading = int(others.reading * MILLISECONDS)
+        reading = int(others.prefill_seconds * MILLISECONDS)
         reply = AdmissionReply(
-            request.sequence, answer.admitted, others.running, reading
+            request.sequence, answer.admitted, others.in_flight, reading
         )
         self._socket.send(sender, reply)
 
     def _take_reply(self, reply: AdmissionReply, sender: str) -> None:
-        others = Work(reply.running or 0, (reply.reading or 0) / MILLISECONDS)
+        others = EndpointLoad(reply.running or 0, (reply.reading or 0) / MILLISECONDS)
         answer = Answer(bool(reply.admitted), others)
         self._replies.take(reply.sequence or 0, answer)
 
@@ -241,15 +241,15 @@
         question.sequence,
         question.endpoint,
         question.slots,
-        question.work.running,
-        int(question.work.reading * MILLISECONDS),
+        question.work.in_flight,
+        int(question.work.prefill_seconds * MILLISECONDS),
         int(question.added * MILLISECONDS),
         int(question.most_wait * MILLISECONDS),
     )
 
 
 def _from_wire(request: AdmissionRequest) -> Question:
-    work = Work(request.running or 0, (request.reading or 0) / MILLISECONDS)
+    work = EndpointLoad(request.running or 0, (request.reading or 0) / MILLISECONDS)
     return Question(
         request.sender or 0,
         request.sequence or 0,
--- a/packages/fleet/src/teaselledge_fleet/process/choosing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/choosing.py
@@ -10,7 +10,7 @@
 from teaselledge_fleet.process.prefill import ReadingModel
 from teaselledge_fleet.process.prefixes import ranked, shared_part, shared_tokens
 from teaselledge_fleet.process.results import Results
-from teaselledge_fleet.process.work import FleetWork, key_of
+from teaselledge_fleet.process.work import FleetLoad, name_hash
 from teaselledge_fleet.request.call import Prompt
 from teaselledge_fleet.request.context import RequestContext
 
@@ -142,7 +142,7 @@
         others = [engine for engine in self.engines if engine is not endpoint]
         for holder in self.holders:
             for engine in others:
-                if key_of(engine.id) == holder:
+                if name_hash(engine.id) == holder:
                     return engine
         return others[0] if others else None
 
@@ -158,7 +158,7 @@
         Learns how long model engines read.
     """
 
-    def __init__(self, distance: Distance, work: FleetWork, results: Results) -> None:
+    def __init__(self, distance: Distance, work: FleetLoad, results: Results) -> None:
         self._distance = distance
         self._work = work
         self._results = results
@@ -186,7 +186,7 @@
     def _engine(
         self, endpoint: Endpoint, context: RequestContext, demand: Demand
     ) -> Candidate:
-        holds = key_of(endpoint.id) in demand.holders
+        holds = name_hash(endpoint.id) in demand.holders
         first = endpoint is demand.engines[0]
         unread = demand.own if demand.holders else demand.shared + demand.own
         tokens = demand.shared + demand.own
@@ -194,7 +194,7 @@
         work = self._work.total(endpoint.id)
         wait = engine_wait(work, endpoint.slots)
         cost = self._detour(endpoint, context, demand.kilobytes, wait)
-        cost += FULLNESS_SECONDS * (work.running / endpoint.slots) ** 2
+        cost += FULLNESS_SECONDS * (work.in_flight / endpoint.slots) ** 2
         if demand.part is not None and not (holds or (first and not demand.holders)):
             # where nobody keeps the part, its first choice should be the one to read it
             cost += FETCH_SECONDS + demand.shared * COPY_SECONDS_PER_TOKEN
--- a/packages/fleet/src/teaselledge_fleet/process/directory.py
+++ b/packages/fleet/src/teaselledge_fleet/process/directory.py
@@ -28,7 +28,7 @@
 class PartDirectory:
     """Remembers on which endpoints parts of prompts were used lately.
 
-    Parts and endpoints are named by `key_of` their ids.
+    Parts and endpoints are named by `name_hash` of their ids.
     """
 
     def __init__(self) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/forecast.py
+++ b/packages/fleet/src/teaselledge_fleet/process/forecast.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 
 from teaselledge_fleet.process.prefill import BUSY_PART
-from teaselledge_fleet.process.work import Work
+from teaselledge_fleet.process.work import EndpointLoad
 
 __all__ = ["PlainForecast", "engine_wait"]
 
@@ -20,14 +20,14 @@
 """A single answer counts as this at most, so that it can't shut an endpoint out."""
 
 
-def engine_wait(work: Work, slots: int) -> float:
+def engine_wait(work: EndpointLoad, slots: int) -> float:
     """Return how long a request waits behind others at a model engine, in seconds.
 
     Engines admit in order of arrival. A prompt counts until its answer begins, so an
     engine that is slower than expected shows the longer wait by itself.
     """
-    queued = max(0, work.running + 1 - slots)
-    return work.reading / BUSY_PART + queued * TURN_SECONDS
+    queued = max(0, work.in_flight + 1 - slots)
+    return work.prefill_seconds / BUSY_PART + queued * TURN_SECONDS
 
 
 class PlainForecast:
@@ -36,10 +36,10 @@
     def __init__(self) -> None:
         self._seconds: defaultdict[str, float] = defaultdict(lambda: FIRST_SECONDS)
 
-    def seconds(self, endpoint: str, work: Work, slots: int) -> float:
+    def seconds(self, endpoint: str, work: EndpointLoad, slots: int) -> float:
         """Return the time to the answer."""
         service = self._seconds[endpoint]
-        queued = max(0, work.running + 1 - slots)
+        queued = max(0, work.in_flight + 1 - slots)
         return service * (1 + queued / slots)
 
     def observe(self, endpoint: str, seconds: float) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/forwarding.py
+++ b/packages/fleet/src/teaselledge_fleet/process/forwarding.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from teaselledge_fleet.process.members import Member
-from teaselledge_fleet.process.work import key_of
+from teaselledge_fleet.process.work import name_hash
 
 __all__ = ["CROWDED", "Delivery", "SeenMessages", "deliveries", "relay_order"]
 
@@ -54,7 +54,7 @@
     shuffled = list(members)
     random.shuffle(shuffled)
     shuffled.sort(key=lambda member: member.busy > CROWDED)
-    return [key_of(member.vm) for member in shuffled]
+    return [name_hash(member.vm) for member in shuffled]
 
 
 def deliveries(
--- a/packages/fleet/src/teaselledge_fleet/process/gossip.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -39,13 +39,13 @@
 )
 from teaselledge_fleet.process.members import Member, Members, Report
 from teaselledge_fleet.process.revision import Revision
-from teaselledge_fleet.process.sent import NO_MARK, Figures
+from teaselledge_fleet.process.sent import NO_MARK, LoadStats
 from teaselledge_fleet.process.shares import OrganisationShares
 from teaselledge_fleet.process.stalls import StallDetector
 from teaselledge_fleet.process.storecache import Belief
-from teaselledge_fleet.process.sums import Sums
+from teaselledge_fleet.process.sums import LoadTotals
 from teaselledge_fleet.process.topology import Scope, Topology
-from teaselledge_fleet.process.work import FleetWork, key_of
+from teaselledge_fleet.process.work import FleetLoad, name_hash
 
 __all__ = ["Spreading"]
 
@@ -112,7 +112,7 @@
         members: Members,
         belief: Belief,
         seeds: Iterable[str],
-        work: FleetWork,
+        work: FleetLoad,
         admission: Admission,
         shares: OrganisationShares,
         socket: Socket,
@@ -123,7 +123,7 @@
         self._belief = belief
         self._seeds = tuple(seeds)
         self._work = work
-        self._sums = Sums(work, shares, admission)
+        self._sums = LoadTotals(work, shares, admission)
         self._coordinators = coordinators
         self._advertised_log = AdvertisedLog(members)
         self._topology = Topology(members)
@@ -242,7 +242,7 @@
         known, heard = len(others) + 1, len(answering) + 1
         starting = now - self._started < STARTING_SECONDS
         missing = starting or 2 * heard < known
-        self._work.unheard = known / heard if missing else 1.0
+        self._work.extrapolation_factor = known / heard if missing else 1.0
 
     def _next_changes(self) -> list[EndpointState]:
         """Return the changes to be told now."""
@@ -289,11 +289,11 @@
         if alive:
             marks = [self._sums.mark(peer.vm) for peer in alive]
             pulse.alive_marks = pack_marks(marks)
-        figures = self._sums.of_scope(scope, zone_peers)
+        figures = self._sums.for_scope(scope, zone_peers)
         if figures is None:
             return pulse
         if scope is Scope.OWN:
-            self._sums.note_sent(self._sequence, figures)
+            self._sums.record_sent(self._sequence, figures)
         pulse.work = pack_work(figures.work)
         pulse.uses = pack_uses(figures.uses)
         return pulse
@@ -408,7 +408,7 @@
         near = sender.zone == aggregator.zone
         if pulse.scope != Scope.ZONE or near or self._topology.aggregates:
             return []
-        return [key_of(aggregator.vm)]
+        return [name_hash(aggregator.vm)]
 
     def _take_alive(self, sender: Member, pulse: Pulse) -> None:
         """Take which routers of this zone its aggregator hears."""
@@ -435,23 +435,23 @@
         near = sender.zone == self._members.own.zone
         aggregates = self._topology.aggregates
         work = unpack_work(pulse.work or b"")
-        figures = Figures(work, unpack_uses(pulse.uses or b""))
+        figures = LoadStats(work, unpack_uses(pulse.uses or b""))
         if scope == Scope.ZONE:
             if not near and aggregates:
                 self._topology.note_aggregator(sender)
-                self._sums.hear_zone(sender.zone, figures)
-                self._sums.take_over(self._topology.zones_elsewhere)
+                self._sums.update_zone(sender.zone, figures)
+                self._sums.discard_previous_total(self._topology.zones_elsewhere)
         elif scope == Scope.FLEET:
             if near and not aggregates:
                 marks = unpack_marks(pulse.alive or b"", pulse.alive_marks or b"")
-                mark = marks.get(key_of(self._members.own.vm), NO_MARK)
-                self._sums.hear_fleet(figures, mark)
+                mark = marks.get(name_hash(self._members.own.vm), NO_MARK)
+                self._sums.update_fleet(figures, mark)
         elif scope == Scope.OTHERS:
             if near and not aggregates:
-                self._sums.hear_others(figures)
+                self._sums.update_others(figures)
         elif self._topology.flat or (near and aggregates):
             # else the aggregator tells of its work, and it must not count twice
-            self._sums.hear_router(sender.vm, pulse.sequence or 0, figures)
+            self._sums.update_router(sender.vm, pulse.sequence or 0, figures)
 
     def _behind(self, pulse: Pulse) -> bool:
         """Whether the sender of a pulse knows what this router doesn't."""
--- a/packages/fleet/src/teaselledge_fleet/process/locating.py
+++ b/packages/fleet/src/teaselledge_fleet/process/locating.py
@@ -8,7 +8,7 @@
 from teaselledge_fleet.process.directory import PartDirectory
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.members import Members
-from teaselledge_fleet.process.work import key_of
+from teaselledge_fleet.process.work import name_hash
 
 __all__ = ["PartLocator"]
 
@@ -66,9 +66,11 @@
         if coordinator is None:
             return None
         if coordinator.vm == self._members.own.vm:
-            return self._directory.claim(key_of(part), key_of(first_choice.id))
+            return self._directory.claim(name_hash(part), name_hash(first_choice.id))
         self._sequence += 1
-        request = PartRequest(self._sequence, key_of(part), key_of(first_choice.id))
+        request = PartRequest(
+            self._sequence, name_hash(part), name_hash(first_choice.id)
+        )
         self._socket.send(coordinator.peers, request)
         return await self._coordinators.answer_of(
             coordinator, self._replies, self._sequence
@@ -80,10 +82,10 @@
         if coordinator is None:
             return
         if coordinator.vm == self._members.own.vm:
-            self._directory.note(key_of(part), key_of(endpoint.id))
+            self._directory.note(name_hash(part), name_hash(endpoint.id))
             return
         self._socket.send(
-            coordinator.peers, PartNote(key_of(part), key_of(endpoint.id))
+            coordinator.peers, PartNote(name_hash(part), name_hash(endpoint.id))
         )
 
     def _take_request(self, request: PartRequest, sender: str) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/members.py
+++ b/packages/fleet/src/teaselledge_fleet/process/members.py
@@ -8,7 +8,7 @@
 
 from teaselledge_wire.gen.fleet.ttypes import RouterInfo
 
-from teaselledge_fleet.process.work import key_of
+from teaselledge_fleet.process.work import name_hash
 
 __all__ = ["Evidence", "Member", "MemberState", "Members", "Report", "Status"]
 
@@ -402,12 +402,12 @@
             if now - known.noted > FORGET_SECONDS:
                 del self._known[vm]
                 self._answering = None
-                self._by_key.pop(key_of(vm), None)
+                self._by_key.pop(name_hash(vm), None)
 
     def _keep(self, known: _Known) -> None:
         vm = known.member.vm
         self._known[vm] = known
-        self._by_key[key_of(vm)] = vm
+        self._by_key[name_hash(vm)] = vm
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/packages/fleet/src/teaselledge_fleet/process/placing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/placing.py
@@ -26,7 +26,7 @@
 from teaselledge_fleet.process.results import Results
 from teaselledge_fleet.process.shares import OrganisationShares, Standing
 from teaselledge_fleet.process.waiting import WaitBounds
-from teaselledge_fleet.process.work import FleetWork, Work, key_of
+from teaselledge_fleet.process.work import EndpointLoad, FleetLoad, name_hash
 from teaselledge_fleet.request.call import Call, Prompt
 from teaselledge_fleet.request.context import Outcome, Placement, RequestContext
 from teaselledge_fleet.version.routes import Organisation, Routing
@@ -125,7 +125,7 @@
     def __init__(self, view: EndpointView, zone: str, zones: Mapping[str, str]) -> None:
         self._view = view
         self._distance = Distance(zone, zones)
-        self._work = FleetWork()
+        self._work = FleetLoad()
         self._shares = OrganisationShares()
         self._parts = PartDirectory()
         """Where this router had parts read; goes where the fleet's is not asked."""
@@ -196,7 +196,10 @@
             holders = await self._locator.locate(demand.part, first)
         if holders is None:
             # the first choice is taken to keep what it should keep
-            holders = [*self._parts.holders(key_of(demand.part)), key_of(first.id)]
+            holders = [
+                *self._parts.holders(name_hash(demand.part)),
+                name_hash(first.id),
+            ]
         return replace(demand, holders=tuple(holders))
 
     async def _place_prompt(
@@ -261,10 +264,10 @@
             if answer is None:
                 admitted = best if best.wait <= most else None
                 return admitted
-            self._work.note_others(name, answer.others)
+            self._work.record_remote(name, answer.others)
             if answer.admitted:
-                own = Work(1, best.reading)
-                before = self._work.total(name).without(own)
+                own = EndpointLoad(1, best.reading)
+                before = self._work.total(name).subtract(own)
                 wait = engine_wait(before, best.endpoint.slots)
                 admitted = replace(best, wait=wait)
                 sent = _Sent(best.reading, self._now(), wait)
@@ -285,7 +288,7 @@
         assert prompt is not None
         context.reading = best.reading
         if demand.part is not None:
-            self._parts.note(key_of(demand.part), key_of(best.endpoint.id))
+            self._parts.note(name_hash(demand.part), name_hash(best.endpoint.id))
             if demand.shared >= LOCATED_TOKENS:
                 self._locator.tell(demand.part, demand.engines[0], best.endpoint)
         if not context.sends:
@@ -305,7 +308,7 @@
             return
         if self._prompt_since(sent.at):
             self._learn(context, endpoint, sent)
-        self._work.add(endpoint.id, 0, -sent.reading)
+        self._work.add_local(endpoint.id, 0, -sent.reading)
         self._sent[key] = replace(sent, reading=0.0)
 
     def _learn(self, context: RequestContext, endpoint: Endpoint, sent: _Sent) -> None:
@@ -331,7 +334,7 @@
             self._results.note(endpoint.id, False)
 
     @property
-    def work(self) -> FleetWork:
+    def work(self) -> FleetLoad:
         """What the fleet has under way, as far as it is told."""
         return self._work
 
@@ -343,7 +346,7 @@
     def keep(self) -> None:
         """Forget endpoints that are gone."""
         names = {endpoint.id for endpoint in self._view.endpoints}
-        self._work.keep(names)
+        self._work.retain_endpoints(names)
         self._results.keep(names)
 
     def _usable(self, context: RequestContext) -> list[Endpoint]:
@@ -360,8 +363,8 @@
         work = self._work.total(best.endpoint.id)
         return {
             "wait_ms": round(best.wait * 1000),
-            "running": work.running,
-            "reading_before_ms": round(work.reading * 1000),
+            "running": work.in_flight,
+            "reading_before_ms": round(work.prefill_seconds * 1000),
             "failing": round(self._results.failing(best.endpoint.id), 2),
             "keeps_part": best.keeps,
             "reading_factor": round(
@@ -370,14 +373,14 @@
         }
 
     def _begin(self, context: RequestContext, best: Candidate) -> None:
-        self._work.add(best.endpoint.id, 1, best.reading)
+        self._work.add_local(best.endpoint.id, 1, best.reading)
         sent = _Sent(best.reading, self._now(), best.wait)
         self._sent[context.call.id, best.endpoint.id] = sent
 
     def _count_out(self, context: RequestContext, endpoint: Endpoint) -> None:
         sent = self._sent.pop((context.call.id, endpoint.id), None)
         if sent is not None:
-            self._work.add(endpoint.id, -1, -sent.reading)
+            self._work.add_local(endpoint.id, -1, -sent.reading)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -145,7 +145,7 @@
         self._socket = PeerSocket()
         admission = Admission()
         coordinators = Coordinators(self._members)
-        self._placer.work.kept = admission.total
+        self._placer.work.coordinated_load = admission.total
         self._asking = Asking(
             self._members,
             self._belief.view,
--- a/packages/fleet/src/teaselledge_fleet/process/sent.py
+++ b/packages/fleet/src/teaselledge_fleet/process/sent.py
@@ -5,9 +5,9 @@
 from typing import Protocol, Self, TypeVar
 
 from teaselledge_fleet.process.shares import Use
-from teaselledge_fleet.process.work import Work
+from teaselledge_fleet.process.work import EndpointLoad
 
-__all__ = ["NO_MARK", "Figures", "SentFigures", "mark_of"]
+__all__ = ["NO_MARK", "LoadStats", "SentLoadStats", "mark_of"]
 
 NO_MARK = 0
 """Stands for nothing told."""
@@ -19,18 +19,18 @@
 """Pulses whose figures are kept; a sum is made within the next five."""
 
 
-class Removable(Protocol):
+class Subtractable(Protocol):
     """A figure of which a part can be taken out."""
 
-    def without(self, other: Self) -> Self:
+    def subtract(self, other: Self) -> Self:
         """Return what is left."""
 
 
-FigureT = TypeVar("FigureT", bound=Removable)
+FigureT = TypeVar("FigureT", bound=Subtractable)
 
 
 @dataclass(frozen=True)
-class Figures:
+class LoadStats:
     """Figures that one pulse tells.
 
     Attributes
@@ -41,12 +41,12 @@
         Use within the last window, by organisation.
     """
 
-    work: dict[int, Work]
+    work: dict[int, EndpointLoad]
     uses: dict[int, Use]
 
-    def without(self, other: "Figures") -> "Figures":
+    def subtract(self, other: "LoadStats") -> "LoadStats":
         """Return the figures less those of another router."""
-        return Figures(_less(self.work, other.work), _less(self.uses, other.uses))
+        return LoadStats(_less(self.work, other.work), _less(self.uses, other.uses))
 
 
 def mark_of(sequence: int) -> int:
@@ -54,7 +54,7 @@
     return sequence % MARKS + 1
 
 
-class SentFigures:
+class SentLoadStats:
     """Remembers the last figures that were told, by the mark of their pulse.
 
     The sums of an aggregator hold this router's part as it was told some pulses ago.
@@ -62,22 +62,22 @@
     """
 
     def __init__(self) -> None:
-        self._sent: deque[tuple[int, Figures]] = deque(maxlen=KEPT)
+        self._sent: deque[tuple[int, LoadStats]] = deque(maxlen=KEPT)
 
-    def note(self, sequence: int, figures: Figures) -> None:
+    def record(self, sequence: int, figures: LoadStats) -> None:
         """Keep what a pulse tells."""
         self._sent.append((mark_of(sequence), figures))
 
-    def take_out(self, sums: Figures, mark: int) -> Figures:
+    def subtract_sent(self, sums: LoadStats, mark: int) -> LoadStats:
         """Return sums less this router's own part, which came with a marked pulse."""
         for mark_sent, figures in reversed(self._sent):
             if mark_sent == mark:
-                return sums.without(figures)
+                return sums.subtract(figures)
         return sums
 
 
 def _less(sums: dict[int, FigureT], parts: dict[int, FigureT]) -> dict[int, FigureT]:
     return {
-        key: figure.without(parts[key]) if key in parts else figure
+        key: figure.subtract(parts[key]) if key in parts else figure
         for key, figure in sums.items()
     }
--- a/packages/fleet/src/teaselledge_fleet/process/shares.py
+++ b/packages/fleet/src/teaselledge_fleet/process/shares.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from teaselledge_fleet.process.sources import Sources
-from teaselledge_fleet.process.work import key_of
+from teaselledge_fleet.process.sources import StatsBySource
+from teaselledge_fleet.process.work import name_hash
 
 __all__ = ["OrganisationShares", "Standing", "Use", "fair_level"]
 
@@ -71,7 +71,7 @@
     def __add__(self, other: "Use") -> "Use":
         return Use(self.asked + other.asked, self.received + other.received)
 
-    def without(self, other: "Use") -> "Use":
+    def subtract(self, other: "Use") -> "Use":
         """Return what is left without another's part, never below nothing."""
         received = max(0, self.received - other.received)
         return Use(max(0, self.asked - other.asked), received)
@@ -105,7 +105,7 @@
         return Use(counter.asked - asked, counter.received - received)
 
 
-class OrganisationShares(Sources[Use]):
+class OrganisationShares(StatsBySource[Use]):
     """Counts what organisations ask for and receive over the whole fleet.
 
     Every source tells its use within the last window, in tokens of work: a token that
@@ -186,7 +186,7 @@
             return
         self._levelled_at = now
         fleet: defaultdict[int, Use] = defaultdict(Use, self.own())
-        for key, use in self.from_sources().items():
+        for key, use in self.sum_of_sources().items():
             fleet[key] += use
         self._fleet = dict(fleet)
         received = sum(use.received for use in fleet.values())
@@ -206,5 +206,5 @@
     def _key(self, organisation: str) -> int:
         key = self._names.get(organisation)
         if key is None:
-            key = self._names[organisation] = key_of(organisation)
+            key = self._names[organisation] = name_hash(organisation)
         return key
--- a/packages/fleet/src/teaselledge_fleet/process/sources.py
+++ b/packages/fleet/src/teaselledge_fleet/process/sources.py
@@ -5,16 +5,16 @@
 from dataclasses import dataclass
 from typing import Generic, Protocol, Self, TypeVar
 
-__all__ = ["FORGET_SECONDS", "SUM_FORGET_SECONDS", "Addable", "Sources"]
+__all__ = ["EXPIRY_SECONDS", "SUM_EXPIRY_SECONDS", "Addable", "StatsBySource"]
 
-FORGET_SECONDS = 2.0
+EXPIRY_SECONDS = 2.0
 """Time after which what a silent router told counts no more.
 
 A router that was cut off would otherwise keep engines looking busy and organisations
 looking served; its requests end within some seconds.
 """
 
-SUM_FORGET_SECONDS = 4.0
+SUM_EXPIRY_SECONDS = 4.0
 """The same for a sum that an aggregator told. When it dies, the next one takes 2 to 3 s
 to hear everybody; until then an old sum is nearer the truth than none."""
 
@@ -35,7 +35,7 @@
     figures: dict[int, FigureT]
 
 
-class Sources(Generic[FigureT]):
+class StatsBySource(Generic[FigureT]):
     """Adds up what sources told last, each of them everything it knows.
 
     A lost message does no harm: the next one of its source replaces it.
@@ -44,20 +44,20 @@
     def __init__(self) -> None:
         self._told: dict[str, _Told[FigureT]] = {}
 
-    def hear(
+    def update_source(
         self,
         source: str,
         figures: dict[int, FigureT],
-        seconds: float = FORGET_SECONDS,
+        seconds: float = EXPIRY_SECONDS,
     ) -> None:
         """Take the figures that a source tells of, by key, for some seconds."""
         self._told[source] = _Told(self._now() + seconds, figures)
 
-    def forget(self, source: str) -> None:
+    def remove_source(self, source: str) -> None:
         """Forget what a source told."""
         self._told.pop(source, None)
 
-    def keep_source(self, source: str) -> None:
+    def retain_only_source(self, source: str) -> None:
         """Forget all sources but one."""
         self._told = {name: t for name, t in self._told.items() if name == source}
 
@@ -66,7 +66,9 @@
         told = self._told.get(source)
         return told is not None and told.until >= self._now()
 
-    def from_sources(self, sources: Iterable[str] | None = None) -> dict[int, FigureT]:
+    def sum_of_sources(
+        self, sources: Iterable[str] | None = None
+    ) -> dict[int, FigureT]:
         """Return the sum of what some sources told lately, or all of them."""
         total: dict[int, FigureT] = {}
         for source in self._told if sources is None else sources:
--- a/packages/fleet/src/teaselledge_fleet/process/work.py
+++ b/packages/fleet/src/teaselledge_fleet/process/work.py
@@ -9,9 +9,9 @@
 
 import xxhash
 
-from teaselledge_fleet.process.sources import FORGET_SECONDS, Sources
+from teaselledge_fleet.process.sources import EXPIRY_SECONDS, StatsBySource
 
-__all__ = ["FleetWork", "Work", "key_of"]
+__all__ = ["FleetLoad", "EndpointLoad", "name_hash"]
 
 SUMMED_SECONDS = 0.1
 """Age at which the sum of what was told is made again, as some of it may be too old. A
@@ -27,43 +27,48 @@
 
 
 @lru_cache(maxsize=8192)
-def key_of(name: str) -> int:
+def name_hash(name: str) -> int:
     """Return the number by which routers name an endpoint or an organisation."""
     return xxhash.xxh3_64_intdigest(name.encode()) >> (64 - KEY_BITS)
 
 
 @dataclass(frozen=True)
-class Work:
+class EndpointLoad:
     """Requests at one endpoint.
 
     Attributes
     ----------
-    running : int
+    in_flight : int
         Sent and not ended.
-    reading : float
+    prefill_seconds : float
         Time that an engine needs for the prompts of those that have not begun to
         answer, in seconds.
     """
 
-    running: int = 0
-    reading: float = 0.0
+    in_flight: int = 0
+    prefill_seconds: float = 0.0
 
-    def __add__(self, other: "Work") -> "Work":
-        return Work(self.running + other.running, self.reading + other.reading)
+    def __add__(self, other: "EndpointLoad") -> "EndpointLoad":
+        return EndpointLoad(
+            self.in_flight + other.in_flight,
+            self.prefill_seconds + other.prefill_seconds,
+        )
 
-    def without(self, other: "Work") -> "Work":
+    def subtract(self, other: "EndpointLoad") -> "EndpointLoad":
         """Return what is left without another's part, never below nothing."""
-        running = max(0, self.running - other.running)
-        return Work(running, max(0.0, self.reading - other.reading))
+        running = max(0, self.in_flight - other.in_flight)
+        return EndpointLoad(
+            running, max(0.0, self.prefill_seconds - other.prefill_seconds)
+        )
 
 
 @dataclass(frozen=True)
 class _Answered:
     at: float
-    others: Work
+    others: EndpointLoad
 
 
-class FleetWork(Sources[Work]):
+class FleetLoad(StatsBySource[EndpointLoad]):
     """Knows what this router has under way, and what all others have.
 
     Its own requests it knows exactly. Of the others it hears by pulse, from the routers
@@ -72,89 +77,94 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._own: defaultdict[str, Work] = defaultdict(Work)
+        self._own: defaultdict[str, EndpointLoad] = defaultdict(EndpointLoad)
         self._answered: dict[str, _Answered] = {}
         self._changed: set[str] = set()
         self._change = asyncio.Event()
-        self._sums: dict[int, Work] = {}
+        self._sums: dict[int, EndpointLoad] = {}
         self._summed_at = -SUMMED_SECONDS
-        self.kept: Callable[[int], Work] = lambda key: Work()
+        self.coordinated_load: Callable[[int], EndpointLoad] = lambda key: (
+            EndpointLoad()
+        )
         """What all routers have at an endpoint to which this router admits."""
-        self.unheard = 1.0
+        self.extrapolation_factor = 1.0
         """Routers there are for each one whose work is known, this one included."""
 
     @property
-    def busy(self) -> list[str]:
+    def active_endpoints(self) -> list[str]:
         """Endpoints at which this router has work."""
-        return [name for name, work in self._own.items() if work.running]
+        return [name for name, work in self._own.items() if work.in_flight]
 
-    def own(self, endpoint: str) -> Work:
+    def local(self, endpoint: str) -> EndpointLoad:
         """Return what this router has at an endpoint."""
         return self._own[endpoint]
 
-    def add(self, endpoint: str, running: int, reading: float) -> None:
+    def add_local(self, endpoint: str, running: int, reading: float) -> None:
         """Count more, or less, of this router's work at an endpoint."""
-        self._own[endpoint] += Work(running, reading)
+        self._own[endpoint] += EndpointLoad(running, reading)
         self._changed.add(endpoint)
         self._change.set()
 
-    async def wait_changed(self, seconds: float) -> None:
+    async def wait_for_change(self, seconds: float) -> None:
         """Wait until work has changed since it was taken, for some seconds at most."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(seconds):
                 await self._change.wait()
 
-    def take_changed(self) -> set[str]:
+    def pop_changed(self) -> set[str]:
         """Return the endpoints whose work has changed since the last call."""
         self._change.clear()
         changed, self._changed = self._changed, set()
         return changed
 
-    def note_others(self, endpoint: str, others: Work) -> None:
+    def record_remote(self, endpoint: str, others: EndpointLoad) -> None:
         """Take what all others have at an endpoint, as just answered."""
         self._answered[endpoint] = _Answered(self._now(), others)
 
-    def total(self, endpoint: str) -> Work:
+    def total(self, endpoint: str) -> EndpointLoad:
         """Return what all routers together have at an endpoint."""
         own = self._own[endpoint]
         answered = self._answered.get(endpoint)
         if answered is not None and self._now() - answered.at < ANSWER_SECONDS:
             return own + answered.others
         # what is told holds this router's part as well
-        total = own + self._heard(key_of(endpoint)).without(own)
-        return Work(round(total.running * self.unheard), total.reading * self.unheard)
+        total = own + self._heard(name_hash(endpoint)).subtract(own)
+        return EndpointLoad(
+            round(total.in_flight * self.extrapolation_factor),
+            total.prefill_seconds * self.extrapolation_factor,
+        )
 
-    def keep(self, endpoints: Iterable[str]) -> None:
+    def retain_endpoints(self, endpoints: Iterable[str]) -> None:
         """Forget endpoints that are gone and at which nothing runs."""
         kept = set(endpoints)
         for name in list(self._own):
-            if name not in kept and self._own[name].running <= 0:
+            if name not in kept and self._own[name].in_flight <= 0:
                 del self._own[name]
                 self._answered.pop(name, None)
 
-    def forget(self, source: str) -> None:
+    def remove_source(self, source: str) -> None:
         """Forget what a source told."""
-        super().forget(source)
+        super().remove_source(source)
         self._summed_at = -SUMMED_SECONDS
 
-    def keep_source(self, source: str) -> None:
+    def retain_only_source(self, source: str) -> None:
         """Forget all sources but one."""
-        super().keep_source(source)
+        super().retain_only_source(source)
         self._summed_at = -SUMMED_SECONDS
 
-    def hear(
+    def update_source(
         self,
         source: str,
-        figures: dict[int, Work],
-        seconds: float = FORGET_SECONDS,
+        figures: dict[int, EndpointLoad],
+        seconds: float = EXPIRY_SECONDS,
     ) -> None:
         """Take the work that a source tells of, for some seconds."""
-        super().hear(source, figures, seconds)
+        super().update_source(source, figures, seconds)
         self._summed_at = -SUMMED_SECONDS
 
-    def _heard(self, key: int) -> Work:
+    def _heard(self, key: int) -> EndpointLoad:
         now = self._now()
         if now - self._summed_at >= SUMMED_SECONDS:
-            self._sums, self._summed_at = self.from_sources(), now
-        kept, told = self.kept(key), self._sums.get(key)
+            self._sums, self._summed_at = self.sum_of_sources(), now
+        kept, told = self.coordinated_load(key), self._sums.get(key)
         return kept if told is None else kept + told
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -6,7 +6,7 @@
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.prefill import BUSY_PART, FIRST_SECONDS
 from teaselledge_fleet.process.waiting import WAIT_PART
-from teaselledge_fleet.process.work import Work, key_of
+from teaselledge_fleet.process.work import EndpointLoad, name_hash
 from teaselledge_fleet.request.call import Call, Prompt, PromptPart
 from teaselledge_fleet.request.context import Outcome, RequestContext
 from teaselledge_fleet.version.routes import Organisation, Repeat
@@ -39,7 +39,7 @@
         sequence,
         1,
         SLOTS,
-        Work(running, 0.1 * running),
+        EndpointLoad(running, 0.1 * running),
         more.get("added", 0.1),
         more.get("most_wait", 0.4),
     )
@@ -65,15 +65,15 @@
     assert admission.ask(question(1, 1, added=0.4)).admitted
     second = admission.ask(question(2, 1))
     assert not second.admitted
-    assert second.others == Work(1, 0.4)
-    assert admission.total(1) == Work(1, 0.4)
+    assert second.others == EndpointLoad(1, 0.4)
+    assert admission.total(1) == EndpointLoad(1, 0.4)
 
 
 async def test_what_was_not_admitted_does_not_count():
     admission = Admission()
     admission.ask(question(1, 1, added=0.4))
     admission.ask(question(2, 1))
-    admission.report(1, 2, {1: Work(1, 0.0)})
+    admission.report(1, 2, {1: EndpointLoad(1, 0.0)})
     assert admission.ask(question(2, 2)).admitted
 
 
@@ -85,7 +85,7 @@
     admission = Admission()
     answers = [admission.ask(question(1, n, running=n)) for n in range(10)]
     assert sum(answer.admitted for answer in answers) == 4
-    assert admission.total(1).running == 4
+    assert admission.total(1).in_flight == 4
 
 
 async def test_an_engine_that_is_slower_than_believed_shows_in_the_reports():
@@ -98,7 +98,7 @@
     for sequence in range(8):
         admission.ask(question(1, sequence, running=sequence, most_wait=9.0))
     await asyncio.sleep(1.0)
-    admission.report(1, 8, {1: Work(8, 0.8)})
+    admission.report(1, 8, {1: EndpointLoad(8, 0.8)})
     assert not admission.ask(question(2, 1)).admitted
 
 
@@ -113,7 +113,7 @@
         engine = ENGINES[0]
         name = fleet.routers[0].asking._coordinators.of(engine).vm
         coordinator = next(r for r in fleet.routers if r.vm == name)
-        coordinator.work.add(engine.id, 5, 1.0)
+        coordinator.work.add_local(engine.id, 5, 1.0)
         coordinator.asking.report([engine.id])
         asker = next(r for r in fleet.routers if r.vm != name)
         for left in (-0.0015, -0.001, 0.0):
@@ -124,19 +124,19 @@
 async def test_a_report_that_was_overtaken_changes_nothing():
     """Datagrams arrive in another order; work that ended must not come back."""
     admission = Admission()
-    admission.report(1, 3, {1: Work(0, 0.0)})
-    admission.report(1, 2, {1: Work(5, 0.5)})
-    assert admission.total(1) == Work()
+    admission.report(1, 3, {1: EndpointLoad(0, 0.0)})
+    admission.report(1, 2, {1: EndpointLoad(5, 0.5)})
+    assert admission.total(1) == EndpointLoad()
 
 
 async def test_the_work_of_a_dead_router_is_forgotten():
     """A router dies with requests under way; nobody tells that they have ended."""
     admission = Admission()
-    admission.report(1, 1, {1: Work(SLOTS, 2.0)})
+    admission.report(1, 1, {1: EndpointLoad(SLOTS, 2.0)})
     assert not admission.ask(question(2, 1)).admitted
     await asyncio.sleep(2)
     assert admission.ask(question(2, 2)).admitted
-    assert admission.totals() == {1: Work(1, 0.1)}
+    assert admission.totals() == {1: EndpointLoad(1, 0.1)}
 
 
 async def test_many_routers_do_not_overfill_an_engine():
@@ -157,7 +157,9 @@
             await asyncio.sleep(0.1)
             sent = await burst(fleet, 2)
             await asyncio.sleep(0.2)
-            reading = sum(router.work.own("e0").reading for router in fleet.routers)
+            reading = sum(
+                router.work.local("e0").prefill_seconds for router in fleet.routers
+            )
             if alone:
                 assert sent == 2 * LARGE
                 continue
@@ -230,6 +232,12 @@
             task.cancel()
         await asyncio.sleep(1.0)
         for engine in ENGINES:
-            assert all(r.work.own(engine.id) == Work() for r in fleet.routers if r.work)
-            key = key_of(engine.id)
-            assert all(r.work.kept(key).running == 0 for r in fleet.routers)
+            assert all(
+                r.work.local(engine.id) == EndpointLoad()
+                for r in fleet.routers
+                if r.work
+            )
+            key = name_hash(engine.id)
+            assert all(
+                r.work.coordinated_load(key).in_flight == 0 for r in fleet.routers
+            )
--- a/packages/fleet/tests/test_directory.py
+++ b/packages/fleet/tests/test_directory.py
@@ -10,7 +10,7 @@
 )
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.locating import PartLocator
-from teaselledge_fleet.process.work import key_of
+from teaselledge_fleet.process.work import name_hash
 from teaselledge_standins.spreadfleet import SpreadFleet, spread_fleet
 from teaselledge_standins.statestore import decode_number, store_of
 
@@ -72,7 +72,7 @@
         await asyncio.sleep(0.1)
         for number in range(6):
             found = await locator_of(fleet, number).locate("p1", ENGINES[0])
-            assert found == [key_of("e2")]
+            assert found == [name_hash("e2")]
 
 
 async def test_a_directory_that_is_cut_off_holds_up_a_request_for_a_moment_only():
--- a/packages/fleet/tests/test_forwarding.py
+++ b/packages/fleet/tests/test_forwarding.py
@@ -11,11 +11,11 @@
     relay_order,
 )
 from teaselledge_fleet.process.members import Member
-from teaselledge_fleet.process.sent import NO_MARK, Figures, SentFigures, mark_of
+from teaselledge_fleet.process.sent import NO_MARK, LoadStats, SentLoadStats, mark_of
 from teaselledge_fleet.process.shares import Use
 from teaselledge_fleet.process.stalls import StallDetector
 from teaselledge_fleet.process.topology import Scope
-from teaselledge_fleet.process.work import Work, key_of
+from teaselledge_fleet.process.work import EndpointLoad, name_hash
 from teaselledge_standins.spreadfleet import spread_fleet
 from teaselledge_standins.statestore import decode_number, store_of
 from teaselledge_wire.gen.fleet.ttypes import Pulse
@@ -30,7 +30,7 @@
 
 def reached(members: list[Member], keys: list[int], dead: str = "") -> Counter:
     """Return how often each router gets a message that starts in the north."""
-    by_key = {key_of(member.vm): member for member in members}
+    by_key = {name_hash(member.vm): member for member in members}
     found: Counter = Counter()
     waiting = list(deliveries(keys, "north", by_key.get))
     while waiting:
@@ -49,7 +49,7 @@
 
 
 async def test_nobody_sends_more_than_two_copies_in_its_region():
-    members = {key_of(f"r{n}"): router(n) for n in range(33)}
+    members = {name_hash(f"r{n}"): router(n) for n in range(33)}
     assert len(deliveries(list(members), "north", members.get)) == FANOUT
 
 
@@ -57,7 +57,7 @@
     """Links between regions are narrow, and bytes on them are paid for."""
     members = [router(n) for n in range(4)]
     members += [router(n, "south") for n in range(4, 10)]
-    by_key = {key_of(member.vm): member for member in members}
+    by_key = {name_hash(member.vm): member for member in members}
     copies = deliveries(relay_order(members), "north", by_key.get)
     assert [c.member.region for c in copies].count("south") == 1
     assert set(reached(members, relay_order(members)).values()) == {1}
@@ -75,12 +75,12 @@
 async def test_busy_routers_have_nobody_to_pass_on_to():
     members = [router(n, busy=0.9 if n < 10 else 0.1) for n in range(33)]
     order = relay_order(members)
-    assert set(order[-10:]) == {key_of(f"r{n}") for n in range(10)}
+    assert set(order[-10:]) == {name_hash(f"r{n}") for n in range(10)}
 
 
 async def test_unknown_router_is_left_to_those_who_know_it():
-    known = {key_of(f"r{n}"): router(n) for n in range(4)}
-    stranger = key_of("stranger")
+    known = {name_hash(f"r{n}"): router(n) for n in range(4)}
+    stranger = name_hash("stranger")
     copies = deliveries([stranger, *known], "north", known.get)
     assert sum(stranger in copy.pass_to for copy in copies) == 1
 
@@ -97,13 +97,15 @@
 
 
 async def test_own_part_is_taken_out_as_it_was_told():
-    sent = SentFigures()
-    sent.note(1, Figures({1: Work(2, 0.5)}, {7: Use(100, 50)}))
-    sent.note(2, Figures({1: Work(9, 0.5)}, {7: Use(900, 500)}))
-    sums = Figures({1: Work(5, 1.0), 2: Work(1)}, {7: Use(150, 60)})
-    left = sent.take_out(sums, mark_of(1))
-    assert left == Figures({1: Work(3, 0.5), 2: Work(1)}, {7: Use(50, 10)})
-    assert sent.take_out(sums, NO_MARK) == sums
+    sent = SentLoadStats()
+    sent.record(1, LoadStats({1: EndpointLoad(2, 0.5)}, {7: Use(100, 50)}))
+    sent.record(2, LoadStats({1: EndpointLoad(9, 0.5)}, {7: Use(900, 500)}))
+    sums = LoadStats({1: EndpointLoad(5, 1.0), 2: EndpointLoad(1)}, {7: Use(150, 60)})
+    left = sent.subtract_sent(sums, mark_of(1))
+    assert left == LoadStats(
+        {1: EndpointLoad(3, 0.5), 2: EndpointLoad(1)}, {7: Use(50, 10)}
+    )
+    assert sent.subtract_sent(sums, NO_MARK) == sums
 
 
 async def test_pulse_with_fields_left_out_does_no_harm():
--- a/packages/fleet/tests/test_gossip.py
+++ b/packages/fleet/tests/test_gossip.py
@@ -142,9 +142,9 @@
     async with spread_fleet(store, MANY, decode_number) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
-            router.work.add("e1", 2, 0.0)
+            router.work.add_local("e1", 2, 0.0)
         await asyncio.sleep(2)
-        totals = {router.work.total("e1").running for router in fleet.routers}
+        totals = {router.work.total("e1").in_flight for router in fleet.routers}
         assert totals == {2 * MANY}
 
 
@@ -173,9 +173,9 @@
         assert seconds < DRAIN_SECONDS
         await asyncio.sleep(2)
         for router in alive(fleet):
-            router.work.add("e2", 1, 0.0)
+            router.work.add_local("e2", 1, 0.0)
         await asyncio.sleep(2.5)
-        totals = {router.work.total("e2").running for router in alive(fleet)}
+        totals = {router.work.total("e2").in_flight for router in alive(fleet)}
         assert totals == {MANY - 1}
 
 
@@ -199,12 +199,12 @@
     async with spread_fleet(store, ROUTERS, decode_number) as fleet:
         await asyncio.sleep(5)
         router = fleet.routers[0]
-        router.work.add("e1", 2, 0.0)
-        assert router.work.total("e1").running == 2
+        router.work.add_local("e1", 2, 0.0)
+        assert router.work.total("e1").in_flight == 2
         for other in fleet.routers[1:]:
             other.kill()
         await asyncio.sleep(3)
-        assert router.work.total("e1").running == 2 * ROUTERS
+        assert router.work.total("e1").in_flight == 2 * ROUTERS
 
 
 async def test_routers_of_a_zone_find_one_another_through_seeds_of_other_zones():
--- a/packages/fleet/tests/test_large_fleet.py
+++ b/packages/fleet/tests/test_large_fleet.py
@@ -100,7 +100,7 @@
     async with spread_fleet(new_store(), 40, decode_number, 3) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
-            router.work.add("e1", 2, 0.0)
+            router.work.add_local("e1", 2, 0.0)
         await asyncio.sleep(2)
         dead = aggregator(fleet, "z2")
         dead.kill()
@@ -109,7 +109,7 @@
         living = [router for router in fleet.routers if not router.frozen]
         while loop.time() < died + 6:
             await asyncio.sleep(0.05)
-            if any(r.work.total("e1").running < 2 * len(living) for r in living):
+            if any(r.work.total("e1").in_flight < 2 * len(living) for r in living):
                 last = loop.time()
     assert last - died <= STALE_SECONDS, f"{last - died:.2f} s"
 
@@ -122,6 +122,6 @@
         for step in range(1, 40):
             shares[7].receive("north", 1000)
             await asyncio.sleep(0.05)
-            told = shares[7].from_sources()
+            told = shares[7].sum_of_sources()
             others = sum(use.received for use in told.values())
             assert others == 0, f"step {step}: {others}"
--- a/packages/fleet/tests/test_one_router_flooded.py
+++ b/packages/fleet/tests/test_one_router_flooded.py
@@ -21,7 +21,7 @@
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.shares import Use
-from teaselledge_fleet.process.work import key_of
+from teaselledge_fleet.process.work import name_hash
 from teaselledge_fleet.request.call import Call, Prompt
 from teaselledge_fleet.request.owndialect import OwnDialect
 from teaselledge_fleet.request.serving import Server
@@ -95,4 +95,4 @@
     answers = Refusals()
     await server.serve(incoming, answers)
     assert answers.status == 503
-    assert placer.shares.own() == {key_of("cellar"): Use(1200, 0)}
+    assert placer.shares.own() == {name_hash("cellar"): Use(1200, 0)}
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -10,7 +10,7 @@
 from teaselledge_fleet.process.prefixes import ranked
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.shares import Use
-from teaselledge_fleet.process.work import Work, key_of
+from teaselledge_fleet.process.work import EndpointLoad, name_hash
 from teaselledge_fleet.request.call import Call, Prompt, PromptPart
 from teaselledge_fleet.request.context import Outcome, RequestContext
 from teaselledge_fleet.version.routes import Organisation, Repeat
@@ -50,7 +50,9 @@
 
     def fill(self, engine: str, reading: float, running: int = 1) -> None:
         """Let another router tell of work at an engine."""
-        self.placer.work.hear("r2", {key_of(engine): Work(running, reading)})
+        self.placer.work.update_source(
+            "r2", {name_hash(engine): EndpointLoad(running, reading)}
+        )
 
 
 async def placed(desk: Desk, context: RequestContext):
@@ -105,7 +107,9 @@
     desk = Desk()
     for engine in ENGINES:
         desk.fill(engine.id, 0.0)
-    desk.placer.work.hear("r2", {key_of(e.id): Work(5, 0.6) for e in ENGINES})
+    desk.placer.work.update_source(
+        "r2", {name_hash(e.id): EndpointLoad(5, 0.6) for e in ENGINES}
+    )
     refused = await placed(desk, desk.context())
     assert refused.kind is FaultKind.OVER_CAPACITY
     assert 0 < refused.retry_after < 2
@@ -122,14 +126,16 @@
 async def test_over_share_is_refused_before_the_others():
     """One organisation floods the fleet; the others must still find room."""
     desk = Desk()
-    desk.placer.shares.hear(
+    desk.placer.shares.update_source(
         "r2",
         {
-            key_of("flood"): Use(900_000, 500_000),
-            key_of("cellar"): Use(300_000, 100_000),
+            name_hash("flood"): Use(900_000, 500_000),
+            name_hash("cellar"): Use(300_000, 100_000),
         },
     )
-    desk.placer.work.hear("r2", {key_of(e.id): Work(5, 0.2) for e in ENGINES})
+    desk.placer.work.update_source(
+        "r2", {name_hash(e.id): EndpointLoad(5, 0.2) for e in ENGINES}
+    )
     flood = await placed(desk, desk.context(owner="flood"))
     assert flood.kind is FaultKind.OVER_SHARE
     assert isinstance(await placed(desk, desk.context(owner="cellar")), str)
@@ -148,8 +154,12 @@
         "other": Use(1_500_000, 400_000),
         "cellar": Use(300_000, 300_000),
     }
-    desk.placer.shares.hear("r2", {key_of(name): use for name, use in uses.items()})
-    desk.placer.work.hear("r2", {key_of(e.id): Work(5, 0.07) for e in ENGINES})
+    desk.placer.shares.update_source(
+        "r2", {name_hash(name): use for name, use in uses.items()}
+    )
+    desk.placer.work.update_source(
+        "r2", {name_hash(e.id): EndpointLoad(5, 0.07) for e in ENGINES}
+    )
     flood = await placed(desk, desk.context(owner="flood"))
     assert not isinstance(flood, str)
     assert flood.kind is FaultKind.OVER_SHARE
@@ -158,14 +168,16 @@
 
 async def test_nobody_is_refused_while_engines_have_room():
     desk = Desk()
-    desk.placer.shares.hear("r2", {key_of("flood"): Use(900_000, 500_000)})
+    desk.placer.shares.update_source("r2", {name_hash("flood"): Use(900_000, 500_000)})
     assert isinstance(await placed(desk, desk.context(owner="flood")), str)
 
 
 async def test_work_of_a_silent_router_is_forgotten():
     """A router is cut off; what it had told must not block engines for ever."""
     desk = Desk()
-    desk.placer.work.hear("r2", {key_of(e.id): Work(48, 5.0) for e in ENGINES})
+    desk.placer.work.update_source(
+        "r2", {name_hash(e.id): EndpointLoad(48, 5.0) for e in ENGINES}
+    )
     assert not isinstance(await placed(desk, desk.context()), str)
     await asyncio.sleep(2.5)
     assert isinstance(await placed(desk, desk.context()), str)
@@ -180,7 +192,7 @@
         await asyncio.sleep(60)
     for engine in ENGINES:
         total = desk.placer.work.total(engine.id)
-        assert (total.running, round(total.reading, 9)) == (0, 0)
+        assert (total.in_flight, round(total.prefill_seconds, 9)) == (0, 0)
 
 
 async def test_an_engine_that_can_not_be_reached_is_left_for_a_while():
@@ -217,9 +229,9 @@
     """
     desk = Desk()
     third = ranked("p1", ENGINES)[2]
-    directory = Directory([key_of(third.id)])
+    directory = Directory([name_hash(third.id)])
     desk.placer.locate_with(directory)
-    desk.placer.work.hear("r2", {key_of(third.id): Work(5, 0.35)})
+    desk.placer.work.update_source("r2", {name_hash(third.id): EndpointLoad(5, 0.35)})
     result = await desk.placer.place(desk.context("p1"))
     assert result.ok.endpoint != third
     assert result.ok.fetch_from == third.address
@@ -229,7 +241,7 @@
 async def test_an_engine_that_keeps_a_part_goes_before_its_first_choice():
     desk = Desk()
     third = ranked("p1", ENGINES)[2]
-    desk.placer.locate_with(Directory([key_of(third.id)]))
+    desk.placer.locate_with(Directory([name_hash(third.id)]))
     assert await placed(desk, desk.context("p1")) == third.id
 
 
@@ -240,7 +252,7 @@
     context = desk.context("p1", shared=13_000, own=3_700)
     assert await placed(desk, context) == ranked("p1", ENGINES)[0].id
     kept = desk.context("p1", shared=13_000, own=3_700)
-    desk.placer.locate_with(Directory([key_of(ranked("p1", ENGINES)[0].id)]))
+    desk.placer.locate_with(Directory([name_hash(ranked("p1", ENGINES)[0].id)]))
     await placed(desk, kept)
     assert context.reading > 2 * kept.reading
 
@@ -255,7 +267,7 @@
 async def test_short_parts_are_not_asked_for():
     """Asking for each short prompt would cost routers more than it saves engines."""
     desk = Desk()
-    directory = Directory([key_of(ranked("p1", ENGINES)[2].id)])
+    directory = Directory([name_hash(ranked("p1", ENGINES)[2].id)])
     desk.placer.locate_with(directory)
     context = desk.context("p1", shared=300, own=600, size=900)
     assert await placed(desk, context) == ranked("p1", ENGINES)[0].id
@@ -268,7 +280,7 @@
     for owner, shared in (("cellar", 13_000), ("flood", 1_000)):
         await placed(desk, desk.context("p1", shared=shared, own=3_700, owner=owner))
     uses = desk.placer.shares.own()
-    assert uses[key_of("cellar")] == uses[key_of("flood")]
+    assert uses[name_hash("cellar")] == uses[name_hash("flood")]
 
 
 async def test_nobody_is_refused_while_another_engine_is_idle():
@@ -279,7 +291,7 @@
     """
     desk = Desk()
     home = ranked("p1", ENGINES)[0].id
-    desk.placer.locate_with(Directory([key_of(home)]))
+    desk.placer.locate_with(Directory([name_hash(home)]))
     desk.fill(home, 0.45, running=3)
     placed_at = await placed(desk, desk.context("p1", shared=30_000))
     assert isinstance(placed_at, str)
@@ -293,10 +305,12 @@
 
     async def ask(endpoint, added, most_wait):
         asked.append(endpoint.id)
-        return Answer(False, Work(5, 0.6))
+        return Answer(False, EndpointLoad(5, 0.6))
 
     desk.placer.ask_with(ask)
-    desk.placer.work.hear("r2", {key_of(e.id): Work(5, 0.6) for e in ENGINES})
+    desk.placer.work.update_source(
+        "r2", {name_hash(e.id): EndpointLoad(5, 0.6) for e in ENGINES}
+    )
     refused = await placed(desk, desk.context())
     assert refused.kind is FaultKind.OVER_CAPACITY
     assert len(asked) == 1
--- a/packages/standins/src/teaselledge_standins/spreadfleet.py
+++ b/packages/standins/src/teaselledge_standins/spreadfleet.py
@@ -25,7 +25,7 @@
 from teaselledge_fleet.process.stalls import StallDetector
 from teaselledge_fleet.process.storecache import Belief, Decode
 from teaselledge_fleet.process.storepoller import StoreFollower
-from teaselledge_fleet.process.work import FleetWork
+from teaselledge_fleet.process.work import FleetLoad
 from teaselledge_wire.gen.fleet.ttypes import WholeState
 
 from teaselledge_standins.statestore import MemoryStateStore, StoreClient
@@ -45,7 +45,7 @@
     spreading: Spreading
     asking: Asking
     placer: FleetPlacer
-    work: FleetWork
+    work: FleetLoad
     link: "_Link"
     tasks: list["asyncio.Task[None]"] = field(default_factory=list)
     frozen: bool = False
@@ -152,7 +152,7 @@
         belief = Belief(vm, decode)
         placer = FleetPlacer(belief.view, zone, {})
         work, admission = placer.work, Admission()
-        work.kept = admission.total
+        work.coordinated_load = admission.total
         coordinators = Coordinators(members)
         link = _Link(self, vm)
         clock = asyncio.get_running_loop().time
--- a/tools/spread_cost.py
+++ b/tools/spread_cost.py
@@ -84,7 +84,7 @@
 async def call(router: SpreadRouter, endpoints: int) -> None:
     """Ask for a place for requests for ever, and count them until they end."""
     loop = asyncio.get_running_loop()
-    add = router.work.add
+    add = router.work.add_local
     while True:
         await asyncio.sleep(random.expovariate(REQUESTS_A_SECOND))
         name = f"i-{random.randrange(endpoints):010x}"
