--- a/packages/fleet/src/teaselledge_fleet/process/admission.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admission.py
@@ -8,7 +8,7 @@
 from teaselledge_fleet.process.forecast import engine_wait
 from teaselledge_fleet.process.work import EndpointLoad
 
-__all__ = ["Admission", "Answer", "Question"]
+__all__ = ["AdmissionController", "AdmissionDecision", "AdmissionQuery"]
 
 FORGET_SECONDS = 1.5
 """Time after which the work that a silent router told counts no more.
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Question:
+class AdmissionQuery:
     """Whether a router may send a request to an endpoint.
 
     Attributes
@@ -30,41 +30,41 @@
         Number of the router.
     sequence : int
         Place of the question among all that the router tells.
-    endpoint : int
+    endpoint_hash : int
         Key of the endpoint.
     slots : int
         Requests that it runs at once.
-    work : Work
+    sender_load : Work
         What the router has there, without this request.
-    added : float
+    prefill_seconds : float
         Seconds in which the endpoint reads this request's prompt.
-    most_wait : float
+    max_wait : float
         Seconds that the request may wait behind others.
     """
 
     sender: int
     sequence: int
-    endpoint: int
+    endpoint_hash: int
     slots: int
-    work: EndpointLoad
-    added: float
-    most_wait: float
+    sender_load: EndpointLoad
+    prefill_seconds: float
+    max_wait: float
 
 
 @dataclass(frozen=True)
-class Answer:
+class AdmissionDecision:
     """What a router may do, and why.
 
     Attributes
     ----------
     admitted : bool
         Whether it may send the request.
-    others : Work
+    remote_load : Work
         What all other routers have at the endpoint.
     """
 
     admitted: bool
-    others: EndpointLoad
+    remote_load: EndpointLoad
 
 
 @dataclass(frozen=True)
@@ -74,7 +74,7 @@
     work: EndpointLoad
 
 
-class Admission:
+class AdmissionController:
     """Knows the work of all routers at some endpoints, and admits to them.
 
     When each router decides by what it heard some tenths of a second ago, all of them
@@ -87,31 +87,31 @@
     def __init__(self) -> None:
         self._records: defaultdict[int, dict[int, _Record]] = defaultdict(dict)
 
-    def report(
+    def record_load(
         self, sender: int, sequence: int, work: Mapping[int, EndpointLoad]
     ) -> None:
         """Take what a router has at endpoints; 0 requests where it has ended."""
         for endpoint, each in work.items():
             self._note(endpoint, sender, sequence, each)
 
-    def ask(self, question: Question) -> Answer:
+    def decide(self, question: AdmissionQuery) -> AdmissionDecision:
         """Decide on a request, and count it if it is admitted."""
-        others = self._others(question.endpoint, question.sender)
+        others = self._others(question.endpoint_hash, question.sender)
         work = self._known(question)
         wait = engine_wait(others + work, question.slots)
-        admitted = wait <= question.most_wait
+        admitted = wait <= question.max_wait
         if admitted:
             work = EndpointLoad(
-                work.in_flight + 1, work.prefill_seconds + question.added
+                work.in_flight + 1, work.prefill_seconds + question.prefill_seconds
             )
-        self._note(question.endpoint, question.sender, question.sequence, work)
-        return Answer(admitted, others)
+        self._note(question.endpoint_hash, question.sender, question.sequence, work)
+        return AdmissionDecision(admitted, others)
 
-    def total(self, endpoint: int) -> EndpointLoad:
+    def total_load(self, endpoint: int) -> EndpointLoad:
         """Return what all routers together have at an endpoint, as far as told here."""
         return self._others(endpoint, NOBODY)
 
-    def totals(self) -> dict[int, EndpointLoad]:
+    def total_loads(self) -> dict[int, EndpointLoad]:
         """Return what all routers together have at the endpoints known here."""
         oldest = self._now() - FORGET_SECONDS
         totals = {}
@@ -127,15 +127,15 @@
                 totals[endpoint] = total
         return totals
 
-    def _known(self, question: Question) -> EndpointLoad:
+    def _known(self, question: AdmissionQuery) -> EndpointLoad:
         """Return what the router that asks has at the endpoint without this request.
 
         What was counted here goes before what it says: it may have asked for several
         requests at once, and does not know yet which of them are admitted.
         """
-        record = self._records[question.endpoint].get(question.sender)
+        record = self._records[question.endpoint_hash].get(question.sender)
         if record is None or record.at < self._now() - FORGET_SECONDS:
-            return question.work
+            return question.sender_load
         return record.work
 
     def _others(self, endpoint: int, sender: int) -> EndpointLoad:
--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -15,13 +15,17 @@
 from teaselledge_fleet.connection.codec import Datagram
 from teaselledge_fleet.connection.figures import pack_work, unpack_work
 from teaselledge_fleet.connection.replies import PendingReplies
-from teaselledge_fleet.process.admission import Admission, Answer, Question
+from teaselledge_fleet.process.admission import (
+    AdmissionController,
+    AdmissionDecision,
+    AdmissionQuery,
+)
 from teaselledge_fleet.process.coordinators import Coordinators
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView
 from teaselledge_fleet.process.members import Members
 from teaselledge_fleet.process.work import EndpointLoad, FleetLoad, name_hash
 
-__all__ = ["Asking", "Socket"]
+__all__ = ["AdmissionRpc", "PeerTransport"]
 
 REPORT_SECONDS = 0.1
 """Time between two reports to a router. An answer that has begun counts as reading for
@@ -37,7 +41,7 @@
 """Unlike any work that there can be."""
 
 
-class Socket(Protocol):
+class PeerTransport(Protocol):
     """Carries messages to other routers."""
 
     def on(self, kind: type, take: Callable[..., None]) -> None:
@@ -50,7 +54,7 @@
         """Send the same message to some addresses."""
 
 
-class Asking:
+class AdmissionRpc:
     """This router's side of admission, and its answers to others.
 
     Parameters
@@ -70,7 +74,7 @@
 
     Attributes
     ----------
-    asked, unanswered : int
+    queries_sent, queries_timed_out : int
         Questions to other routers, and those without an answer in time.
     """
 
@@ -79,8 +83,8 @@
         members: Members,
         view: EndpointView,
         work: FleetLoad,
-        admission: Admission,
-        socket: Socket,
+        admission: AdmissionController,
+        socket: PeerTransport,
         coordinators: Coordinators,
     ) -> None:
         self._members = members
@@ -91,18 +95,18 @@
         self._coordinators = coordinators
         self._number = secrets.randbits(SENDER_BITS)
         self._sequence = 0
-        self._replies: PendingReplies[Answer] = PendingReplies()
+        self._replies: PendingReplies[AdmissionDecision] = PendingReplies()
         self._known: dict[str, EndpointLoad] = {}
         """What the routers that admit know of this router's work, by endpoint."""
-        self.asked = 0
-        self.unanswered = 0
+        self.queries_sent = 0
+        self.queries_timed_out = 0
         socket.on(WorkReport, self._take_report)
         socket.on(AdmissionRequest, self._take_request)
         socket.on(AdmissionReply, self._take_reply)
 
-    async def ask(
+    async def request_admission(
         self, endpoint: Endpoint, added: float, most_wait: float
-    ) -> Answer | None:
+    ) -> AdmissionDecision | None:
         """Ask whether a request may be sent.
 
         Parameters
@@ -119,17 +123,17 @@
         Answer or None
             None where nobody answered in time.
         """
-        coordinator = self._coordinators.of(endpoint)
+        coordinator = self._coordinators.for_endpoint(endpoint)
         if coordinator is None:
             return None
         question = self._question(endpoint, added, most_wait)
         if coordinator.vm == self._members.own.vm:
-            return self._noted(endpoint, added, self._admission.ask(question))
-        self.asked += 1
+            return self._noted(endpoint, added, self._admission.decide(question))
+        self.queries_sent += 1
         self._socket.send(coordinator.peers, _to_wire(question))
         answer = None
         try:
-            answer = await self._coordinators.answer_of(
+            answer = await self._coordinators.wait_for_reply(
                 coordinator, self._replies, question.sequence
             )
         finally:
@@ -137,11 +141,13 @@
                 # it may have counted the request all the same: report in any case
                 self._known[endpoint.id] = UNKNOWN
         if answer is None:
-            self.unanswered += 1
+            self.queries_timed_out += 1
             return None
         return self._noted(endpoint, added, answer)
 
-    def _noted(self, endpoint: Endpoint, added: float, answer: Answer) -> Answer:
+    def _noted(
+        self, endpoint: Endpoint, added: float, answer: AdmissionDecision
+    ) -> AdmissionDecision:
         """Note that whoever admitted a request has counted it, and need not be told.
 
         Also where this router admits itself: a request that ends before the next report
@@ -164,9 +170,9 @@
                 refreshed = loop.time()
                 changed |= set(self._work.active_endpoints)
                 self._forget()
-            self.report(changed)
+            self.report_load(changed)
 
-    def report(self, endpoints: Iterable[str]) -> None:
+    def report_load(self, endpoints: Iterable[str]) -> None:
         """Tell of this router's work at some endpoints."""
         reports: defaultdict[str, dict[int, EndpointLoad]] = defaultdict(dict)
         addresses: dict[str, str] = {}
@@ -174,7 +180,7 @@
             endpoint = self._view.get(name)
             if endpoint is None:
                 continue
-            coordinator = self._coordinators.of(endpoint)
+            coordinator = self._coordinators.for_endpoint(endpoint)
             if coordinator is None:
                 continue
             addresses[coordinator.vm] = coordinator.peers
@@ -183,7 +189,7 @@
         for vm, work in reports.items():
             self._sequence += 1
             if vm == self._members.own.vm:
-                self._admission.report(self._number, self._sequence, work)
+                self._admission.record_load(self._number, self._sequence, work)
                 continue
             report = WorkReport(self._number, self._sequence, pack_work(work))
             self._socket.send(addresses[vm], report)
@@ -200,13 +206,15 @@
     def _forget(self) -> None:
         """Forget endpoints that are gone."""
         names = {endpoint.id for endpoint in self._view.endpoints}
-        self._coordinators.keep(names)
+        self._coordinators.retain_endpoints(names)
         self._known = {n: w for n, w in self._known.items() if n in names}
 
-    def _question(self, endpoint: Endpoint, added: float, most_wait: float) -> Question:
+    def _question(
+        self, endpoint: Endpoint, added: float, most_wait: float
+    ) -> AdmissionQuery:
         self._sequence += 1
         own = self._work.local(endpoint.id).subtract(EndpointLoad(1, added))
-        return Question(
+        return AdmissionQuery(
             self._number,
             self._sequence,
             name_hash(endpoint.id),
@@ -218,11 +226,11 @@
 
     def _take_report(self, report: WorkReport, sender: str) -> None:
         work = unpack_work(report.work or b"")
-        self._admission.report(report.sender or 0, report.sequence or 0, work)
+        self._admission.record_load(report.sender or 0, report.sequence or 0, work)
 
     def _take_request(self, request: AdmissionRequest, sender: str) -> None:
-        answer = self._admission.ask(_from_wire(request))
-        others = answer.others
+        answer = self._admission.decide(_from_wire(request))
+        others = answer.remote_load
         reading = int(others.prefill_seconds * MILLISECONDS)
         reply = AdmissionReply(
             request.sequence, answer.admitted, others.in_flight, reading
@@ -231,26 +239,26 @@
 
     def _take_reply(self, reply: AdmissionReply, sender: str) -> None:
         others = EndpointLoad(reply.running or 0, (reply.reading or 0) / MILLISECONDS)
-        answer = Answer(bool(reply.admitted), others)
+        answer = AdmissionDecision(bool(reply.admitted), others)
         self._replies.take(reply.sequence or 0, answer)
 
 
-def _to_wire(question: Question) -> AdmissionRequest:
+def _to_wire(question: AdmissionQuery) -> AdmissionRequest:
     return AdmissionRequest(
         question.sender,
         question.sequence,
-        question.endpoint,
+        question.endpoint_hash,
         question.slots,
-        question.work.in_flight,
-        int(question.work.prefill_seconds * MILLISECONDS),
-        int(question.added * MILLISECONDS),
-        int(question.most_wait * MILLISECONDS),
+        question.sender_load.in_flight,
+        int(question.sender_load.prefill_seconds * MILLISECONDS),
+        int(question.prefill_seconds * MILLISECONDS),
+        int(question.max_wait * MILLISECONDS),
     )
 
 
-def _from_wire(request: AdmissionRequest) -> Question:
+def _from_wire(request: AdmissionRequest) -> AdmissionQuery:
     work = EndpointLoad(request.running or 0, (request.reading or 0) / MILLISECONDS)
-    return Question(
+    return AdmissionQuery(
         request.sender or 0,
         request.sequence or 0,
         request.endpoint or 0,
--- a/packages/fleet/src/teaselledge_fleet/process/choosing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/choosing.py
@@ -24,7 +24,7 @@
 """
 
 EASY_PART = 0.3
-"""Part of the objective up to which a delay harms nobody; see `waiting.WAIT_PART` for
+"""Part of the objective up to which a delay harms nobody; see `waiting.WAIT_FRACTION` for
 where requests are refused."""
 
 OVERRUN_WEIGHT = 3.0
--- a/packages/fleet/src/teaselledge_fleet/process/coordinators.py
+++ b/packages/fleet/src/teaselledge_fleet/process/coordinators.py
@@ -19,7 +19,7 @@
 
 ReplyT = TypeVar("ReplyT")
 
-ADMITTING = 4
+COORDINATORS_PER_ZONE = 4
 """Routers of a zone that admit to its endpoints.
 
 All routers must know them by address, 90 bytes each. In a fleet of 89 routers and 1,500
@@ -79,12 +79,12 @@
         self._silent: dict[str, float] = {}
         self._told: dict[str, _Told] = {}
 
-    def hear(self, admitting: Sequence[Member]) -> None:
+    def set_zone_coordinators(self, admitting: Sequence[Member]) -> None:
         """Take which routers of a zone admit to its endpoints."""
         if admitting:
             self._told[admitting[0].zone] = _Told(self._now(), list(admitting))
 
-    def of_zone(self, zone: str) -> list[Member]:
+    def for_zone(self, zone: str) -> list[Member]:
         """Return the routers that admit to the endpoints of a zone."""
         own = self._members.own
         told = self._told.get(zone)
@@ -100,9 +100,9 @@
             for member in members
             if member.zone == zone and member.state is not MemberState.LEAVING
         ]
-        return sorted(taking, key=rank)[:ADMITTING]
+        return sorted(taking, key=rank)[:COORDINATORS_PER_ZONE]
 
-    def of(self, endpoint: Endpoint) -> Member | None:
+    def for_endpoint(self, endpoint: Endpoint) -> Member | None:
         """Return the router that admits to an endpoint, None where none answers."""
         now = self._now()
         choice = self._choices.get(endpoint.id)
@@ -115,12 +115,12 @@
         self._choices[endpoint.id] = _Choice(now, member)
         return member
 
-    def keep(self, endpoints: Iterable[str]) -> None:
+    def retain_endpoints(self, endpoints: Iterable[str]) -> None:
         """Forget endpoints that are gone."""
         kept = set(endpoints)
         self._choices = {n: c for n, c in self._choices.items() if n in kept}
 
-    async def answer_of(
+    async def wait_for_reply(
         self, member: Member, replies: PendingReplies[ReplyT], sequence: int
     ) -> ReplyT | None:
         """Wait for a router's answer to a question, and note whether it came.
@@ -149,12 +149,12 @@
 
     def _near(self, endpoint: Endpoint) -> list[Member]:
         """Return the routers that admit in the endpoint's zone, or the next one."""
-        found = self.of_zone(endpoint.zone)
+        found = self.for_zone(endpoint.zone)
         if found:
             return found
         own = self._members.own
         zones = {m.zone for m in [*self._members.others, own]}
-        return self.of_zone(min(zones, key=lambda z: _order(endpoint.id, z)))
+        return self.for_zone(min(zones, key=lambda z: _order(endpoint.id, z)))
 
     def _is_silent(self, member: Member) -> bool:
         return self._silent.get(member.vm, 0.0) > self._now()
--- a/packages/fleet/src/teaselledge_fleet/process/gossip.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -27,8 +27,8 @@
 )
 from teaselledge_fleet.connection.peers import StateClient
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.admission import Admission
-from teaselledge_fleet.process.admissionrpc import Socket
+from teaselledge_fleet.process.admission import AdmissionController
+from teaselledge_fleet.process.admissionrpc import PeerTransport
 from teaselledge_fleet.process.advertised import AdvertisedLog
 from teaselledge_fleet.process.coordinators import Coordinators
 from teaselledge_fleet.process.endpoints import Endpoint, Entry, Statement
@@ -113,9 +113,9 @@
         belief: Belief,
         seeds: Iterable[str],
         work: FleetLoad,
-        admission: Admission,
+        admission: AdmissionController,
         shares: OrganisationShares,
-        socket: Socket,
+        socket: PeerTransport,
         coordinators: Coordinators,
         stalls: StallDetector | None = None,
     ) -> None:
@@ -314,11 +314,11 @@
         """Return the routers that admit in one zone, a different one each time."""
         own = self._members.own.zone
         if scope is Scope.ZONE:
-            return self._coordinators.of_zone(own)
+            return self._coordinators.for_zone(own)
         zones = sorted(self._topology.zones_elsewhere)
         if scope is not Scope.FLEET or not zones:
             return []
-        return self._coordinators.of_zone(zones[self._sums_told % len(zones)])
+        return self._coordinators.for_zone(zones[self._sums_told % len(zones)])
 
     def _reports(self, members: Iterable[Member]) -> list[RouterInfo]:
         return [self._members.report(member).to_wire() for member in members]
@@ -360,7 +360,9 @@
                 relayed=relayed,
             )
             self.on_members()
-        self._coordinators.hear([Member.from_wire(m) for m in pulse.admitting or ()])
+        self._coordinators.set_zone_coordinators(
+            [Member.from_wire(m) for m in pulse.admitting or ()]
+        )
         belief = self._belief
         known_at = belief.as_of
         current = self._note_era(pulse.era, sender.vm)
--- a/packages/fleet/src/teaselledge_fleet/process/locating.py
+++ b/packages/fleet/src/teaselledge_fleet/process/locating.py
@@ -3,7 +3,7 @@
 from teaselledge_wire.gen.fleet.ttypes import PartNote, PartReply, PartRequest
 
 from teaselledge_fleet.connection.replies import PendingReplies
-from teaselledge_fleet.process.admissionrpc import Socket
+from teaselledge_fleet.process.admissionrpc import PeerTransport
 from teaselledge_fleet.process.coordinators import Coordinators
 from teaselledge_fleet.process.directory import PartDirectory
 from teaselledge_fleet.process.endpoints import Endpoint
@@ -35,7 +35,7 @@
     """
 
     def __init__(
-        self, members: Members, socket: Socket, coordinators: Coordinators
+        self, members: Members, socket: PeerTransport, coordinators: Coordinators
     ) -> None:
         self._members = members
         self._socket = socket
@@ -62,7 +62,7 @@
         list of int or None
             None where nobody answers in time.
         """
-        coordinator = self._coordinators.of(first_choice)
+        coordinator = self._coordinators.for_endpoint(first_choice)
         if coordinator is None:
             return None
         if coordinator.vm == self._members.own.vm:
@@ -72,13 +72,13 @@
             self._sequence, name_hash(part), name_hash(first_choice.id)
         )
         self._socket.send(coordinator.peers, request)
-        return await self._coordinators.answer_of(
+        return await self._coordinators.wait_for_reply(
             coordinator, self._replies, self._sequence
         )
 
     def tell(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
         """Tell the directory that an endpoint was given a prompt with the part."""
-        coordinator = self._coordinators.of(first_choice)
+        coordinator = self._coordinators.for_endpoint(first_choice)
         if coordinator is None:
             return
         if coordinator.vm == self._members.own.vm:
--- a/packages/fleet/src/teaselledge_fleet/process/placing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/placing.py
@@ -10,7 +10,7 @@
 
 from teaselledge_fleet.faults import Fault, FaultKind
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.admission import Answer
+from teaselledge_fleet.process.admission import AdmissionDecision
 from teaselledge_fleet.process.choosing import (
     Candidate,
     Demand,
@@ -25,7 +25,7 @@
 from teaselledge_fleet.process.prefixes import shared_tokens
 from teaselledge_fleet.process.results import Results
 from teaselledge_fleet.process.shares import OrganisationShares, Standing
-from teaselledge_fleet.process.waiting import WaitBounds
+from teaselledge_fleet.process.waiting import QueueWaitLimits
 from teaselledge_fleet.process.work import EndpointLoad, FleetLoad, name_hash
 from teaselledge_fleet.request.call import Call, Prompt
 from teaselledge_fleet.request.context import Outcome, Placement, RequestContext
@@ -45,7 +45,7 @@
 An engine reads fewer tokens in 15 ms, about as long as asking and copying take.
 """
 
-MOST_ASKED = 3
+MAX_ADMISSION_QUERIES = 3
 """Endpoints that are asked for one request. Each may be 40 ms away, and one that finds
 three of its likeliest full is not going to be served in time."""
 
@@ -78,16 +78,18 @@
     wait: float = 0.0
 
 
-class Ask(Protocol):
+class AdmissionCheck(Protocol):
     """Asks whether a prompt may be sent to an endpoint."""
 
     async def __call__(
         self, endpoint: Endpoint, added: float, most_wait: float
-    ) -> Answer | None:
+    ) -> AdmissionDecision | None:
         """Return the answer, None where nobody gave one in time."""
 
 
-async def _nobody(endpoint: Endpoint, added: float, most_wait: float) -> Answer | None:
+async def _nobody(
+    endpoint: Endpoint, added: float, most_wait: float
+) -> AdmissionDecision | None:
     return None
 
 
@@ -130,14 +132,14 @@
         self._parts = PartDirectory()
         """Where this router had parts read; goes where the fleet's is not asked."""
         self._results = Results()
-        self._bounds = WaitBounds()
+        self._bounds = QueueWaitLimits()
         self._chooser = EndpointChooser(self._distance, self._work, self._results)
         self._locator: Locator = _NoLocator()
         self._sent: dict[tuple[str, str], _Sent] = {}
-        self._ask: Ask = _nobody
+        self._ask: AdmissionCheck = _nobody
         self._prompt_since: Callable[[float], bool] = lambda at: True
 
-    def ask_with(self, ask: Ask) -> None:
+    def set_admission_check(self, ask: AdmissionCheck) -> None:
         """Have the router that admits to an endpoint asked."""
         self._ask = ask
 
@@ -151,7 +153,7 @@
 
     def use(self, routing: Routing) -> None:
         """Take a version of the configuration."""
-        self._bounds.use(routing)
+        self._bounds.apply_routing(routing)
         self._shares.promise(routing.limits.tokens_per_second)
 
     def locate_with(self, locator: "Locator") -> None:
@@ -213,10 +215,10 @@
         """
         standing = self._shares.standing(context.owner, SHARE_MARGIN)
         over = standing is not Standing.INSIDE
-        bound = self._bounds.most_wait(context.route, context.service, standing)
+        bound = self._bounds.max_wait(context.route, context.service, standing)
         asked: set[str] = set()
         best = self._chooser.engines(context, demand)[0]
-        while len(asked) < MOST_ASKED:
+        while len(asked) < MAX_ADMISSION_QUERIES:
             asked.add(best.endpoint.id)
             left = context.arrived + bound - self._now()
             admitted = await self._admit(context, best, left)
@@ -264,7 +266,7 @@
             if answer is None:
                 admitted = best if best.wait <= most else None
                 return admitted
-            self._work.record_remote(name, answer.others)
+            self._work.record_remote(name, answer.remote_load)
             if answer.admitted:
                 own = EndpointLoad(1, best.reading)
                 before = self._work.total(name).subtract(own)
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -13,8 +13,8 @@
 from teaselledge_fleet.connection.pool import ConnectionPool
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.addresses import addresses_for
-from teaselledge_fleet.process.admission import Admission
-from teaselledge_fleet.process.admissionrpc import Asking
+from teaselledge_fleet.process.admission import AdmissionController
+from teaselledge_fleet.process.admissionrpc import AdmissionRpc
 from teaselledge_fleet.process.budget import RepeatBudget, RepeatLimits
 from teaselledge_fleet.process.busyness import Busyness
 from teaselledge_fleet.process.connectionlimit import ConnectionLimit
@@ -143,10 +143,10 @@
         self._follower = StoreFollower(place.vm, store, self._belief, asks_seeds)
         self._registration = Registration(store, self._members, self._belief)
         self._socket = PeerSocket()
-        admission = Admission()
+        admission = AdmissionController()
         coordinators = Coordinators(self._members)
-        self._placer.work.coordinated_load = admission.total
-        self._asking = Asking(
+        self._placer.work.coordinated_load = admission.total_load
+        self._asking = AdmissionRpc(
             self._members,
             self._belief.view,
             self._placer.work,
@@ -154,7 +154,7 @@
             self._socket,
             coordinators,
         )
-        self._placer.ask_with(self._asking.ask)
+        self._placer.set_admission_check(self._asking.request_admission)
         self._placer.locate_with(PartLocator(self._members, self._socket, coordinators))
         self._spreading = Spreading(
             self._members,
@@ -327,8 +327,8 @@
         metrics.set("routers_advertised", len(self._members.ready))
         metrics.set("store_calls", self._follower.calls)
         metrics.set("endpoint_connections", self._pool.opened)
-        metrics.set("admissions_asked", self._asking.asked)
-        metrics.set("admissions_unanswered", self._asking.unanswered)
+        metrics.set("admissions_asked", self._asking.queries_sent)
+        metrics.set("admissions_unanswered", self._asking.queries_timed_out)
         metrics.set("peer_sent_bytes", self._socket.sent_bytes)
         metrics.set("peer_malformed", self._socket.malformed)
         page = import_module(METRICS_PAGE).metrics_page(metrics)
--- a/packages/fleet/src/teaselledge_fleet/process/sums.py
+++ b/packages/fleet/src/teaselledge_fleet/process/sums.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from teaselledge_fleet.process.admission import Admission
+from teaselledge_fleet.process.admission import AdmissionController
 from teaselledge_fleet.process.members import Member
 from teaselledge_fleet.process.sent import NO_MARK, LoadStats, SentLoadStats, mark_of
 from teaselledge_fleet.process.shares import OrganisationShares, Use
@@ -29,7 +29,10 @@
     """
 
     def __init__(
-        self, work: FleetLoad, shares: OrganisationShares, admission: Admission
+        self,
+        work: FleetLoad,
+        shares: OrganisationShares,
+        admission: AdmissionController,
     ) -> None:
         self._work = work
         self._shares = shares
@@ -42,7 +45,7 @@
 
     def own(self) -> LoadStats:
         """Return this router's own figures."""
-        return LoadStats(self._admission.totals(), self._shares.own())
+        return LoadStats(self._admission.total_loads(), self._shares.own())
 
     def for_scope(self, scope: Scope, zone_peers: Iterable[Member]) -> LoadStats | None:
         """Return the figures that a scope stands for; None where it has none.
--- a/packages/fleet/src/teaselledge_fleet/process/waiting.py
+++ b/packages/fleet/src/teaselledge_fleet/process/waiting.py
@@ -5,9 +5,9 @@
 from teaselledge_fleet.process.shares import Standing
 from teaselledge_fleet.version.routes import Route, Routing
 
-__all__ = ["WaitBounds"]
+__all__ = ["QueueWaitLimits"]
 
-WAIT_PART = 0.65
+WAIT_FRACTION = 0.65
 """Part of the objective that a request may wait behind others' prompts.
 
 The rest is for its own prompt, 50 ms for a mean one and 500 ms for one of the largest,
@@ -16,7 +16,7 @@
 day of one site earned 0.815 and a busy one of another 0.603, at 0.65 0.829 and 0.631.
 """
 
-WAIT_PART_OVER_SHARE = 0.15
+WAIT_FRACTION_OVER_SHARE = 0.15
 """The same for organisations beyond their fair share: 0.12 s of 0.8 s, about what a
 mean long prompt takes to read, so that an engine that has more to read takes none of
 theirs and none runs dry.
@@ -28,21 +28,21 @@
 """
 
 
-WAIT_PART_AHEAD = 0.08
+WAIT_FRACTION_AHEAD = 0.08
 """The same for organisations beyond their fair part of what engines give besides.
 
 Less than the others over their share wait, so that those find room first; more than it
 takes to ask an endpoint's coordinator, so that an idle engine still takes theirs.
 """
 
-WAIT_PARTS = {
-    Standing.INSIDE: WAIT_PART,
-    Standing.OVER: WAIT_PART_OVER_SHARE,
-    Standing.AHEAD: WAIT_PART_AHEAD,
+WAIT_FRACTIONS = {
+    Standing.INSIDE: WAIT_FRACTION,
+    Standing.OVER: WAIT_FRACTION_OVER_SHARE,
+    Standing.AHEAD: WAIT_FRACTION_AHEAD,
 }
 
 
-class WaitBounds:
+class QueueWaitLimits:
     """Bounds the wait of a request by the kinds of request it competes with.
 
     An engine reads prompts in the order in which they come. A kind with a long
@@ -55,7 +55,7 @@
     def __init__(self) -> None:
         self._shortest: Mapping[str, float] = {}
 
-    def use(self, routing: Routing) -> None:
+    def apply_routing(self, routing: Routing) -> None:
         """Take the objectives of a version of the configuration."""
         shortest: dict[str, float] = {}
         for route in routing.routes:
@@ -66,7 +66,7 @@
                 shortest[target.service] = min(known, route.objective)
         self._shortest = shortest
 
-    def most_wait(self, route: Route, service: str, standing: Standing) -> float:
+    def max_wait(self, route: Route, service: str, standing: Standing) -> float:
         """Return the seconds that a request may wait from its arrival.
 
         Parameters
@@ -79,4 +79,4 @@
             What its organisation received, against what all ask for.
         """
         objective = min(route.objective, self._shortest.get(service, route.objective))
-        return objective * WAIT_PARTS[standing]
+        return objective * WAIT_FRACTIONS[standing]
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
-from teaselledge_fleet.process.admission import Admission, Question
+from teaselledge_fleet.process.admission import AdmissionController, AdmissionQuery
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.prefill import BUSY_PART, FIRST_SECONDS
-from teaselledge_fleet.process.waiting import WAIT_PART
+from teaselledge_fleet.process.waiting import WAIT_FRACTION
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
 from teaselledge_fleet.request.call import Call, Prompt, PromptPart
 from teaselledge_fleet.request.context import Outcome, RequestContext
@@ -33,8 +33,8 @@
     return RequestContext(call, b"", route, "books", owner, now, now + 8.0)
 
 
-def question(sender: int, sequence: int, running: int = 0, **more) -> Question:
-    return Question(
+def question(sender: int, sequence: int, running: int = 0, **more) -> AdmissionQuery:
+    return AdmissionQuery(
         sender,
         sequence,
         1,
@@ -61,20 +61,20 @@
 
 async def test_requests_are_counted_one_after_another():
     """Two routers ask within the time of a pulse; the second must see the first."""
-    admission = Admission()
-    assert admission.ask(question(1, 1, added=0.4)).admitted
-    second = admission.ask(question(2, 1))
+    admission = AdmissionController()
+    assert admission.decide(question(1, 1, added=0.4)).admitted
+    second = admission.decide(question(2, 1))
     assert not second.admitted
-    assert second.others == EndpointLoad(1, 0.4)
-    assert admission.total(1) == EndpointLoad(1, 0.4)
+    assert second.remote_load == EndpointLoad(1, 0.4)
+    assert admission.total_load(1) == EndpointLoad(1, 0.4)
 
 
 async def test_what_was_not_admitted_does_not_count():
-    admission = Admission()
-    admission.ask(question(1, 1, added=0.4))
-    admission.ask(question(2, 1))
-    admission.report(1, 2, {1: EndpointLoad(1, 0.0)})
-    assert admission.ask(question(2, 2)).admitted
+    admission = AdmissionController()
+    admission.decide(question(1, 1, added=0.4))
+    admission.decide(question(2, 1))
+    admission.record_load(1, 2, {1: EndpointLoad(1, 0.0)})
+    assert admission.decide(question(2, 2)).admitted
 
 
 async def test_requests_asked_for_together_count_once_each():
@@ -82,10 +82,10 @@
 
     Those must not stand in the way of the next ones.
     """
-    admission = Admission()
-    answers = [admission.ask(question(1, n, running=n)) for n in range(10)]
+    admission = AdmissionController()
+    answers = [admission.decide(question(1, n, running=n)) for n in range(10)]
     assert sum(answer.admitted for answer in answers) == 4
-    assert admission.total(1).in_flight == 4
+    assert admission.total_load(1).in_flight == 4
 
 
 async def test_an_engine_that_is_slower_than_believed_shows_in_the_reports():
@@ -94,12 +94,12 @@
     By the time that has gone by it would have read everything, and callers would go on
     being sent to it.
     """
-    admission = Admission()
+    admission = AdmissionController()
     for sequence in range(8):
-        admission.ask(question(1, sequence, running=sequence, most_wait=9.0))
+        admission.decide(question(1, sequence, running=sequence, most_wait=9.0))
     await asyncio.sleep(1.0)
-    admission.report(1, 8, {1: EndpointLoad(8, 0.8)})
-    assert not admission.ask(question(2, 1)).admitted
+    admission.record_load(1, 8, {1: EndpointLoad(8, 0.8)})
+    assert not admission.decide(question(2, 1)).admitted
 
 
 async def test_a_request_whose_time_to_wait_is_just_over_is_refused():
@@ -111,32 +111,32 @@
     async with spread_fleet(store_of(ENGINES[:1]), SMALL, decode_number) as fleet:
         await asyncio.sleep(5)
         engine = ENGINES[0]
-        name = fleet.routers[0].asking._coordinators.of(engine).vm
+        name = fleet.routers[0].asking._coordinators.for_endpoint(engine).vm
         coordinator = next(r for r in fleet.routers if r.vm == name)
         coordinator.work.add_local(engine.id, 5, 1.0)
-        coordinator.asking.report([engine.id])
+        coordinator.asking.report_load([engine.id])
         asker = next(r for r in fleet.routers if r.vm != name)
         for left in (-0.0015, -0.001, 0.0):
-            answer = await asker.asking.ask(engine, 0.05, left)
+            answer = await asker.asking.request_admission(engine, 0.05, left)
             assert not answer.admitted
 
 
 async def test_a_report_that_was_overtaken_changes_nothing():
     """Datagrams arrive in another order; work that ended must not come back."""
-    admission = Admission()
-    admission.report(1, 3, {1: EndpointLoad(0, 0.0)})
-    admission.report(1, 2, {1: EndpointLoad(5, 0.5)})
-    assert admission.total(1) == EndpointLoad()
+    admission = AdmissionController()
+    admission.record_load(1, 3, {1: EndpointLoad(0, 0.0)})
+    admission.record_load(1, 2, {1: EndpointLoad(5, 0.5)})
+    assert admission.total_load(1) == EndpointLoad()
 
 
 async def test_the_work_of_a_dead_router_is_forgotten():
     """A router dies with requests under way; nobody tells that they have ended."""
-    admission = Admission()
-    admission.report(1, 1, {1: EndpointLoad(SLOTS, 2.0)})
-    assert not admission.ask(question(2, 1)).admitted
+    admission = AdmissionController()
+    admission.record_load(1, 1, {1: EndpointLoad(SLOTS, 2.0)})
+    assert not admission.decide(question(2, 1)).admitted
     await asyncio.sleep(2)
-    assert admission.ask(question(2, 2)).admitted
-    assert admission.totals() == {1: EndpointLoad(1, 0.1)}
+    assert admission.decide(question(2, 2)).admitted
+    assert admission.total_loads() == {1: EndpointLoad(1, 0.1)}
 
 
 async def test_many_routers_do_not_overfill_an_engine():
@@ -151,7 +151,7 @@
             await asyncio.sleep(6)
             if alone:
                 for router in fleet.routers:
-                    router.placer.ask_with(nobody)
+                    router.placer.set_admission_check(nobody)
             # the engine keeps the part already
             fleet.routers[0].placer._locator.tell("p1", ENGINES[0], ENGINES[0])
             await asyncio.sleep(0.1)
@@ -165,7 +165,7 @@
                 continue
             assert 4 <= sent <= 8
             last = reading / sent
-            assert (reading - last) / BUSY_PART <= WAIT_PART * OBJECTIVE
+            assert (reading - last) / BUSY_PART <= WAIT_FRACTION * OBJECTIVE
             assert reading / BUSY_PART + FIRST_SECONDS <= OBJECTIVE
 
 
@@ -181,7 +181,9 @@
     async with spread_fleet(store_of(ENGINES[:1]), SMALL, decode_number) as fleet:
         await asyncio.sleep(5)
         engine = ENGINES[0]
-        coordinators = {r.asking._coordinators.of(engine).vm for r in fleet.routers}
+        coordinators = {
+            r.asking._coordinators.for_endpoint(engine).vm for r in fleet.routers
+        }
         assert len(coordinators) == 1
         first = coordinators.pop()
         next(r for r in fleet.routers if r.vm == first).kill()
@@ -194,7 +196,7 @@
         # two waits in vain, and three times the answers of two routers 40 ms away
         assert loop.time() - started < 2 * 0.1 + 3 * 2 * 0.05
         await asyncio.sleep(1.5)
-        coordinators = {r.asking._coordinators.of(engine).vm for r in living}
+        coordinators = {r.asking._coordinators.for_endpoint(engine).vm for r in living}
         assert len(coordinators) == 1
         assert first not in coordinators
 
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from teaselledge_fleet.faults import FaultKind
-from teaselledge_fleet.process.admission import Answer
+from teaselledge_fleet.process.admission import AdmissionDecision
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView, Entry
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.prefixes import ranked
@@ -305,9 +305,9 @@
 
     async def ask(endpoint, added, most_wait):
         asked.append(endpoint.id)
-        return Answer(False, EndpointLoad(5, 0.6))
+        return AdmissionDecision(False, EndpointLoad(5, 0.6))
 
-    desk.placer.ask_with(ask)
+    desk.placer.set_admission_check(ask)
     desk.placer.work.update_source(
         "r2", {name_hash(e.id): EndpointLoad(5, 0.6) for e in ENGINES}
     )
--- a/packages/fleet/tests/test_waiting.py
+++ b/packages/fleet/tests/test_waiting.py
@@ -6,9 +6,9 @@
 
 from teaselledge_fleet.process.shares import Standing
 from teaselledge_fleet.process.waiting import (
-    WAIT_PART,
-    WAIT_PART_OVER_SHARE,
-    WaitBounds,
+    WAIT_FRACTION,
+    WAIT_FRACTION_OVER_SHARE,
+    QueueWaitLimits,
 )
 from teaselledge_fleet.version.routes import Repeat, Route, Routing, Target
 from teaselledge_standins.routes import make_route
@@ -32,37 +32,37 @@
 ROUTES = (DOSSIER, HEADLINE, ORDER, OTHER)
 
 
-def bounds() -> WaitBounds:
+def bounds() -> QueueWaitLimits:
     """Return the bounds of a version with all routes."""
-    made = WaitBounds()
-    made.use(Routing(1, ROUTES, {}, ()))
+    made = QueueWaitLimits()
+    made.apply_routing(Routing(1, ROUTES, {}, ()))
     return made
 
 
 def test_the_shortest_objective_of_a_service_bounds_all_its_prompts():
     """Plain requests and other services queue elsewhere and don't count."""
     for each in (DOSSIER, HEADLINE):
-        assert bounds().most_wait(each, "books", Standing.INSIDE) == WAIT_PART * 0.8
-    assert bounds().most_wait(OTHER, "letters", Standing.INSIDE) == WAIT_PART * 0.1
+        assert bounds().max_wait(each, "books", Standing.INSIDE) == WAIT_FRACTION * 0.8
+    assert bounds().max_wait(OTHER, "letters", Standing.INSIDE) == WAIT_FRACTION * 0.1
 
 
 def test_organisations_over_their_share_wait_less():
     assert (
-        bounds().most_wait(DOSSIER, "books", Standing.OVER)
-        == WAIT_PART_OVER_SHARE * 0.8
+        bounds().max_wait(DOSSIER, "books", Standing.OVER)
+        == WAIT_FRACTION_OVER_SHARE * 0.8
     )
 
 
 def test_an_unknown_service_is_bounded_by_the_own_objective():
     """A split names a service that a newer version has brought."""
-    assert bounds().most_wait(DOSSIER, "new", Standing.INSIDE) == WAIT_PART * 0.8
+    assert bounds().max_wait(DOSSIER, "new", Standing.INSIDE) == WAIT_FRACTION * 0.8
 
 
 @dataclass
 class Engine:
     """An engine that reads prompts in order, and what became of each kind."""
 
-    bounds: WaitBounds
+    bounds: QueueWaitLimits
     free_at: float = 0.0
     asked: dict[str, int] = field(default_factory=lambda: defaultdict(int))
     served: dict[str, int] = field(default_factory=lambda: defaultdict(int))
@@ -71,7 +71,7 @@
         """Take a prompt that need not wait too long."""
         self.asked[kind.name] += 1
         wait = max(0.0, self.free_at - now)
-        if wait <= self.bounds.most_wait(kind, "books", Standing.INSIDE):
+        if wait <= self.bounds.max_wait(kind, "books", Standing.INSIDE):
             self.served[kind.name] += 1
             self.free_at = now + wait + reading
 
--- a/packages/standins/src/teaselledge_standins/spreadfleet.py
+++ b/packages/standins/src/teaselledge_standins/spreadfleet.py
@@ -14,8 +14,8 @@
     encode_datagram,
     encode_state,
 )
-from teaselledge_fleet.process.admission import Admission
-from teaselledge_fleet.process.admissionrpc import Asking
+from teaselledge_fleet.process.admission import AdmissionController
+from teaselledge_fleet.process.admissionrpc import AdmissionRpc
 from teaselledge_fleet.process.coordinators import Coordinators
 from teaselledge_fleet.process.gossip import Spreading
 from teaselledge_fleet.process.locating import PartLocator
@@ -43,7 +43,7 @@
     follower: StoreFollower
     registration: Registration
     spreading: Spreading
-    asking: Asking
+    asking: AdmissionRpc
     placer: FleetPlacer
     work: FleetLoad
     link: "_Link"
@@ -151,8 +151,8 @@
         members.set_state(MemberState.READY)
         belief = Belief(vm, decode)
         placer = FleetPlacer(belief.view, zone, {})
-        work, admission = placer.work, Admission()
-        work.coordinated_load = admission.total
+        work, admission = placer.work, AdmissionController()
+        work.coordinated_load = admission.total_load
         coordinators = Coordinators(members)
         link = _Link(self, vm)
         clock = asyncio.get_running_loop().time
@@ -168,10 +168,10 @@
             StallDetector(clock),
         )
         spreading._client = link  # type: ignore[assignment]
-        asking = Asking(members, belief.view, work, admission, link, coordinators)
+        asking = AdmissionRpc(members, belief.view, work, admission, link, coordinators)
         client = StoreClient(self.store, vm)
         follower = StoreFollower(vm, client, belief, address not in seeds)
-        placer.ask_with(asking.ask)
+        placer.set_admission_check(asking.request_admission)
         placer.locate_with(PartLocator(members, link, coordinators))
         registration = Registration(client, members, belief)
         router = SpreadRouter(
--- a/tools/spread_cost.py
+++ b/tools/spread_cost.py
@@ -94,7 +94,9 @@
         add(name, 1, READING_SECONDS)
         loop.call_later(FIRST_SECONDS, add, name, 0, -READING_SECONDS)
         loop.call_later(RUN_SECONDS, add, name, -1, 0.0)
-        await router.asking.ask(endpoint, READING_SECONDS, MOST_WAIT_SECONDS)
+        await router.asking.request_admission(
+            endpoint, READING_SECONDS, MOST_WAIT_SECONDS
+        )
 
 
 async def measure(
