--- a/packages/ctl/src/teaselctl/commands/routers.py
+++ b/packages/ctl/src/teaselctl/commands/routers.py
@@ -58,7 +58,7 @@
         "vm": member.vm,
         "zone": member.zone,
         "state": member.state.name.lower(),
-        "busy": member.busy,
+        "busy": member.utilisation,
         "silent_seconds": report.silent,
     }
 
--- a/packages/fleet/src/teaselledge_fleet/connection/figures.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/figures.py
@@ -8,7 +8,7 @@
     Report,
     Status,
 )
-from teaselledge_fleet.process.shares import Use
+from teaselledge_fleet.process.shares import TokenUsage
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
 
 __all__ = [
@@ -67,21 +67,22 @@
     }
 
 
-def pack_uses(uses: dict[int, Use]) -> bytes:
+def pack_uses(uses: dict[int, TokenUsage]) -> bytes:
     """Return the use of organisations as bytes."""
-    rows = sorted(uses.items(), key=lambda item: -item[1].asked)
+    rows = sorted(uses.items(), key=lambda item: -item[1].requested)
     rows = rows[: MOST_BYTES // USE.size]
     return b"".join(
-        USE.pack(key, _cut(use.asked, LONG), _cut(use.received, LONG))
+        USE.pack(key, _cut(use.requested, LONG), _cut(use.allocated, LONG))
         for key, use in rows
     )
 
 
-def unpack_uses(data: bytes) -> dict[int, Use]:
+def unpack_uses(data: bytes) -> dict[int, TokenUsage]:
     """Return the use that bytes tell of; what does not fit is ignored."""
     whole = data[: len(data) - len(data) % USE.size]
     return {
-        key: Use(asked, received) for key, asked, received in USE.iter_unpack(whole)
+        key: TokenUsage(asked, received)
+        for key, asked, received in USE.iter_unpack(whole)
     }
 
 
@@ -91,7 +92,7 @@
         ALIVE.pack(
             name_hash(report.member.vm),
             int(report.member.state),
-            _cut(report.member.busy * PERCENT, PERCENT),
+            _cut(report.member.utilisation * PERCENT, PERCENT),
         )
         for report in reports[: MOST_BYTES // ALIVE.size]
     )
--- a/packages/fleet/src/teaselledge_fleet/process/addresses.py
+++ b/packages/fleet/src/teaselledge_fleet/process/addresses.py
@@ -65,19 +65,19 @@
 
     Callers drop their open connections to routers that are not named.
     """
-    left = [member for member in members if member.busy < USED_UP]
+    left = [member for member in members if member.utilisation < USED_UP]
     return left if len(left) >= ENOUGH else members
 
 
 def spare_cores(member: Member) -> float:
     """Return the processor time a second that a router has left."""
-    return member.cores * max(LEAST_SPARE, 1.0 - member.busy)
+    return member.cores * max(LEAST_SPARE, 1.0 - member.utilisation)
 
 
 def _busy(members: Sequence[Member]) -> float:
     """Return which part of all their processor time routers use."""
     cores = sum(member.cores for member in members)
-    return sum(m.cores * m.busy for m in members) / cores if cores else 0.0
+    return sum(m.cores * m.utilisation for m in members) / cores if cores else 0.0
 
 
 def _count(members: Sequence[Member]) -> int:
--- a/packages/fleet/src/teaselledge_fleet/process/admission.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admission.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from teaselledge_fleet.process.forecast import engine_wait
+from teaselledge_fleet.process.forecast import engine_queue_wait
 from teaselledge_fleet.process.work import EndpointLoad
 
 __all__ = ["AdmissionController", "AdmissionDecision", "AdmissionQuery"]
@@ -98,7 +98,7 @@
         """Decide on a request, and count it if it is admitted."""
         others = self._others(question.endpoint_hash, question.sender)
         work = self._known(question)
-        wait = engine_wait(others + work, question.slots)
+        wait = engine_queue_wait(others + work, question.slots)
         admitted = wait <= question.max_wait
         if admitted:
             work = EndpointLoad(
--- a/packages/fleet/src/teaselledge_fleet/process/budget.py
+++ b/packages/fleet/src/teaselledge_fleet/process/budget.py
@@ -4,33 +4,33 @@
 from collections import defaultdict, deque
 from dataclasses import dataclass
 
-__all__ = ["RepeatBudget", "RepeatLimits"]
+__all__ = ["RetryBudget", "RetryLimits"]
 
 
 @dataclass(frozen=True)
-class RepeatLimits:
+class RetryLimits:
     """How many sends beyond the first the whole fleet may make.
 
     Attributes
     ----------
     ratio : float
         Repeats for each request, in a window.
-    extra : float
+    base_retries : float
         Repeats in a window besides, for the whole fleet.
     window : float
         Length of the sliding window, in seconds.
-    safety : float
+    safety_factor : float
         Part of both that is used. Clients' counts and the router's differ by what
         is on the way, and members may be more than this router knows.
     """
 
     ratio: float = 0.2
-    extra: float = 50.0
+    base_retries: float = 50.0
     window: float = 10.0
-    safety: float = 0.75
+    safety_factor: float = 0.75
 
 
-class RepeatBudget:
+class RetryBudget:
     """Counts the sends of this router and allows a part of them to be repeats.
 
     When a service fails, each request would go to several endpoints, and the load
@@ -40,35 +40,35 @@
     one another.
     """
 
-    def __init__(self, limits: RepeatLimits | None = None) -> None:
-        self._limits = limits or RepeatLimits()
+    def __init__(self, limits: RetryLimits | None = None) -> None:
+        self._limits = limits or RetryLimits()
         self._firsts: defaultdict[str, deque[float]] = defaultdict(deque)
         self._repeats: defaultdict[str, deque[float]] = defaultdict(deque)
         self._routers = 1
 
-    def use(self, limits: RepeatLimits) -> None:
+    def set_limits(self, limits: RetryLimits) -> None:
         """Take other limits."""
         self._limits = limits
 
-    def note_routers(self, count: int) -> None:
+    def update_router_count(self, count: int) -> None:
         """Take the number of routers; the highest ever told counts.
 
         A router that is cut off sees few others, but they still repeat.
         """
         self._routers = max(self._routers, count)
 
-    def note_first(self, service: str) -> None:
+    def record_first_attempt(self, service: str) -> None:
         """Count the first send of a request."""
         self._firsts[service].append(self._now())
 
-    def allow(self, service: str) -> bool:
+    def try_acquire(self, service: str) -> bool:
         """Take one repeat; False where none is left."""
         now = self._now()
         limits = self._limits
         firsts = self._trim(self._firsts[service], now)
         repeats = self._trim(self._repeats[service], now)
-        extra = limits.extra / self._routers
-        if repeats + 1 > limits.safety * (limits.ratio * firsts + extra):
+        extra = limits.base_retries / self._routers
+        if repeats + 1 > limits.safety_factor * (limits.ratio * firsts + extra):
             return False
         self._repeats[service].append(now)
         return True
--- a/packages/fleet/src/teaselledge_fleet/process/busyness.py
+++ b/packages/fleet/src/teaselledge_fleet/process/busyness.py
@@ -6,20 +6,20 @@
 import time
 from collections.abc import Callable
 
-__all__ = ["Busyness", "IdleSelector", "new_loop"]
+__all__ = ["EventLoopMonitor", "IdleSelector", "new_monitored_loop"]
 
 TICK_SECONDS = 0.1
 WEIGHT = 0.15
 """Weight of the latest tick: the figure follows within half a second."""
 
-HELD_UP_SECONDS = 0.5
+BLOCKED_SECONDS = 0.5
 """A tick that is so late means that pulses of others waited unread, half as long as
 makes a router look silent."""
 
 HELD_UP_MEMORY_SECONDS = 0.5
 """Time in which the pulses that waited are read, and new ones come."""
 
-CROWDED = 0.5
+HIGH_UTILISATION = 0.5
 """Part of the processor time beyond which callers are asked to connect elsewhere.
 
 A caller with much to ask may keep all its connections at one router, while the
@@ -34,21 +34,21 @@
 """
 
 
-LONG_TURN_SECONDS = 0.08
+LONG_ITERATION_SECONDS = 0.08
 """A turn of the event loop that is so long holds up what waits for the next one.
 
 A request takes about five turns from its arrival until it is sent, 0.4 s of an
 objective of 0.8 s; turns of a router that has room take 5 to 20 ms.
 """
 
-PROMPT_TURN_SECONDS = 0.02
+RESPONSIVE_ITERATION_SECONDS = 0.02
 """Longest turn with which times that are measured here are those of endpoints.
 
 An answer waits for up to three turns on its way; the shortest that tell how fast an
 endpoint reads take 0.1 s.
 """
 
-LONG_TURNS = 2
+MIN_LONG_ITERATIONS = 2
 """Long turns in a row that count. A VM that was paused has a single one, and can take
 requests at once."""
 
@@ -64,9 +64,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.idle_seconds = 0.0
-        self.long_turns = 0
+        self.consecutive_long_iterations = 0
         """Long turns in a row, up to the last one."""
-        self.longest_turn = 0.0
+        self.longest_iteration = 0.0
         """Seconds of the longest turn since it was last set to 0."""
         self._woke = time.monotonic()
 
@@ -76,9 +76,11 @@
         """Wait as the base class does, and count how long."""
         started = time.monotonic()
         turn = started - self._woke
-        self.longest_turn = max(self.longest_turn, turn)
-        long = turn >= LONG_TURN_SECONDS
-        self.long_turns = self.long_turns + 1 if long else 0
+        self.longest_iteration = max(self.longest_iteration, turn)
+        long = turn >= LONG_ITERATION_SECONDS
+        self.consecutive_long_iterations = (
+            self.consecutive_long_iterations + 1 if long else 0
+        )
         try:
             return super().select(timeout)
         finally:
@@ -86,8 +88,8 @@
             self.idle_seconds += self._woke - started
 
 
-def new_loop() -> asyncio.AbstractEventLoop:
-    """Return an event loop of which `Busyness` can tell how busy it is."""
+def new_monitored_loop() -> asyncio.AbstractEventLoop:
+    """Return an event loop of which `EventLoopMonitor` can tell how busy it is."""
     return asyncio.SelectorEventLoop(IdleSelector())
 
 
@@ -105,7 +107,7 @@
     return lambda: selector.idle_seconds
 
 
-class Busyness:
+class EventLoopMonitor:
     """Measures how long the event loop works, and how late it is.
 
     Parameters
@@ -131,7 +133,7 @@
         self.on_tick: Callable[[], None] = lambda: None
 
     @property
-    def late(self) -> bool:
+    def recently_blocked(self) -> bool:
         """Whether the event loop was held up just now.
 
         Messages of other routers then wait unread, and all of them look silent.
@@ -147,9 +149,12 @@
         and the first short one ends it.
         """
         selector = _selector_of(asyncio.get_running_loop())
-        return selector is not None and selector.long_turns >= LONG_TURNS
+        return (
+            selector is not None
+            and selector.consecutive_long_iterations >= MIN_LONG_ITERATIONS
+        )
 
-    def prompt_since(self, at: float) -> bool:
+    def responsive_since(self, at: float) -> bool:
         """Whether answers were read about when they came since a loop time.
 
         Else what was measured of an endpoint since then is this router's own delay.
@@ -157,15 +162,18 @@
         selector = _selector_of(asyncio.get_running_loop())
         if selector is None:
             return True
-        return self._delayed_at < at and selector.longest_turn < PROMPT_TURN_SECONDS
+        return (
+            self._delayed_at < at
+            and selector.longest_iteration < RESPONSIVE_ITERATION_SECONDS
+        )
 
     @property
-    def busy(self) -> float:
+    def utilisation(self) -> float:
         """Part of the processor time that is used, from 0 to 1."""
         return min(1.0, max(self._used, self._lag / LAG_SECONDS))
 
     @property
-    def loop_used(self) -> float:
+    def loop_utilisation(self) -> float:
         """Part of the last tick in which the event loop had work, from 0 to 1.
 
         It is 1 where more is asked of the router than it has time for, however its
@@ -174,17 +182,19 @@
         return self._loop_used
 
     @property
-    def crowded(self) -> float:
+    def rebalance_fraction(self) -> float:
         """Part of the connections that callers should move elsewhere, 0 to 1."""
-        return max(0.0, (self.busy - CROWDED) / (1.0 - CROWDED))
+        return max(
+            0.0, (self.utilisation - HIGH_UTILISATION) / (1.0 - HIGH_UTILISATION)
+        )
 
-    def take_longest_turn(self) -> float:
+    def pop_longest_iteration(self) -> float:
         """Return the seconds of the loop's longest turn since the last call."""
         selector = _selector_of(asyncio.get_running_loop())
         if selector is None:
             return 0.0
-        longest, selector.longest_turn = selector.longest_turn, 0.0
-        if longest >= PROMPT_TURN_SECONDS:
+        longest, selector.longest_iteration = selector.longest_iteration, 0.0
+        if longest >= RESPONSIVE_ITERATION_SECONDS:
             self._delayed_at = asyncio.get_running_loop().time()
         return longest
 
@@ -198,7 +208,7 @@
             now, rested = loop.time(), idle()
             elapsed = max(TICK_SECONDS, now - wall)
             self._note(elapsed, max(0.0, elapsed - (rested - waited)))
-            if elapsed > HELD_UP_SECONDS:
+            if elapsed > BLOCKED_SECONDS:
                 self._late_until = now + HELD_UP_MEMORY_SECONDS
             wall, waited = now, rested
             self.on_tick()
--- a/packages/fleet/src/teaselledge_fleet/process/choosing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/choosing.py
@@ -6,15 +6,24 @@
 
 from teaselledge_fleet.process.distance import Distance
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_fleet.process.forecast import PlainForecast, engine_wait
-from teaselledge_fleet.process.prefill import ReadingModel
-from teaselledge_fleet.process.prefixes import ranked, shared_part, shared_tokens
-from teaselledge_fleet.process.results import Results
+from teaselledge_fleet.process.forecast import ResponseTimeModel, engine_queue_wait
+from teaselledge_fleet.process.prefill import PrefillModel
+from teaselledge_fleet.process.prefixes import (
+    rendezvous_order,
+    shared_prefix_id,
+    shared_prefix_tokens,
+)
+from teaselledge_fleet.process.results import OutlierDetector
 from teaselledge_fleet.process.work import FleetLoad, name_hash
 from teaselledge_fleet.request.call import Prompt
 from teaselledge_fleet.request.context import RequestContext
 
-__all__ = ["Candidate", "Demand", "EndpointChooser", "output_tokens"]
+__all__ = [
+    "Candidate",
+    "PromptRequirements",
+    "EndpointChooser",
+    "expected_output_tokens",
+]
 
 DELAY_WEIGHT = 0.1
 """What a second of delay weighs against a second of an engine's time.
@@ -23,9 +32,9 @@
 delay alone must not scatter prompts over engines that then read their parts again.
 """
 
-EASY_PART = 0.3
-"""Part of the objective up to which a delay harms nobody; see `waiting.WAIT_FRACTION` for
-where requests are refused."""
+TOLERATED_DELAY_FRACTION = 0.3
+"""Part of the objective up to which a delay harms nobody; see `waiting.WAIT_FRACTION`
+for where requests are refused."""
 
 OVERRUN_WEIGHT = 3.0
 """What a second of delay beyond that weighs besides."""
@@ -50,7 +59,7 @@
 FAILING_SECONDS = 0.6
 """Detour that avoiding an endpoint whose every attempt fails is worth."""
 
-MOST_CANDIDATES = 12
+MAX_CANDIDATES = 12
 """Engines that are looked at for a prompt, the first that should keep its shared part.
 
 One of twelve has room if any has, and twelve are in every zone of six by twos. Looking
@@ -69,7 +78,7 @@
     ----------
     endpoint : Endpoint
         Where.
-    reading : float
+    prefill_seconds : float
         Seconds in which it reads the prompt; 0 at a plain service.
     wait : float
         Seconds until it begins.
@@ -77,69 +86,69 @@
         What sending it there costs, in seconds of an engine's time.
     fetch_from : str or None
         Address of an engine that may keep the shared parts.
-    keeps : bool
+    has_prefix : bool
         Whether it is taken to keep them itself.
     """
 
     endpoint: Endpoint
-    reading: float
+    prefill_seconds: float
     wait: float
     cost: float
     fetch_from: str | None = None
-    keeps: bool = False
+    has_prefix: bool = False
 
 
 @dataclass(frozen=True)
-class Demand:
+class PromptRequirements:
     """What a prompt asks of an engine.
 
     Attributes
     ----------
-    part : str or None
+    prefix_id : str or None
         The longest shared part of the prompt.
-    shared, own : int
+    prefix_tokens, suffix_tokens : int
         Tokens up to the end of that part, and after it.
     kilobytes : float
         Size of request and answer.
-    engines : list of Endpoint
+    ranked_engines : list of Endpoint
         In the order in which they should keep the part.
     holders : tuple of int
         Keys of the engines that keep the part, the one that used it last first.
     """
 
-    part: str | None
-    shared: int
-    own: int
+    prefix_id: str | None
+    prefix_tokens: int
+    suffix_tokens: int
     kilobytes: float
-    engines: list[Endpoint]
+    ranked_engines: list[Endpoint]
     holders: tuple[int, ...] = ()
 
     @classmethod
     def from_context(
         cls, context: RequestContext, endpoints: Sequence[Endpoint]
-    ) -> "Demand":
+    ) -> "PromptRequirements":
         """Return the demand of a request with a prompt; its holders are not known."""
         prompt = context.call.prompt
         assert prompt is not None
-        part = shared_part(prompt)
-        shared = shared_tokens(prompt)
-        answer = output_tokens(prompt) * ANSWER_BYTES_PER_TOKEN
+        part = shared_prefix_id(prompt)
+        shared = shared_prefix_tokens(prompt)
+        answer = expected_output_tokens(prompt) * ANSWER_BYTES_PER_TOKEN
         return cls(
             part,
             shared,
             prompt.tokens - shared,
             (len(context.body) + answer) / BYTES_PER_KILOBYTE,
-            ranked(part or context.call.id, endpoints)[:MOST_CANDIDATES],
+            rendezvous_order(part or context.call.id, endpoints)[:MAX_CANDIDATES],
         )
 
-    def source(self, endpoint: Endpoint) -> Endpoint | None:
+    def fetch_source(self, endpoint: Endpoint) -> Endpoint | None:
         """Return the engine from which another one should copy the part.
 
         Where nobody is known to keep it, the first choice may have it still.
         """
-        if self.part is None:
+        if self.prefix_id is None:
             return None
-        others = [engine for engine in self.engines if engine is not endpoint]
+        others = [engine for engine in self.ranked_engines if engine is not endpoint]
         for holder in self.holders:
             for engine in others:
                 if name_hash(engine.id) == holder:
@@ -152,20 +161,22 @@
 
     Attributes
     ----------
-    plain : PlainForecast
+    response_times : PlainForecast
         Learns how long plain services take.
-    reading : ReadingModel
+    prefill : ReadingModel
         Learns how long model engines read.
     """
 
-    def __init__(self, distance: Distance, work: FleetLoad, results: Results) -> None:
+    def __init__(
+        self, distance: Distance, work: FleetLoad, results: OutlierDetector
+    ) -> None:
         self._distance = distance
         self._work = work
         self._results = results
-        self.plain = PlainForecast()
-        self.reading = ReadingModel()
+        self.response_times = ResponseTimeModel()
+        self.prefill = PrefillModel()
 
-    def best_plain(
+    def best_plain_endpoint(
         self, context: RequestContext, endpoints: Sequence[Endpoint]
     ) -> Candidate:
         """Return the best endpoint of a plain service."""
@@ -173,32 +184,42 @@
         candidates = []
         for endpoint in endpoints:
             work = self._work.total(endpoint.id)
-            wait = self.plain.seconds(endpoint.id, work, endpoint.slots)
+            wait = self.response_times.predict(endpoint.id, work, endpoint.slots)
             cost = self._detour(endpoint, context, kilobytes, wait)
             candidates.append(Candidate(endpoint, 0.0, wait, cost + _tie_break()))
         return min(candidates, key=lambda candidate: candidate.cost)
 
-    def engines(self, context: RequestContext, demand: Demand) -> list[Candidate]:
+    def rank_engines(
+        self, context: RequestContext, demand: PromptRequirements
+    ) -> list[Candidate]:
         """Return the engines for a prompt, the best first."""
-        candidates = [self._engine(each, context, demand) for each in demand.engines]
+        candidates = [
+            self._engine(each, context, demand) for each in demand.ranked_engines
+        ]
         return sorted(candidates, key=lambda candidate: candidate.cost)
 
     def _engine(
-        self, endpoint: Endpoint, context: RequestContext, demand: Demand
+        self, endpoint: Endpoint, context: RequestContext, demand: PromptRequirements
     ) -> Candidate:
         holds = name_hash(endpoint.id) in demand.holders
-        first = endpoint is demand.engines[0]
-        unread = demand.own if demand.holders else demand.shared + demand.own
-        tokens = demand.shared + demand.own
-        reading = self.reading.seconds(endpoint.service, tokens, unread)
+        first = endpoint is demand.ranked_engines[0]
+        unread = (
+            demand.suffix_tokens
+            if demand.holders
+            else demand.prefix_tokens + demand.suffix_tokens
+        )
+        tokens = demand.prefix_tokens + demand.suffix_tokens
+        reading = self.prefill.predict(endpoint.service, tokens, unread)
         work = self._work.total(endpoint.id)
-        wait = engine_wait(work, endpoint.slots)
+        wait = engine_queue_wait(work, endpoint.slots)
         cost = self._detour(endpoint, context, demand.kilobytes, wait)
         cost += FULLNESS_SECONDS * (work.in_flight / endpoint.slots) ** 2
-        if demand.part is not None and not (holds or (first and not demand.holders)):
+        if demand.prefix_id is not None and not (
+            holds or (first and not demand.holders)
+        ):
             # where nobody keeps the part, its first choice should be the one to read it
-            cost += FETCH_SECONDS + demand.shared * COPY_SECONDS_PER_TOKEN
-        source = demand.source(endpoint)
+            cost += FETCH_SECONDS + demand.prefix_tokens * COPY_SECONDS_PER_TOKEN
+        source = demand.fetch_source(endpoint)
         address = source.address if source is not None else None
         cost += _tie_break()
         return Candidate(endpoint, reading, wait, cost, address, holds)
@@ -207,14 +228,14 @@
         self, endpoint: Endpoint, context: RequestContext, kilobytes: float, wait: float
     ) -> float:
         """Return what delay, failures and bytes on the way cost, in seconds."""
-        failing = self._results.failing(endpoint.id) * FAILING_SECONDS
-        delay = wait + self._distance.seconds(endpoint.zone)
-        overrun = max(0.0, delay - EASY_PART * context.route.objective)
-        paid = self._distance.paid(endpoint.zone, kilobytes)
+        failing = self._results.failure_rate(endpoint.id) * FAILING_SECONDS
+        delay = wait + self._distance.round_trip_seconds(endpoint.zone)
+        overrun = max(0.0, delay - TOLERATED_DELAY_FRACTION * context.route.objective)
+        paid = self._distance.transfer_cost(endpoint.zone, kilobytes)
         return failing + paid + DELAY_WEIGHT * delay + OVERRUN_WEIGHT * overrun
 
 
-def output_tokens(prompt: Prompt) -> int:
+def expected_output_tokens(prompt: Prompt) -> int:
     """Return how many tokens an answer is expected to have."""
     if prompt.output_hint is not None:
         return min(prompt.output_hint, prompt.max_output or prompt.output_hint)
--- a/packages/fleet/src/teaselledge_fleet/process/connectionlimit.py
+++ b/packages/fleet/src/teaselledge_fleet/process/connectionlimit.py
@@ -2,14 +2,14 @@
 
 import math
 
-from teaselledge_fleet.process.busyness import LONG_TURN_SECONDS
+from teaselledge_fleet.process.busyness import LONG_ITERATION_SECONDS
 
 __all__ = ["ConnectionLimit"]
 
 LONG_TICKS = 2
 """Ticks in a row that count. A VM that was paused has a single one with a long turn."""
 
-LEAST = 20
+MIN_LIMIT = 20
 """Connections that are always taken, so that the limit can be learnt again."""
 
 FEW = 50
@@ -18,7 +18,7 @@
 DEEPEST_CUT = 0.3
 """Least part of the limit that one cut leaves."""
 
-USED_UP = 0.95
+SATURATED_UTILISATION = 0.95
 """Part of a tick in which the event loop has work, from which on no more connections
 are taken than run. What a connection costs comes in the second or two that it lasts."""
 
@@ -26,7 +26,7 @@
 """Part by which the limit grows in a tick in which the event loop has nothing to do; in
 others it grows by the part of that in which it has nothing to do."""
 
-UNLIMITED = 4000
+MAX_LIMIT = 4000
 """Beyond this the limit is taken away; descriptors end there too."""
 
 
@@ -52,7 +52,7 @@
         """Whether one more connection may be taken beside those that run."""
         return running < self._limit
 
-    def note(self, longest_turn: float, used: float, running: int) -> None:
+    def update(self, longest_turn: float, used: float, running: int) -> None:
         """Learn from a tick.
 
         Parameters
@@ -64,12 +64,15 @@
         running : int
             Connections that are served or passed on.
         """
-        long, full = longest_turn >= LONG_TURN_SECONDS, used >= USED_UP
+        long, full = (
+            longest_turn >= LONG_ITERATION_SECONDS,
+            used >= SATURATED_UTILISATION,
+        )
         self._long_ticks = self._long_ticks + 1 if long else 0
         self._full_ticks = self._full_ticks + 1 if full else 0
         if self._long_ticks >= LONG_TICKS and self._settled(running):
-            cut = max(DEEPEST_CUT, LONG_TURN_SECONDS / longest_turn)
-            self._limit = max(LEAST, min(self._limit, running) * cut)
+            cut = max(DEEPEST_CUT, LONG_ITERATION_SECONDS / longest_turn)
+            self._limit = max(MIN_LIMIT, min(self._limit, running) * cut)
         elif self._full_ticks >= LONG_TICKS:
             self._limit = min(self._limit, max(FEW, running))
         elif not long:
@@ -85,5 +88,5 @@
 
     def _grow(self, idle: float) -> None:
         self._limit *= 1 + GROWTH * idle
-        if self._limit > UNLIMITED:
+        if self._limit > MAX_LIMIT:
             self._limit = math.inf
--- a/packages/fleet/src/teaselledge_fleet/process/distance.py
+++ b/packages/fleet/src/teaselledge_fleet/process/distance.py
@@ -23,13 +23,13 @@
         self._zone = zone
         self._zones = zones
 
-    def seconds(self, zone: str) -> float:
+    def round_trip_seconds(self, zone: str) -> float:
         """Return the time that the way there and back takes."""
         if zone == self._zone:
             return 0.0
         return ZONE_SECONDS if self._near(zone) else REGION_SECONDS
 
-    def paid(self, zone: str, kilobytes: float) -> float:
+    def transfer_cost(self, zone: str, kilobytes: float) -> float:
         """Return what an exchange is billed, in seconds of an engine's time."""
         return 0.0 if zone == self._zone else kilobytes * PAID_SECONDS_PER_KILOBYTE
 
--- a/packages/fleet/src/teaselledge_fleet/process/forwarding.py
+++ b/packages/fleet/src/teaselledge_fleet/process/forwarding.py
@@ -8,13 +8,19 @@
 from teaselledge_fleet.process.members import Member
 from teaselledge_fleet.process.work import name_hash
 
-__all__ = ["CROWDED", "Delivery", "SeenMessages", "deliveries", "relay_order"]
+__all__ = [
+    "MAX_FORWARDER_UTILISATION",
+    "Delivery",
+    "SeenMessages",
+    "deliveries",
+    "relay_order",
+]
 
 FANOUT = 2
 """Routers of the own region to which one router sends a message. 32 routers are then
 reached in five steps, and no router sends more than two copies."""
 
-CROWDED = 0.7
+MAX_FORWARDER_UTILISATION = 0.7
 """Part of its processor time beyond which a router is put last, where it has nobody to
 pass the message on to."""
 
@@ -53,7 +59,7 @@
     """
     shuffled = list(members)
     random.shuffle(shuffled)
-    shuffled.sort(key=lambda member: member.busy > CROWDED)
+    shuffled.sort(key=lambda member: member.utilisation > MAX_FORWARDER_UTILISATION)
     return [name_hash(member.vm) for member in shuffled]
 
 
--- a/packages/fleet/src/teaselledge_fleet/process/gossip.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -340,7 +340,7 @@
             return
         relayed = bool(pulse.hops)
         passes_on = relayed or bool(pulse.pass_to) or pulse.scope == Scope.ZONE
-        if passes_on and self._stalls.stale:
+        if passes_on and self._stalls.recently_stalled:
             # what waited while this VM was frozen is no news
             return
         for info in pulse.others or ():
--- a/packages/fleet/src/teaselledge_fleet/process/leaving.py
+++ b/packages/fleet/src/teaselledge_fleet/process/leaving.py
@@ -6,11 +6,11 @@
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.request.serving import Server
 
-__all__ = ["Leaving"]
+__all__ = ["GracefulShutdown"]
 
 _log = get_log("leaving")
 
-TAKE_SECONDS = 2.5
+ACCEPT_SECONDS = 2.5
 """Time for which a leaving router still takes requests.
 
 Callers keep its address for a second, and some of them three times as long. What
@@ -27,7 +27,7 @@
 TICK_SECONDS = 0.05
 
 
-class Leaving:
+class GracefulShutdown:
     """Lets requests end, and refuses those that could not end in time."""
 
     def __init__(
@@ -38,7 +38,7 @@
         self._server = server
         self._begun = asyncio.Event()
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Begin to leave; further calls do nothing."""
         self._front.end_kept_connections()
         self._begun.set()
@@ -48,7 +48,7 @@
         await self._begun.wait()
         loop = asyncio.get_running_loop()
         started = loop.time()
-        await asyncio.sleep(TAKE_SECONDS)
+        await asyncio.sleep(ACCEPT_SECONDS)
         self._server.leaving = True
         end = started + self._grace - RESERVE_SECONDS
         while loop.time() < end:
--- a/packages/fleet/src/teaselledge_fleet/process/locating.py
+++ b/packages/fleet/src/teaselledge_fleet/process/locating.py
@@ -5,18 +5,18 @@
 from teaselledge_fleet.connection.replies import PendingReplies
 from teaselledge_fleet.process.admissionrpc import PeerTransport
 from teaselledge_fleet.process.coordinators import Coordinators
-from teaselledge_fleet.process.directory import PartDirectory
+from teaselledge_fleet.process.directory import PrefixDirectory
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.members import Members
 from teaselledge_fleet.process.work import name_hash
 
-__all__ = ["PartLocator"]
+__all__ = ["PrefixLocator"]
 
 MOST_TOLD = 8
 """Endpoints in one reply; more copies of a part than that are never looked at."""
 
 
-class PartLocator:
+class PrefixLocator:
     """This router's side of the directory of parts, and its answers to others.
 
     The directory of a part is the router that admits to the part's first choice of
@@ -40,7 +40,7 @@
         self._members = members
         self._socket = socket
         self._coordinators = coordinators
-        self._directory = PartDirectory()
+        self._directory = PrefixDirectory()
         self._replies: PendingReplies[list[int]] = PendingReplies()
         self._sequence = 0
         socket.on(PartRequest, self._take_request)
@@ -66,7 +66,9 @@
         if coordinator is None:
             return None
         if coordinator.vm == self._members.own.vm:
-            return self._directory.claim(name_hash(part), name_hash(first_choice.id))
+            return self._directory.find_or_claim(
+                name_hash(part), name_hash(first_choice.id)
+            )
         self._sequence += 1
         request = PartRequest(
             self._sequence, name_hash(part), name_hash(first_choice.id)
@@ -76,24 +78,26 @@
             coordinator, self._replies, self._sequence
         )
 
-    def tell(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
+    def report_use(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
         """Tell the directory that an endpoint was given a prompt with the part."""
         coordinator = self._coordinators.for_endpoint(first_choice)
         if coordinator is None:
             return
         if coordinator.vm == self._members.own.vm:
-            self._directory.note(name_hash(part), name_hash(endpoint.id))
+            self._directory.record_use(name_hash(part), name_hash(endpoint.id))
             return
         self._socket.send(
             coordinator.peers, PartNote(name_hash(part), name_hash(endpoint.id))
         )
 
     def _take_request(self, request: PartRequest, sender: str) -> None:
-        holders = self._directory.claim(request.part or 0, request.endpoint or 0)
+        holders = self._directory.find_or_claim(
+            request.part or 0, request.endpoint or 0
+        )
         self._socket.send(sender, PartReply(request.sequence, holders[:MOST_TOLD]))
 
     def _take_reply(self, reply: PartReply, sender: str) -> None:
         self._replies.take(reply.sequence or 0, list(reply.endpoints or ()))
 
     def _take_note(self, note: PartNote, sender: str) -> None:
-        self._directory.note(note.part or 0, note.endpoint or 0)
+        self._directory.record_use(note.part or 0, note.endpoint or 0)
--- a/packages/fleet/src/teaselledge_fleet/process/members.py
+++ b/packages/fleet/src/teaselledge_fleet/process/members.py
@@ -74,7 +74,7 @@
         What it says of itself.
     cores : float
         Processor time that it may use each second.
-    busy : float
+    utilisation : float
         Part of it that is in use.
     relay_port : int
         Where it takes over callers' connections; 0 where it takes none.
@@ -88,7 +88,7 @@
     peers: str
     state: MemberState = MemberState.STARTING
     cores: float = 1.0
-    busy: float = field(default=0.0, compare=False)
+    utilisation: float = field(default=0.0, compare=False)
     relay_port: int = 0
 
     @property
@@ -124,7 +124,7 @@
             self.peers,
             int(self.state),
             int(self.cores * MILLICORES),
-            int(self.busy * PERCENT),
+            int(self.utilisation * PERCENT),
             relay_port=self.relay_port or None,
         )
 
@@ -167,14 +167,14 @@
     ----------
     state : MemberState
         What that one says of itself.
-    busy : float
+    utilisation : float
         Part of its processor time that is in use.
     silent : float
         Seconds since it was heard itself.
     """
 
     state: MemberState
-    busy: float
+    utilisation: float
     silent: float
 
 
@@ -329,9 +329,9 @@
         """Change what this router says of itself."""
         self._own = replace(self._own, state=state)
 
-    def set_busy(self, busy: float) -> None:
+    def set_utilisation(self, busy: float) -> None:
         """Change how busy this router says it is."""
-        self._own = replace(self._own, busy=busy)
+        self._own = replace(self._own, utilisation=busy)
 
     def hear(self, member: Member, relayed: bool = False) -> bool:
         """Take what a router says of itself; True where it is new or has changed.
@@ -371,7 +371,7 @@
             heard = now - status.silent
             if heard > known.heard:
                 known.member = replace(
-                    known.member, state=status.state, busy=status.busy
+                    known.member, state=status.state, utilisation=status.utilisation
                 )
             known.aggregated = max(known.aggregated, heard)
             known.noted = max(known.noted, heard)
--- a/packages/fleet/src/teaselledge_fleet/process/offloading.py
+++ b/packages/fleet/src/teaselledge_fleet/process/offloading.py
@@ -7,14 +7,14 @@
 
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.addresses import spare_cores
-from teaselledge_fleet.process.busyness import CROWDED
+from teaselledge_fleet.process.busyness import HIGH_UTILISATION
 from teaselledge_fleet.process.members import Member, Members
 
-__all__ = ["Load", "Offloading"]
+__all__ = ["UtilisationSource", "ConnectionOffloader"]
 
 _log = get_log("offloading")
 
-ALL_BUSY = 0.75
+FULL_OFFLOAD_UTILISATION = 0.75
 """Part of its processor time from which on a router passes all new connections on.
 
 The rest is for the requests that it has and for passing on.
@@ -24,7 +24,7 @@
 """Time for which the candidates are not looked for again; routers tell how busy they
 are each 0.25 to 0.4 s."""
 
-KEPT_SECONDS = 10.0
+CANDIDATE_TTL_SECONDS = 10.0
 """Time for which the last candidates are kept where none is left.
 
 A crowded router reads the messages of others late, and all of them look silent to it
@@ -34,15 +34,15 @@
 LOG_SECONDS = 1.0
 
 
-class Load(Protocol):
+class UtilisationSource(Protocol):
     """How much of its processor time a router uses."""
 
     @property
-    def busy(self) -> float:
+    def utilisation(self) -> float:
         """The part that is used, 0 to 1."""
 
 
-class Offloading:
+class ConnectionOffloader:
     """Chooses routers that take over connections while this one is crowded.
 
     All callers of an organisation in a zone may connect to one router, whichever
@@ -59,13 +59,15 @@
         self._members = members
         self._candidates: list[Member] = []
         self._looked_at = -REMEMBERED_SECONDS
-        self._found_at = -KEPT_SECONDS
+        self._found_at = -CANDIDATE_TTL_SECONDS
         self._passed_on: Counter[str] = Counter()
         self._logged_at = 0.0
 
-    def choose(self, load: Load) -> str | None:
+    def choose(self, load: UtilisationSource) -> str | None:
         """Return where a new connection goes; None where it stays here."""
-        part = (load.busy - CROWDED) / (ALL_BUSY - CROWDED)
+        part = (load.utilisation - HIGH_UTILISATION) / (
+            FULL_OFFLOAD_UTILISATION - HIGH_UTILISATION
+        )
         if part <= 0.0 or random.random() >= part:
             return None
         candidates = self._find()
@@ -86,12 +88,14 @@
             for member in self._members.ready
             if member.zone == own.zone and member.vm != own.vm and member.relays
         ]
-        if zone_peers or now - self._found_at > KEPT_SECONDS:
+        if zone_peers or now - self._found_at > CANDIDATE_TTL_SECONDS:
             self._found_at = now
-            self._candidates = [peer for peer in zone_peers if peer.busy < CROWDED]
+            self._candidates = [
+                peer for peer in zone_peers if peer.utilisation < HIGH_UTILISATION
+            ]
         return self._candidates
 
-    def note_passed_on(self, router: str) -> None:
+    def record_offload(self, router: str) -> None:
         """Count a connection that is passed on, for the log."""
         self._passed_on[router] += 1
         now = asyncio.get_running_loop().time()
--- a/packages/fleet/src/teaselledge_fleet/process/passingrate.py
+++ b/packages/fleet/src/teaselledge_fleet/process/passingrate.py
@@ -2,7 +2,7 @@
 
 import math
 
-__all__ = ["PassingRate"]
+__all__ = ["OffloadLimiter"]
 
 WEIGHT = 0.3
 """Weight of the latest tick: what is passed on follows within half a second."""
@@ -14,11 +14,11 @@
 """Connections that are passed on for each that was not refused, so that it shows when
 others have more room."""
 
-LEAST = 3.0
+MIN_OFFLOADS = 3.0
 """Connections a tick that are always passed on, for the same reason."""
 
 
-class PassingRate:
+class OffloadLimiter:
     """Learns from their refusals how much other routers can take over.
 
     A connection that is refused after it was passed on costs two routers more than its
@@ -32,20 +32,20 @@
         self._left = math.inf
 
     @property
-    def allows(self) -> bool:
+    def allowed(self) -> bool:
         """Whether one more connection may be passed on in this tick."""
         return self._left > 0
 
-    def note_passed(self) -> None:
+    def record_offload(self) -> None:
         """Count a connection that is passed on."""
         self._passed += 1
         self._left -= 1
 
-    def note_refused(self) -> None:
+    def record_refusal(self) -> None:
         """Count one that the other router refused."""
         self._refused += 1
 
-    def tick(self) -> None:
+    def start_tick(self) -> None:
         """Begin a tick."""
         self._mean_passed += WEIGHT * (self._passed - self._mean_passed)
         self._mean_refused += WEIGHT * (self._refused - self._mean_refused)
@@ -53,4 +53,4 @@
         self._left = math.inf
         if self._mean_refused > MOSTLY_REFUSED * self._mean_passed:
             taken = max(0.0, self._mean_passed - self._mean_refused)
-            self._left = max(LEAST, MARGIN * taken)
+            self._left = max(MIN_OFFLOADS, MARGIN * taken)
--- a/packages/fleet/src/teaselledge_fleet/process/placing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/placing.py
@@ -13,18 +13,18 @@
 from teaselledge_fleet.process.admission import AdmissionDecision
 from teaselledge_fleet.process.choosing import (
     Candidate,
-    Demand,
     EndpointChooser,
-    output_tokens,
+    PromptRequirements,
+    expected_output_tokens,
 )
-from teaselledge_fleet.process.directory import PartDirectory
+from teaselledge_fleet.process.directory import PrefixDirectory
 from teaselledge_fleet.process.distance import Distance
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView
-from teaselledge_fleet.process.forecast import engine_wait
-from teaselledge_fleet.process.prefill import BUSY_PART
-from teaselledge_fleet.process.prefixes import shared_tokens
-from teaselledge_fleet.process.results import Results
-from teaselledge_fleet.process.shares import OrganisationShares, Standing
+from teaselledge_fleet.process.forecast import engine_queue_wait
+from teaselledge_fleet.process.prefill import PREFILL_TIME_FRACTION
+from teaselledge_fleet.process.prefixes import shared_prefix_tokens
+from teaselledge_fleet.process.results import OutlierDetector
+from teaselledge_fleet.process.shares import OrganisationShares, ShareStatus
 from teaselledge_fleet.process.waiting import QueueWaitLimits
 from teaselledge_fleet.process.work import EndpointLoad, FleetLoad, name_hash
 from teaselledge_fleet.request.call import Call, Prompt
@@ -35,11 +35,11 @@
 
 _log = get_log("placing")
 
-SHARE_MARGIN = 1.1
+SHARE_TOLERANCE = 1.1
 """Organisations within a tenth of the level count as inside; the views of two
 routers differ by about that much."""
 
-LOCATED_TOKENS = 1000
+MIN_LOOKUP_TOKENS = 1000
 """Length of a shared part from which on the fleet's directory is asked for it.
 
 An engine reads fewer tokens in 15 ms, about as long as asking and copying take.
@@ -99,7 +99,7 @@
     async def locate(self, part: str, first_choice: Endpoint) -> list[int] | None:
         """Return their keys, the latest user first; None where nobody answers."""
 
-    def tell(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
+    def report_use(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
         """Tell that an endpoint was given a prompt with the part."""
 
 
@@ -107,7 +107,7 @@
     async def locate(self, part: str, first_choice: Endpoint) -> list[int] | None:
         return None
 
-    def tell(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
+    def report_use(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
         pass
 
 
@@ -129,9 +129,9 @@
         self._distance = Distance(zone, zones)
         self._work = FleetLoad()
         self._shares = OrganisationShares()
-        self._parts = PartDirectory()
+        self._parts = PrefixDirectory()
         """Where this router had parts read; goes where the fleet's is not asked."""
-        self._results = Results()
+        self._results = OutlierDetector()
         self._bounds = QueueWaitLimits()
         self._chooser = EndpointChooser(self._distance, self._work, self._results)
         self._locator: Locator = _NoLocator()
@@ -143,7 +143,7 @@
         """Have the router that admits to an endpoint asked."""
         self._ask = ask
 
-    def learn_if(self, prompt_since: Callable[[float], bool]) -> None:
+    def set_sample_filter(self, prompt_since: Callable[[float], bool]) -> None:
         """Learn from an answer only if this router was prompt since it was asked for.
 
         A router without time would take engines for many times slower than they are,
@@ -151,12 +151,12 @@
         """
         self._prompt_since = prompt_since
 
-    def use(self, routing: Routing) -> None:
+    def apply_routing(self, routing: Routing) -> None:
         """Take a version of the configuration."""
         self._bounds.apply_routing(routing)
-        self._shares.promise(routing.limits.tokens_per_second)
+        self._shares.set_guaranteed_rate(routing.limits.tokens_per_second)
 
-    def locate_with(self, locator: "Locator") -> None:
+    def set_locator(self, locator: "Locator") -> None:
         """Have the fleet's directory of parts asked."""
         self._locator = locator
 
@@ -166,7 +166,7 @@
         """Count the work that a request asks for."""
         if call.prompt is not None:
             owner = organisation.name if organisation is not None else ""
-            self._shares.ask(owner, times * _weight(call.prompt))
+            self._shares.record_request(owner, times * _weight(call.prompt))
 
     async def place(self, context: RequestContext) -> Result[Placement, Fault]:
         """Return the endpoint for the next attempt."""
@@ -175,37 +175,37 @@
         if not endpoints:
             return Error(Fault(FaultKind.NO_ENDPOINT, 0.5))
         if prompt is None:
-            best = self._chooser.best_plain(context, endpoints)
+            best = self._chooser.best_plain_endpoint(context, endpoints)
             self._begin(context, best)
             return Ok(self._placement(context, best))
         demand = await self._demand(context, endpoints)
         if context.sends:
-            best = self._chooser.engines(context, demand)[0]
+            best = self._chooser.rank_engines(context, demand)[0]
             self._begin(context, best)
             return Ok(self._placement_of_prompt(context, best, demand))
         return await self._place_prompt(context, demand)
 
     async def _demand(
         self, context: RequestContext, endpoints: list[Endpoint]
-    ) -> Demand:
+    ) -> PromptRequirements:
         """Find out which engines keep the prompt's shared part."""
-        demand = Demand.from_context(context, endpoints)
-        if demand.part is None:
+        demand = PromptRequirements.from_context(context, endpoints)
+        if demand.prefix_id is None:
             return demand
-        first = demand.engines[0]
+        first = demand.ranked_engines[0]
         holders = None
-        if demand.shared >= LOCATED_TOKENS:
-            holders = await self._locator.locate(demand.part, first)
+        if demand.prefix_tokens >= MIN_LOOKUP_TOKENS:
+            holders = await self._locator.locate(demand.prefix_id, first)
         if holders is None:
             # the first choice is taken to keep what it should keep
             holders = [
-                *self._parts.holders(name_hash(demand.part)),
+                *self._parts.holders(name_hash(demand.prefix_id)),
                 name_hash(first.id),
             ]
         return replace(demand, holders=tuple(holders))
 
     async def _place_prompt(
-        self, context: RequestContext, demand: Demand
+        self, context: RequestContext, demand: PromptRequirements
     ) -> Result[Placement, Fault]:
         """Ask for the best engine, and then for the next best ones with room.
 
@@ -213,11 +213,11 @@
         weighed with a copy of it. It must not be the only one that is asked: callers
         would be refused while engines beside it have nothing to do.
         """
-        standing = self._shares.standing(context.owner, SHARE_MARGIN)
-        over = standing is not Standing.INSIDE
+        standing = self._shares.status(context.owner, SHARE_TOLERANCE)
+        over = standing is not ShareStatus.INSIDE
         bound = self._bounds.max_wait(context.route, context.service, standing)
         asked: set[str] = set()
-        best = self._chooser.engines(context, demand)[0]
+        best = self._chooser.rank_engines(context, demand)[0]
         while len(asked) < MAX_ADMISSION_QUERIES:
             asked.add(best.endpoint.id)
             left = context.arrived + bound - self._now()
@@ -226,7 +226,7 @@
                 return Ok(self._placement_of_prompt(context, admitted, demand))
             roomy = [
                 candidate
-                for candidate in self._chooser.engines(context, demand)
+                for candidate in self._chooser.rank_engines(context, demand)
                 if candidate.endpoint.id not in asked and candidate.wait <= left
             ]
             if not roomy:
@@ -248,7 +248,7 @@
         """Return when a refused caller should come back, in seconds."""
         latest = RETRY_LATEST
         if over:
-            latest = max(latest, self._shares.seconds_over(context.owner))
+            latest = max(latest, self._shares.seconds_until_within_share(context.owner))
         return random.uniform(RETRY_SOONEST, latest)
 
     async def _admit(
@@ -262,17 +262,17 @@
         self._begin(context, best)
         admitted = None
         try:
-            answer = await self._ask(best.endpoint, best.reading, most)
+            answer = await self._ask(best.endpoint, best.prefill_seconds, most)
             if answer is None:
                 admitted = best if best.wait <= most else None
                 return admitted
             self._work.record_remote(name, answer.remote_load)
             if answer.admitted:
-                own = EndpointLoad(1, best.reading)
+                own = EndpointLoad(1, best.prefill_seconds)
                 before = self._work.total(name).subtract(own)
-                wait = engine_wait(before, best.endpoint.slots)
+                wait = engine_queue_wait(before, best.endpoint.slots)
                 admitted = replace(best, wait=wait)
-                sent = _Sent(best.reading, self._now(), wait)
+                sent = _Sent(best.prefill_seconds, self._now(), wait)
                 self._sent[context.call.id, name] = sent
             return admitted
         finally:
@@ -284,17 +284,21 @@
         return Placement(best.endpoint, best.fetch_from, self._reasons(best))
 
     def _placement_of_prompt(
-        self, context: RequestContext, best: Candidate, demand: Demand
+        self, context: RequestContext, best: Candidate, demand: PromptRequirements
     ) -> Placement:
         prompt = context.call.prompt
         assert prompt is not None
-        context.reading = best.reading
-        if demand.part is not None:
-            self._parts.note(name_hash(demand.part), name_hash(best.endpoint.id))
-            if demand.shared >= LOCATED_TOKENS:
-                self._locator.tell(demand.part, demand.engines[0], best.endpoint)
+        context.reading = best.prefill_seconds
+        if demand.prefix_id is not None:
+            self._parts.record_use(
+                name_hash(demand.prefix_id), name_hash(best.endpoint.id)
+            )
+            if demand.prefix_tokens >= MIN_LOOKUP_TOKENS:
+                self._locator.report_use(
+                    demand.prefix_id, demand.ranked_engines[0], best.endpoint
+                )
         if not context.sends:
-            self._shares.receive(context.owner, _weight(prompt))
+            self._shares.record_allocation(context.owner, _weight(prompt))
         return self._placement(context, best)
 
     def takes_work(self, endpoint: Endpoint) -> bool:
@@ -317,11 +321,11 @@
         """Learn how long an endpoint took to begin an answer."""
         taken = self._now() - sent.at
         if context.call.prompt is None:
-            self._chooser.plain.observe(endpoint.id, taken)
+            self._chooser.response_times.observe(endpoint.id, taken)
             return
-        reading = sent.wait * BUSY_PART + sent.reading
-        taken -= self._distance.seconds(endpoint.zone)
-        self._chooser.reading.observe(endpoint.service, reading, taken)
+        reading = sent.wait * PREFILL_TIME_FRACTION + sent.reading
+        taken -= self._distance.round_trip_seconds(endpoint.zone)
+        self._chooser.prefill.observe(endpoint.service, reading, taken)
 
     def ended(
         self, context: RequestContext, endpoint: Endpoint, outcome: Outcome
@@ -329,14 +333,14 @@
         """Note the end of an attempt."""
         self._count_out(context, endpoint)
         if outcome is Outcome.UNSENT:
-            self._results.note_unreached(endpoint.id)
+            self._results.record_connect_failure(endpoint.id)
         elif outcome is Outcome.WHOLE:
-            self._results.note(endpoint.id, True)
+            self._results.record_outcome(endpoint.id, True)
         elif outcome in (Outcome.LOST, Outcome.FAILED, Outcome.BROKEN):
-            self._results.note(endpoint.id, False)
+            self._results.record_outcome(endpoint.id, False)
 
     @property
-    def work(self) -> FleetLoad:
+    def load(self) -> FleetLoad:
         """What the fleet has under way, as far as it is told."""
         return self._work
 
@@ -345,11 +349,11 @@
         """What organisations received, as far as it is told."""
         return self._shares
 
-    def keep(self) -> None:
+    def retain_endpoints(self) -> None:
         """Forget endpoints that are gone."""
         names = {endpoint.id for endpoint in self._view.endpoints}
         self._work.retain_endpoints(names)
-        self._results.keep(names)
+        self._results.retain_endpoints(names)
 
     def _usable(self, context: RequestContext) -> list[Endpoint]:
         fresh = [
@@ -357,7 +361,7 @@
             for endpoint in self._view.of_service(context.service)
             if endpoint.id not in context.tried
         ]
-        reached = [e for e in fresh if not self._results.avoided(e.id)]
+        reached = [e for e in fresh if not self._results.is_ejected(e.id)]
         return reached or fresh
 
     def _reasons(self, best: Candidate) -> dict[str, float]:
@@ -367,16 +371,16 @@
             "wait_ms": round(best.wait * 1000),
             "running": work.in_flight,
             "reading_before_ms": round(work.prefill_seconds * 1000),
-            "failing": round(self._results.failing(best.endpoint.id), 2),
-            "keeps_part": best.keeps,
+            "failing": round(self._results.failure_rate(best.endpoint.id), 2),
+            "keeps_part": best.has_prefix,
             "reading_factor": round(
-                self._chooser.reading.factor(best.endpoint.service), 2
+                self._chooser.prefill.slowdown(best.endpoint.service), 2
             ),
         }
 
     def _begin(self, context: RequestContext, best: Candidate) -> None:
-        self._work.add_local(best.endpoint.id, 1, best.reading)
-        sent = _Sent(best.reading, self._now(), best.wait)
+        self._work.add_local(best.endpoint.id, 1, best.prefill_seconds)
+        sent = _Sent(best.prefill_seconds, self._now(), best.wait)
         self._sent[context.call.id, best.endpoint.id] = sent
 
     def _count_out(self, context: RequestContext, endpoint: Endpoint) -> None:
@@ -394,4 +398,8 @@
     Shared parts are kept and not read again; counted, they would make organisations
     whose prompts share much look as if they had received more than the others.
     """
-    return prompt.tokens - shared_tokens(prompt) + 2 * output_tokens(prompt)
+    return (
+        prompt.tokens
+        - shared_prefix_tokens(prompt)
+        + 2 * expected_output_tokens(prompt)
+    )
--- a/packages/fleet/src/teaselledge_fleet/process/prefill.py
+++ b/packages/fleet/src/teaselledge_fleet/process/prefill.py
@@ -3,7 +3,7 @@
 import math
 from collections import defaultdict
 
-__all__ = ["BUSY_PART", "ReadingModel"]
+__all__ = ["PREFILL_TIME_FRACTION", "PrefillModel"]
 
 TOKENS_PER_SECOND = 90_000.0
 SECONDS_PER_PAIR = 4e-10
@@ -14,10 +14,10 @@
 learnt corrects them together.
 """
 
-BUSY_PART = 0.8
+PREFILL_TIME_FRACTION = 0.8
 """Part of its time for which a busy engine reads; the rest goes into generating."""
 
-FIRST_SECONDS = 0.05
+INITIAL_OVERHEAD_SECONDS = 0.05
 """Time to the first event besides reading, before any answer has told: a step of the
 engine, and the way there and back."""
 
@@ -34,7 +34,7 @@
 FIRST_STEP_SECONDS = 0.001
 """The same for the time besides reading."""
 
-MOST_FACTOR = 8.0
+MAX_SLOWDOWN = 8.0
 """Engines are taken to be at most so many times slower, or faster, than at first."""
 
 
@@ -43,10 +43,10 @@
 
     def __init__(self) -> None:
         self.factor = 1.0
-        self.besides = FIRST_SECONDS
+        self.besides = INITIAL_OVERHEAD_SECONDS
 
 
-class ReadingModel:
+class PrefillModel:
     """Forecasts how long prompts are read, and learns from each first event.
 
     Engines of another kind read prompts at another speed. A router that takes them for
@@ -57,11 +57,11 @@
     def __init__(self) -> None:
         self._learnt: defaultdict[str, _Learnt] = defaultdict(_Learnt)
 
-    def seconds(self, service: str, tokens: int, unread: int) -> float:
+    def predict(self, service: str, tokens: int, unread: int) -> float:
         """Return how long an engine reads the last tokens of a prompt."""
         return self._learnt[service].factor * _prior_seconds(tokens, unread)
 
-    def factor(self, service: str) -> float:
+    def slowdown(self, service: str) -> float:
         """Return how much slower than at first a service's engines are taken to be."""
         return self._learnt[service].factor
 
@@ -78,7 +78,7 @@
             Time from sending it to its first event.
         """
         learnt = self._learnt[service]
-        forecast = reading / BUSY_PART
+        forecast = reading / PREFILL_TIME_FRACTION
         left = seconds - learnt.besides
         if forecast >= LONG_SECONDS:
             slower = left > forecast
@@ -96,4 +96,4 @@
 
 
 def _clamped(factor: float) -> float:
-    return min(MOST_FACTOR, max(1 / MOST_FACTOR, factor))
+    return min(MAX_SLOWDOWN, max(1 / MAX_SLOWDOWN, factor))
--- a/packages/fleet/src/teaselledge_fleet/process/prefixes.py
+++ b/packages/fleet/src/teaselledge_fleet/process/prefixes.py
@@ -8,10 +8,10 @@
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.request.call import Prompt
 
-__all__ = ["ranked", "shared_part", "shared_tokens"]
+__all__ = ["rendezvous_order", "shared_prefix_id", "shared_prefix_tokens"]
 
 
-def shared_part(prompt: Prompt) -> str | None:
+def shared_prefix_id(prompt: Prompt) -> str | None:
     """Return the id of the longest chain of parts that other prompts share.
 
     The last part is the request's own; the one before it stands for the chain, as
@@ -22,12 +22,12 @@
     return prompt.parts[-2].id
 
 
-def shared_tokens(prompt: Prompt) -> int:
+def shared_prefix_tokens(prompt: Prompt) -> int:
     """Return the length of that chain; 0 where there is none."""
     return sum(part.tokens for part in prompt.parts[:-1])
 
 
-def ranked(part: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
+def rendezvous_order(part: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
     """Return the endpoints in the order in which they should keep a part.
 
     Rendezvous hashing: every router finds the same order without asking, and an
--- a/packages/fleet/src/teaselledge_fleet/process/results.py
+++ b/packages/fleet/src/teaselledge_fleet/process/results.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-__all__ = ["Results"]
+__all__ = ["OutlierDetector"]
 
 MEMORY_SECONDS = 4.0
 """Time after which a result counts a third of what it did."""
@@ -29,7 +29,7 @@
     pause: float = UNREACHED_SECONDS
 
 
-class Results:
+class OutlierDetector:
     """Weighs results by age, and avoids endpoints that can't be reached.
 
     A health check can lie in both directions; what came of real requests does not.
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self._records: defaultdict[str, _Record] = defaultdict(_Record)
 
-    def note(self, endpoint: str, good: bool) -> None:
+    def record_outcome(self, endpoint: str, good: bool) -> None:
         """Note how an attempt ended."""
         record = self._faded(endpoint)
         if good:
@@ -48,14 +48,14 @@
         else:
             record.bad += 1
 
-    def note_unreached(self, endpoint: str) -> None:
+    def record_connect_failure(self, endpoint: str) -> None:
         """Note that an endpoint could not be connected to."""
         record = self._faded(endpoint)
         record.bad += 1
         record.avoid_until = self._now() + record.pause
         record.pause = min(UNREACHED_LONGEST, 2 * record.pause)
 
-    def failing(self, endpoint: str) -> float:
+    def failure_rate(self, endpoint: str) -> float:
         """Return the part of the latest attempts that failed, from 0 to 1."""
         known = self._records.get(endpoint)
         if known is None or not known.bad:
@@ -63,12 +63,12 @@
         record = self._faded(endpoint)
         return record.bad / (record.bad + record.good + PRIOR)
 
-    def avoided(self, endpoint: str) -> bool:
+    def is_ejected(self, endpoint: str) -> bool:
         """Whether an endpoint should not be tried now."""
         known = self._records.get(endpoint)
         return known is not None and known.avoid_until > self._now()
 
-    def keep(self, endpoints: set[str]) -> None:
+    def retain_endpoints(self, endpoints: set[str]) -> None:
         """Forget endpoints that are gone."""
         for name in list(self._records):
             if name not in endpoints:
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -15,17 +15,17 @@
 from teaselledge_fleet.process.addresses import addresses_for
 from teaselledge_fleet.process.admission import AdmissionController
 from teaselledge_fleet.process.admissionrpc import AdmissionRpc
-from teaselledge_fleet.process.budget import RepeatBudget, RepeatLimits
-from teaselledge_fleet.process.busyness import Busyness
+from teaselledge_fleet.process.budget import RetryBudget, RetryLimits
+from teaselledge_fleet.process.busyness import EventLoopMonitor
 from teaselledge_fleet.process.connectionlimit import ConnectionLimit
 from teaselledge_fleet.process.coordinators import Coordinators
 from teaselledge_fleet.process.gossip import Spreading
-from teaselledge_fleet.process.leaving import Leaving
-from teaselledge_fleet.process.locating import PartLocator
+from teaselledge_fleet.process.leaving import GracefulShutdown
+from teaselledge_fleet.process.locating import PrefixLocator
 from teaselledge_fleet.process.members import Member, Members, MemberState
 from teaselledge_fleet.process.metrics import FleetMetrics
-from teaselledge_fleet.process.offloading import Offloading
-from teaselledge_fleet.process.passingrate import PassingRate
+from teaselledge_fleet.process.offloading import ConnectionOffloader
+from teaselledge_fleet.process.passingrate import OffloadLimiter
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.registration import Registration
 from teaselledge_fleet.process.settings import FleetSettings
@@ -109,18 +109,20 @@
             relay_port=_port(settings.listeners.relays),
         )
         self._members = Members(own)
-        self._busyness = Busyness(settings.cores)
+        self._busyness = EventLoopMonitor(settings.cores)
         self._busyness.on_tick = self._note_load
         self._belief = Belief(place.vm, decode)
         self._pool = ConnectionPool()
-        self._budget = RepeatBudget(_limits(settings))
+        self._budget = RetryBudget(_limits(settings))
         self._placer = FleetPlacer(self._belief.view, place.zone, settings.zones)
-        self._placer.learn_if(lambda at: self._busyness.prompt_since(at))
+        self._placer.set_sample_filter(lambda at: self._busyness.responsive_since(at))
         self._metrics = FleetMetrics()
         self._server = Server(
             dialect, self._pool, self._placer, self._budget, self._metrics
         )
-        self._server.late = lambda: self._busyness.late or self._busyness.overloaded
+        self._server.late = lambda: (
+            self._busyness.recently_blocked or self._busyness.overloaded
+        )
         limits = CallerLimits()
         self._front = FrontServer(
             self._server.serve,
@@ -128,15 +130,15 @@
             limits.body_bytes,
             limits.idle_seconds,
         )
-        self._front.moving = lambda: self._busyness.crowded
+        self._front.moving = lambda: self._busyness.rebalance_fraction
         acceptor = self._front.acceptor
         acceptor.version = lambda: self._belief.version
-        self._offloading = Offloading(self._members)
+        self._offloading = ConnectionOffloader(self._members)
         acceptor.choose_router = self._choose_router
-        self._passing = PassingRate()
-        acceptor.may_pass_on = lambda: self._passing.allows
+        self._passing = OffloadLimiter()
+        acceptor.may_pass_on = lambda: self._passing.allowed
         acceptor.on_passed_on = self._note_passed_on
-        acceptor.on_refused = self._passing.note_refused
+        acceptor.on_refused = self._passing.record_refusal
         self._limit = ConnectionLimit()
         acceptor.has_time = lambda: self._limit.allows(self._front.running)
         asks_seeds = bool(settings.seeds) and own.peers not in settings.seeds
@@ -145,29 +147,33 @@
         self._socket = PeerSocket()
         admission = AdmissionController()
         coordinators = Coordinators(self._members)
-        self._placer.work.coordinated_load = admission.total_load
+        self._placer.load.coordinated_load = admission.total_load
         self._asking = AdmissionRpc(
             self._members,
             self._belief.view,
-            self._placer.work,
+            self._placer.load,
             admission,
             self._socket,
             coordinators,
         )
         self._placer.set_admission_check(self._asking.request_admission)
-        self._placer.locate_with(PartLocator(self._members, self._socket, coordinators))
+        self._placer.set_locator(
+            PrefixLocator(self._members, self._socket, coordinators)
+        )
         self._spreading = Spreading(
             self._members,
             self._belief,
             settings.seeds,
-            self._placer.work,
+            self._placer.load,
             admission,
             self._placer.shares,
             self._socket,
             coordinators,
         )
         self._spreading.on_members = self._note_members
-        self._leaving = Leaving(settings.grace_seconds, self._front, self._server)
+        self._leaving = GracefulShutdown(
+            settings.grace_seconds, self._front, self._server
+        )
         self._page_servers: list[PageServer] = []
         self._tasks: list[asyncio.Task[None]] = []
         self._belief.on_change.append(self._take_belief)
@@ -197,7 +203,7 @@
     def use(self, settings: FleetSettings) -> None:
         """Take what may change in the settings while the process runs."""
         self._spreading.use_seeds(settings.seeds)
-        self._budget.use(_limits(settings))
+        self._budget.set_limits(_limits(settings))
         _log.info("settings taken", seeds=list(settings.seeds))
 
     def stop(self) -> None:
@@ -205,7 +211,7 @@
         _log.info("router stops", running=self._front.running)
         self._members.set_state(MemberState.LEAVING)
         self._spreading.pulse()
-        self._leaving.begin()
+        self._leaving.start()
 
     async def wait_left(self) -> None:
         """Wait until nothing is left to be done."""
@@ -228,11 +234,14 @@
 
     def _note_load(self) -> None:
         """Tell how busy this router is, and limit its connections by its time."""
-        self._members.set_busy(self._busyness.busy)
-        self._passing.tick()
-        longest, used = self._busyness.take_longest_turn(), self._busyness.loop_used
+        self._members.set_utilisation(self._busyness.utilisation)
+        self._passing.start_tick()
+        longest, used = (
+            self._busyness.pop_longest_iteration(),
+            self._busyness.loop_utilisation,
+        )
         limited = math.isfinite(self._limit.limit)
-        self._limit.note(longest, used, self._front.running)
+        self._limit.update(longest, used, self._front.running)
         if limited == math.isfinite(self._limit.limit):
             return
         # a warning, as ordinary lines give way on a crowded router
@@ -251,8 +260,8 @@
         return self._offloading.choose(self._busyness)
 
     def _note_passed_on(self, router: str) -> None:
-        self._passing.note_passed()
-        self._offloading.note_passed_on(router)
+        self._passing.record_offload()
+        self._offloading.record_offload(router)
 
     def _listen(self, address: str, answer: "object") -> None:
         server = PageServer(answer)  # type: ignore[arg-type]
@@ -263,15 +272,15 @@
         routing = self._belief.routing
         if routing is not None and routing is not self._server.routing:
             self._server.routing = routing
-            self._placer.use(routing)
-        self._placer.keep()
+            self._placer.apply_routing(routing)
+        self._placer.retain_endpoints()
         self._share_connections()
         if self._members.own.state is MemberState.STARTING and self._belief.version:
             _log.info("router ready", version=self._belief.version)
             self._members.set_state(MemberState.READY)
 
     def _note_members(self) -> None:
-        self._budget.note_routers(len(self._members.others) + 1)
+        self._budget.update_router_count(len(self._members.others) + 1)
         self._share_connections()
 
     def _share_connections(self) -> None:
@@ -295,7 +304,7 @@
     def _answer_addresses(self, path: str, arguments: dict[str, str]) -> Page:
         if path != self._pages.addresses_path:
             return Page(404)
-        if self._busyness.late:
+        if self._busyness.recently_blocked:
             # it can't tell who is silent; another router answers better
             return Page(503)
         zone, region = self._pages.place_asked(arguments)
@@ -316,7 +325,7 @@
         metrics = self._metrics
         age = self._belief.age
         metrics.set("running", self._front.running)
-        metrics.set("busy", self._busyness.busy)
+        metrics.set("busy", self._busyness.utilisation)
         metrics.set("caller_connections", self._front.acceptor.accepted)
         metrics.set("connections_passed_on", self._front.acceptor.passed_on)
         metrics.set("connections_refused", self._front.acceptor.refused)
@@ -335,8 +344,8 @@
         return Page(200, page, METRICS_TYPE)
 
 
-def _limits(settings: FleetSettings) -> RepeatLimits:
-    return RepeatLimits(
+def _limits(settings: FleetSettings) -> RetryLimits:
+    return RetryLimits(
         settings.repeat_ratio, settings.repeat_extra, settings.repeat_window
     )
 
--- a/packages/fleet/src/teaselledge_fleet/process/sent.py
+++ b/packages/fleet/src/teaselledge_fleet/process/sent.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol, Self, TypeVar
 
-from teaselledge_fleet.process.shares import Use
+from teaselledge_fleet.process.shares import TokenUsage
 from teaselledge_fleet.process.work import EndpointLoad
 
 __all__ = ["NO_MARK", "LoadStats", "SentLoadStats", "mark_of"]
@@ -42,7 +42,7 @@
     """
 
     work: dict[int, EndpointLoad]
-    uses: dict[int, Use]
+    uses: dict[int, TokenUsage]
 
     def subtract(self, other: "LoadStats") -> "LoadStats":
         """Return the figures less those of another router."""
--- a/packages/fleet/src/teaselledge_fleet/process/shares.py
+++ b/packages/fleet/src/teaselledge_fleet/process/shares.py
@@ -8,7 +8,7 @@
 from teaselledge_fleet.process.sources import StatsBySource
 from teaselledge_fleet.process.work import name_hash
 
-__all__ = ["OrganisationShares", "Standing", "Use", "fair_level"]
+__all__ = ["OrganisationShares", "ShareStatus", "TokenUsage", "max_min_share"]
 
 WINDOW_SECONDS = 4.0
 """Time over which use is counted; shares are owed over windows of 4 s."""
@@ -17,7 +17,7 @@
 """A window is made of slices, so that it moves on without keeping each request."""
 
 
-def fair_level(demands: Iterable[float], capacity: float) -> float:
+def max_min_share(demands: Iterable[float], capacity: float) -> float:
     """Return the max-min level: what a demand above it is cut to.
 
     Parameters
@@ -42,7 +42,7 @@
     return float("inf")
 
 
-class Standing(IntEnum):
+class ShareStatus(IntEnum):
     """What an organisation received, against what all ask for."""
 
     INSIDE = 0
@@ -56,25 +56,27 @@
 
 
 @dataclass(frozen=True)
-class Use:
+class TokenUsage:
     """Tokens within the last window.
 
     Attributes
     ----------
-    asked, received : int
+    requested, allocated : int
         Of requests that came, and of those that were sent to an engine.
     """
 
-    asked: int = 0
-    received: int = 0
+    requested: int = 0
+    allocated: int = 0
 
-    def __add__(self, other: "Use") -> "Use":
-        return Use(self.asked + other.asked, self.received + other.received)
+    def __add__(self, other: "TokenUsage") -> "TokenUsage":
+        return TokenUsage(
+            self.requested + other.requested, self.allocated + other.allocated
+        )
 
-    def subtract(self, other: "Use") -> "Use":
+    def subtract(self, other: "TokenUsage") -> "TokenUsage":
         """Return what is left without another's part, never below nothing."""
-        received = max(0, self.received - other.received)
-        return Use(max(0, self.asked - other.asked), received)
+        received = max(0, self.allocated - other.allocated)
+        return TokenUsage(max(0, self.requested - other.requested), received)
 
 
 @dataclass
@@ -97,15 +99,15 @@
         while len(self.marks) > 1 and now - self.marks[1][0] >= WINDOW_SECONDS:
             self.marks.popleft()
 
-    def growth(self, counter: _Counter) -> Use:
+    def growth(self, counter: _Counter) -> TokenUsage:
         """Return how far the counters grew within the window."""
         if not self.marks:
-            return Use(counter.asked, counter.received)
+            return TokenUsage(counter.asked, counter.received)
         _, asked, received = self.marks[0]
-        return Use(counter.asked - asked, counter.received - received)
+        return TokenUsage(counter.asked - asked, counter.received - received)
 
 
-class OrganisationShares(StatsBySource[Use]):
+class OrganisationShares(StatsBySource[TokenUsage]):
     """Counts what organisations ask for and receive over the whole fleet.
 
     Every source tells its use within the last window, in tokens of work: a token that
@@ -121,54 +123,54 @@
         self._level = float("inf")
         self._given_level = float("inf")
         """The same of all that engines give."""
-        self._fleet: dict[int, Use] = {}
+        self._fleet: dict[int, TokenUsage] = {}
         self._levelled_at = -SLICE_SECONDS
 
-    def promise(self, tokens_per_second: float) -> None:
+    def set_guaranteed_rate(self, tokens_per_second: float) -> None:
         """Take what the operator promises to all organisations together.
 
         0 where nothing is promised.
         """
         self._promised = tokens_per_second * WINDOW_SECONDS or float("inf")
 
-    def ask(self, organisation: str, tokens: int) -> None:
+    def record_request(self, organisation: str, tokens: int) -> None:
         """Count a request that arrives."""
         self._counter(organisation).asked += tokens
 
-    def receive(self, organisation: str, tokens: int) -> None:
+    def record_allocation(self, organisation: str, tokens: int) -> None:
         """Count a request that is sent to an engine."""
         self._counter(organisation).received += tokens
 
-    def standing(self, organisation: str, margin: float) -> Standing:
+    def status(self, organisation: str, margin: float) -> ShareStatus:
         """Return where an organisation stands, with so much of a share as margin.
 
         Inside while all demands fit.
         """
         self._refresh()
-        use = self._fleet.get(self._key(organisation), Use())
-        if use.received <= self._level * margin:
-            return Standing.INSIDE
+        use = self._fleet.get(self._key(organisation), TokenUsage())
+        if use.allocated <= self._level * margin:
+            return ShareStatus.INSIDE
         more_is_given = self._given_level > self._level
-        if more_is_given and use.received > self._given_level * margin:
-            return Standing.AHEAD
-        return Standing.OVER
+        if more_is_given and use.allocated > self._given_level * margin:
+            return ShareStatus.AHEAD
+        return ShareStatus.OVER
 
-    def over(self, organisation: str, margin: float) -> bool:
+    def is_over_share(self, organisation: str, margin: float) -> bool:
         """Whether an organisation received more than its share by a factor."""
-        return self.standing(organisation, margin) is not Standing.INSIDE
+        return self.status(organisation, margin) is not ShareStatus.INSIDE
 
-    def seconds_over(self, organisation: str) -> float:
+    def seconds_until_within_share(self, organisation: str) -> float:
         """Return when an organisation that receives nothing more is inside its share.
 
         Its use leaves the window evenly; 0 where it is inside already.
         """
         self._refresh()
-        use = self._fleet.get(self._key(organisation), Use())
-        if use.received <= self._level:
+        use = self._fleet.get(self._key(organisation), TokenUsage())
+        if use.allocated <= self._level:
             return 0.0
-        return WINDOW_SECONDS * (1.0 - self._level / use.received)
+        return WINDOW_SECONDS * (1.0 - self._level / use.allocated)
 
-    def own(self) -> dict[int, Use]:
+    def local(self) -> dict[int, TokenUsage]:
         """Return this router's use by organisation."""
         now = self._now()
         found = {}
@@ -176,7 +178,7 @@
             window = self._windows[key]
             window.mark(now, counter)
             use = window.growth(counter)
-            if use.asked or use.received:
+            if use.requested or use.allocated:
                 found[key] = use
         return found
 
@@ -185,16 +187,16 @@
         if now - self._levelled_at < SLICE_SECONDS / 2:
             return
         self._levelled_at = now
-        fleet: defaultdict[int, Use] = defaultdict(Use, self.own())
+        fleet: defaultdict[int, TokenUsage] = defaultdict(TokenUsage, self.local())
         for key, use in self.sum_of_sources().items():
             fleet[key] += use
         self._fleet = dict(fleet)
-        received = sum(use.received for use in fleet.values())
-        asked = [use.asked for use in fleet.values()]
+        received = sum(use.allocated for use in fleet.values())
+        asked = [use.requested for use in fleet.values()]
         # engines that happen to do more than is promised raise nobody's share; what
         # they do beyond it is divided by the same rule
-        self._level = fair_level(asked, min(received, self._promised))
-        self._given_level = fair_level(asked, received)
+        self._level = max_min_share(asked, min(received, self._promised))
+        self._given_level = max_min_share(asked, received)
 
     def _counter(self, organisation: str) -> _Counter:
         key = self._key(organisation)
--- a/packages/fleet/src/teaselledge_fleet/process/stalls.py
+++ b/packages/fleet/src/teaselledge_fleet/process/stalls.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-__all__ = ["StallDetector", "boot_time"]
+__all__ = ["StallDetector", "boot_clock"]
 
 LONGEST_SECONDS = 0.8
 """Time between two ticks beyond which the process was held up. Ticks come each 0.4 s,
@@ -13,7 +13,7 @@
 """Time after a stall in which messages that came meanwhile are still being read."""
 
 
-def boot_time() -> float:
+def boot_clock() -> float:
     """Return the seconds since the VM started, those of its suspension included."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -30,13 +30,13 @@
         Returns seconds that go on while the VM is suspended.
     """
 
-    def __init__(self, clock: Callable[[], float] = boot_time) -> None:
+    def __init__(self, clock: Callable[[], float] = boot_clock) -> None:
         self._clock = clock
         self._ticked_at = clock()
         self._stale_until = self._ticked_at
 
     @property
-    def stale(self) -> bool:
+    def recently_stalled(self) -> bool:
         """Whether messages may have waited."""
         now = self._clock()
         return now < self._stale_until or now - self._ticked_at > LONGEST_SECONDS
--- a/packages/fleet/src/teaselledge_fleet/process/sums.py
+++ b/packages/fleet/src/teaselledge_fleet/process/sums.py
@@ -5,7 +5,7 @@
 from teaselledge_fleet.process.admission import AdmissionController
 from teaselledge_fleet.process.members import Member
 from teaselledge_fleet.process.sent import NO_MARK, LoadStats, SentLoadStats, mark_of
-from teaselledge_fleet.process.shares import OrganisationShares, Use
+from teaselledge_fleet.process.shares import OrganisationShares, TokenUsage
 from teaselledge_fleet.process.sources import EXPIRY_SECONDS, SUM_EXPIRY_SECONDS
 from teaselledge_fleet.process.topology import Scope
 from teaselledge_fleet.process.work import EndpointLoad, FleetLoad
@@ -45,7 +45,7 @@
 
     def own(self) -> LoadStats:
         """Return this router's own figures."""
-        return LoadStats(self._admission.total_loads(), self._shares.own())
+        return LoadStats(self._admission.total_loads(), self._shares.local())
 
     def for_scope(self, scope: Scope, zone_peers: Iterable[Member]) -> LoadStats | None:
         """Return the figures that a scope stands for; None where it has none.
@@ -72,7 +72,7 @@
         for key, each in self._work.sum_of_sources(sources).items():
             work[key] = work.get(key, EndpointLoad()) + each
         for key, use in self._shares.sum_of_sources(sources).items():
-            uses[key] = uses.get(key, Use()) + use
+            uses[key] = uses.get(key, TokenUsage()) + use
         return LoadStats(work, uses)
 
     def record_sent(self, sequence: int, figures: LoadStats) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/topology.py
+++ b/packages/fleet/src/teaselledge_fleet/process/topology.py
@@ -11,7 +11,7 @@
 
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.forwarding import (
-    CROWDED,
+    MAX_FORWARDER_UTILISATION,
     Delivery,
     deliveries,
     relay_order,
@@ -172,7 +172,9 @@
         if not zone_peers:
             own = self._members.own
             return deliveries(targets, own.region, self._members.find)
-        roomy = [m for m in zone_peers if m.busy <= CROWDED] or zone_peers
+        roomy = [
+            m for m in zone_peers if m.utilisation <= MAX_FORWARDER_UTILISATION
+        ] or zone_peers
         self._turn += 1
         forwarder = sorted(roomy, key=rank)[self._turn % len(roomy)]
         unknown = tuple(aggregators) if self._turn % INTRODUCING_EVERY == 0 else ()
--- a/packages/fleet/src/teaselledge_fleet/process/waiting.py
+++ b/packages/fleet/src/teaselledge_fleet/process/waiting.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from teaselledge_fleet.process.shares import Standing
+from teaselledge_fleet.process.shares import ShareStatus
 from teaselledge_fleet.version.routes import Route, Routing
 
 __all__ = ["QueueWaitLimits"]
@@ -36,9 +36,9 @@
 """
 
 WAIT_FRACTIONS = {
-    Standing.INSIDE: WAIT_FRACTION,
-    Standing.OVER: WAIT_FRACTION_OVER_SHARE,
-    Standing.AHEAD: WAIT_FRACTION_AHEAD,
+    ShareStatus.INSIDE: WAIT_FRACTION,
+    ShareStatus.OVER: WAIT_FRACTION_OVER_SHARE,
+    ShareStatus.AHEAD: WAIT_FRACTION_AHEAD,
 }
 
 
@@ -66,7 +66,7 @@
                 shortest[target.service] = min(known, route.objective)
         self._shortest = shortest
 
-    def max_wait(self, route: Route, service: str, standing: Standing) -> float:
+    def max_wait(self, route: Route, service: str, standing: ShareStatus) -> float:
         """Return the seconds that a request may wait from its arrival.
 
         Parameters
--- a/packages/fleet/src/teaselledge_fleet/request/serving.py
+++ b/packages/fleet/src/teaselledge_fleet/request/serving.py
@@ -14,7 +14,7 @@
 from teaselledge_fleet.connection.pool import ConnectionPool
 from teaselledge_fleet.faults import ANSWERS, Fault, FaultKind, body_of, head_of
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.budget import RepeatBudget
+from teaselledge_fleet.process.budget import RetryBudget
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.metrics import FleetMetrics
 from teaselledge_fleet.request.call import Call, Dialect, EndpointHead, Onward
@@ -78,7 +78,7 @@
         dialect: Dialect,
         pool: ConnectionPool,
         placer: Placer,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         metrics: FleetMetrics | None = None,
     ) -> None:
         self._dialect = dialect
@@ -232,7 +232,7 @@
             await self._give_up(outdated)
             return Outcome.ABANDONED
         if context.sends == 0:
-            server._budget.note_first(context.service)
+            server._budget.record_first_attempt(context.service)
         context.sends += 1
         _log.info(
             "attempt sent",
@@ -381,7 +381,7 @@
             return False
         if outcome is Outcome.UNSENT:
             return True
-        return self._server._budget.allow(self._context.service)
+        return self._server._budget.try_acquire(self._context.service)
 
     def _may_repeat(self, outcome: Outcome) -> bool:
         context = self._context
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -4,7 +4,10 @@
 
 from teaselledge_fleet.process.admission import AdmissionController, AdmissionQuery
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_fleet.process.prefill import BUSY_PART, FIRST_SECONDS
+from teaselledge_fleet.process.prefill import (
+    INITIAL_OVERHEAD_SECONDS,
+    PREFILL_TIME_FRACTION,
+)
 from teaselledge_fleet.process.waiting import WAIT_FRACTION
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
 from teaselledge_fleet.request.call import Call, Prompt, PromptPart
@@ -153,7 +156,7 @@
                 for router in fleet.routers:
                     router.placer.set_admission_check(nobody)
             # the engine keeps the part already
-            fleet.routers[0].placer._locator.tell("p1", ENGINES[0], ENGINES[0])
+            fleet.routers[0].placer._locator.report_use("p1", ENGINES[0], ENGINES[0])
             await asyncio.sleep(0.1)
             sent = await burst(fleet, 2)
             await asyncio.sleep(0.2)
@@ -165,8 +168,10 @@
                 continue
             assert 4 <= sent <= 8
             last = reading / sent
-            assert (reading - last) / BUSY_PART <= WAIT_FRACTION * OBJECTIVE
-            assert reading / BUSY_PART + FIRST_SECONDS <= OBJECTIVE
+            assert (reading - last) / PREFILL_TIME_FRACTION <= WAIT_FRACTION * OBJECTIVE
+            assert (
+                reading / PREFILL_TIME_FRACTION + INITIAL_OVERHEAD_SECONDS <= OBJECTIVE
+            )
 
 
 async def nobody(endpoint: Endpoint, added: float, most_wait: float) -> None:
--- a/packages/fleet/tests/test_busyness.py
+++ b/packages/fleet/tests/test_busyness.py
@@ -5,23 +5,23 @@
 from contextlib import suppress
 
 from teaselledge_fleet.process.busyness import (
-    HELD_UP_SECONDS,
-    LONG_TURN_SECONDS,
-    LONG_TURNS,
-    PROMPT_TURN_SECONDS,
-    Busyness,
-    new_loop,
+    BLOCKED_SECONDS,
+    LONG_ITERATION_SECONDS,
+    MIN_LONG_ITERATIONS,
+    RESPONSIVE_ITERATION_SECONDS,
+    EventLoopMonitor,
+    new_monitored_loop,
 )
-from teaselledge_fleet.process.connectionlimit import USED_UP
+from teaselledge_fleet.process.connectionlimit import SATURATED_UTILISATION
 
 TURNS = 20
 """Turns of work at least: where other processes take the machine, a second may be over
 before the router has measured anything."""
 
 
-async def measured(work: float, pause: float, cores: float = 1.0) -> Busyness:
+async def measured(work: float, pause: float, cores: float = 1.0) -> EventLoopMonitor:
     """Work and pause by turns for a second, and for some turns."""
-    busyness = Busyness(cores)
+    busyness = EventLoopMonitor(cores)
     task = asyncio.create_task(busyness.run())
     end = time.monotonic() + 1.0
     turns = 0
@@ -37,32 +37,32 @@
     return busyness
 
 
-def on_own_loop(work: float, pause: float, cores: float = 1.0) -> Busyness:
-    with asyncio.Runner(loop_factory=new_loop) as runner:
+def on_own_loop(work: float, pause: float, cores: float = 1.0) -> EventLoopMonitor:
+    with asyncio.Runner(loop_factory=new_monitored_loop) as runner:
         return runner.run(measured(work, pause, cores))
 
 
 def test_an_idle_router_is_not_busy():
     async def idle() -> None:
         busyness = await measured(0.0, 0.05)
-        assert busyness.busy < 0.3
-        assert not busyness.late
+        assert busyness.utilisation < 0.3
+        assert not busyness.recently_blocked
 
-    with asyncio.Runner(loop_factory=new_loop) as runner:
+    with asyncio.Runner(loop_factory=new_monitored_loop) as runner:
         runner.run(idle())
 
 
 def test_a_router_that_works_all_the_time_is_busy():
     busyness = on_own_loop(0.05, 0.0)
-    assert busyness.busy > 0.3
-    assert busyness.loop_used > USED_UP
+    assert busyness.utilisation > 0.3
+    assert busyness.loop_utilisation > SATURATED_UTILISATION
 
 
 def test_a_loop_with_time_left_is_not_used_up():
     """A router with a small part of a core is busy before its loop always has work."""
     busyness = on_own_loop(0.01, 0.1, cores=0.05)
-    assert busyness.busy > 0.3
-    assert busyness.loop_used < USED_UP
+    assert busyness.utilisation > 0.3
+    assert busyness.loop_utilisation < SATURATED_UTILISATION
 
 
 def test_a_clock_of_processor_time_that_is_wrong_makes_no_router_busy():
@@ -77,25 +77,25 @@
         busyness = on_own_loop(0.0, 0.05, cores=0.5)
     finally:
         time.process_time = wrong
-    assert busyness.busy < 0.3
+    assert busyness.utilisation < 0.3
 
 
 async def test_a_loop_that_was_held_up_is_late():
     """Something keeps the loop for long, and pulses of others wait unread."""
-    busyness = Busyness(1.0)
+    busyness = EventLoopMonitor(1.0)
     task = asyncio.create_task(busyness.run())
     await asyncio.sleep(0.15)
-    time.sleep(HELD_UP_SECONDS + 0.2)  # noqa: ASYNC251
+    time.sleep(BLOCKED_SECONDS + 0.2)  # noqa: ASYNC251
     await asyncio.sleep(0.05)
-    assert busyness.late
+    assert busyness.recently_blocked
     await asyncio.sleep(0.7)
-    assert not busyness.late
+    assert not busyness.recently_blocked
     task.cancel()
 
 
 async def turns(seconds: list[float]) -> list[bool]:
     """Hold up the loop so long in turn; tell after each whether it was overloaded."""
-    busyness = Busyness(1.0)
+    busyness = EventLoopMonitor(1.0)
     told = []
     for each in seconds:
         time.sleep(each)  # noqa: ASYNC251
@@ -110,17 +110,17 @@
     A request takes five of them: it reaches its endpoint 1.5 s late, after its caller
     has left.
     """
-    long = LONG_TURN_SECONDS + 0.02
-    seconds = [long] * (LONG_TURNS + 1) + [0.0] * 2
-    with asyncio.Runner(loop_factory=new_loop) as runner:
+    long = LONG_ITERATION_SECONDS + 0.02
+    seconds = [long] * (MIN_LONG_ITERATIONS + 1) + [0.0] * 2
+    with asyncio.Runner(loop_factory=new_monitored_loop) as runner:
         told = runner.run(turns(seconds))
-    assert told[LONG_TURNS]
+    assert told[MIN_LONG_ITERATIONS]
     assert not told[-1]
 
 
 def test_a_router_that_was_paused_takes_requests_at_once():
     """The whole VM stood still for a moment; nothing waits for its next turn."""
-    with asyncio.Runner(loop_factory=new_loop) as runner:
+    with asyncio.Runner(loop_factory=new_monitored_loop) as runner:
         assert not any(runner.run(turns([0.0, 0.5, 0.0, 0.0])))
 
 
@@ -129,18 +129,18 @@
 
     async def work_once() -> None:
         loop = asyncio.get_running_loop()
-        busyness = Busyness(1.0)
+        busyness = EventLoopMonitor(1.0)
         await asyncio.sleep(0)
-        busyness.take_longest_turn()
+        busyness.pop_longest_iteration()
         sent = loop.time()
-        while loop.time() < sent + 2 * PROMPT_TURN_SECONDS:
+        while loop.time() < sent + 2 * RESPONSIVE_ITERATION_SECONDS:
             pass
         await asyncio.sleep(0)
-        assert not busyness.prompt_since(sent)
-        busyness.take_longest_turn()
+        assert not busyness.responsive_since(sent)
+        busyness.pop_longest_iteration()
         await asyncio.sleep(0.01)
-        assert not busyness.prompt_since(sent)
-        assert busyness.prompt_since(loop.time())
+        assert not busyness.responsive_since(sent)
+        assert busyness.responsive_since(loop.time())
 
-    with asyncio.Runner(loop_factory=new_loop) as runner:
+    with asyncio.Runner(loop_factory=new_monitored_loop) as runner:
         runner.run(work_once())
--- a/packages/fleet/tests/test_connectionlimit.py
+++ b/packages/fleet/tests/test_connectionlimit.py
@@ -3,43 +3,47 @@
 import math
 from collections import deque
 
-from teaselledge_fleet.process.busyness import LONG_TURN_SECONDS
-from teaselledge_fleet.process.connectionlimit import LEAST, UNLIMITED, ConnectionLimit
+from teaselledge_fleet.process.busyness import LONG_ITERATION_SECONDS
+from teaselledge_fleet.process.connectionlimit import (
+    MAX_LIMIT,
+    MIN_LIMIT,
+    ConnectionLimit,
+)
 
-SHORT, LONG = LONG_TURN_SECONDS / 2, LONG_TURN_SECONDS * 10
+SHORT, LONG = LONG_ITERATION_SECONDS / 2, LONG_ITERATION_SECONDS * 10
 
 
 def test_router_with_short_turns_takes_every_connection():
     limit = ConnectionLimit()
     for running in range(0, 10_000, 100):
-        limit.note(SHORT, 0.5, running)
+        limit.update(SHORT, 0.5, running)
         assert limit.allows(running)
 
 
 def test_pause_of_the_whole_vm_limits_nothing():
     """It shows as a single long turn, and the router has time for all that waited."""
     limit = ConnectionLimit()
-    limit.note(5.0, 1.0, 300)
+    limit.update(5.0, 1.0, 300)
     assert limit.allows(300)
 
 
 def test_limit_falls_with_long_turns_and_comes_back():
     limit = ConnectionLimit()
-    limit.note(LONG, 1.0, 600)
-    limit.note(LONG, 1.0, 600)
-    assert LEAST <= limit.limit < 300
+    limit.update(LONG, 1.0, 600)
+    limit.update(LONG, 1.0, 600)
+    assert MIN_LIMIT <= limit.limit < 300
     assert not limit.allows(600)
     for _ in range(200):
-        limit.note(SHORT, 0.5, 100)
+        limit.update(SHORT, 0.5, 100)
     assert math.isinf(limit.limit)
 
 
 def test_limit_falls_however_many_connections_run():
     """A VM with many descriptors may run more than the limit ever grows to."""
     limit = ConnectionLimit()
-    limit.note(LONG, 1.0, 2 * UNLIMITED)
-    limit.note(LONG, 1.0, 2 * UNLIMITED)
-    assert limit.limit < UNLIMITED
+    limit.update(LONG, 1.0, 2 * MAX_LIMIT)
+    limit.update(LONG, 1.0, 2 * MAX_LIMIT)
+    assert limit.limit < MAX_LIMIT
 
 
 class Loop:
@@ -68,14 +72,14 @@
             served += ended
             waiting = 0.0
             clock += turn
-            self.limit.note(turn, 1.0, round(self._running))
+            self.limit.update(turn, 1.0, round(self._running))
         return served / seconds, turn
 
 
 def test_flooded_router_goes_on_serving_what_it_has_time_for():
     """Without a limit its turns grow until nothing is answered in time."""
     served, turn = Loop(0.002).play(arrivals=1400, seconds=20)
-    assert turn < 3 * LONG_TURN_SECONDS
+    assert turn < 3 * LONG_ITERATION_SECONDS
     # a router can serve 500 a second; refusing the others takes a part of its time
     assert served > 125
 
@@ -120,7 +124,7 @@
         asked, time = self._backlog + work, self.TIME * self.TICK_SECONDS
         self._backlog = max(0.0, asked - time)
         self.turns.append(0.01 + self._backlog / self.TIME)
-        self.limit.note(self.turns[-1], min(1.0, asked / time), running + taken)
+        self.limit.update(self.turns[-1], min(1.0, asked / time), running + taken)
         return taken
 
 
@@ -134,12 +138,12 @@
     assert sum(taken[:60]) >= 6 * most / 2, sum(taken[:60])
     assert sum(taken[60:]) >= 12 * most * 0.7, sum(taken[60:])
     # a request takes about five turns, of an objective of 0.8 s
-    assert max(router.turns) < 2 * LONG_TURN_SECONDS
+    assert max(router.turns) < 2 * LONG_ITERATION_SECONDS
 
 
 def test_router_that_is_used_up_by_something_else_takes_connections():
     """A large configuration keeps the loop at work for some ticks, at start as well."""
     limit = ConnectionLimit()
     for _ in range(5):
-        limit.note(SHORT, 1.0, 10)
+        limit.update(SHORT, 1.0, 10)
     assert limit.allows(40)
--- a/packages/fleet/tests/test_directory.py
+++ b/packages/fleet/tests/test_directory.py
@@ -3,13 +3,13 @@
 import asyncio
 
 from teaselledge_fleet.process.directory import (
-    CLAIMED_SECONDS,
-    KEPT_SECONDS,
-    REMEMBERED,
-    PartDirectory,
+    CLAIM_TTL_SECONDS,
+    HOLDER_TTL_SECONDS,
+    MAX_PREFIXES,
+    PrefixDirectory,
 )
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_fleet.process.locating import PartLocator
+from teaselledge_fleet.process.locating import PrefixLocator
 from teaselledge_fleet.process.work import name_hash
 from teaselledge_standins.spreadfleet import SpreadFleet, spread_fleet
 from teaselledge_standins.statestore import decode_number, store_of
@@ -19,14 +19,14 @@
 SETTLED_SECONDS = 4.0
 
 
-def locator_of(fleet: SpreadFleet, number: int) -> PartLocator:
+def locator_of(fleet: SpreadFleet, number: int) -> PrefixLocator:
     return fleet.routers[number].placer._locator
 
 
 async def test_the_latest_user_of_a_part_comes_first():
-    directory = PartDirectory()
+    directory = PrefixDirectory()
     for endpoint in (1, 2, 1):
-        directory.note(7, endpoint)
+        directory.record_use(7, endpoint)
         await asyncio.sleep(0.1)
     assert directory.holders(7) == [1, 2]
     assert directory.holders(8) == []
@@ -34,11 +34,11 @@
 
 async def test_a_part_that_was_not_used_for_long_is_taken_as_dropped():
     """An engine's memory is written anew; a copy from it would bring nothing."""
-    directory = PartDirectory()
-    directory.note(7, 1)
-    await asyncio.sleep(KEPT_SECONDS / 2)
-    directory.note(7, 2)
-    await asyncio.sleep(KEPT_SECONDS / 2 + 0.1)
+    directory = PrefixDirectory()
+    directory.record_use(7, 1)
+    await asyncio.sleep(HOLDER_TTL_SECONDS / 2)
+    directory.record_use(7, 2)
+    await asyncio.sleep(HOLDER_TTL_SECONDS / 2 + 0.1)
     assert directory.holders(7) == [2]
 
 
@@ -48,27 +48,27 @@
     Were each told that nobody keeps it, each would be taken for a whole reading, and
     most would be refused.
     """
-    directory = PartDirectory()
-    assert directory.claim(7, 1) == []
-    assert directory.claim(7, 1) == [1]
-    await asyncio.sleep(CLAIMED_SECONDS + 0.1)
+    directory = PrefixDirectory()
+    assert directory.find_or_claim(7, 1) == []
+    assert directory.find_or_claim(7, 1) == [1]
+    await asyncio.sleep(CLAIM_TTL_SECONDS + 0.1)
     assert directory.holders(7) == []
 
 
 async def test_the_directory_stays_small():
     """Each session has a part of its own; the oldest must go."""
-    directory = PartDirectory()
-    for part in range(REMEMBERED + 10):
-        directory.note(part, 1)
+    directory = PrefixDirectory()
+    for part in range(MAX_PREFIXES + 10):
+        directory.record_use(part, 1)
     assert directory.holders(0) == []
-    assert directory.holders(REMEMBERED + 9) == [1]
+    assert directory.holders(MAX_PREFIXES + 9) == [1]
 
 
 async def test_routers_learn_from_one_another_where_a_part_is():
     """One router has sent a part somewhere; another one must find it there."""
     async with spread_fleet(store_of(ENGINES), 6, decode_number) as fleet:
         await asyncio.sleep(SETTLED_SECONDS)
-        locator_of(fleet, 0).tell("p1", ENGINES[0], ENGINES[2])
+        locator_of(fleet, 0).report_use("p1", ENGINES[0], ENGINES[2])
         await asyncio.sleep(0.1)
         for number in range(6):
             found = await locator_of(fleet, number).locate("p1", ENGINES[0])
--- a/packages/fleet/tests/test_forwarding.py
+++ b/packages/fleet/tests/test_forwarding.py
@@ -12,7 +12,7 @@
 )
 from teaselledge_fleet.process.members import Member
 from teaselledge_fleet.process.sent import NO_MARK, LoadStats, SentLoadStats, mark_of
-from teaselledge_fleet.process.shares import Use
+from teaselledge_fleet.process.shares import TokenUsage
 from teaselledge_fleet.process.stalls import StallDetector
 from teaselledge_fleet.process.topology import Scope
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
@@ -25,7 +25,7 @@
 
 def router(number: int, region: str = "north", busy: float = 0.0) -> Member:
     vm = f"r{number}"
-    return Member(vm, 1, "z1", region, f"{vm}:2", f"{vm}:1", busy=busy)
+    return Member(vm, 1, "z1", region, f"{vm}:2", f"{vm}:1", utilisation=busy)
 
 
 def reached(members: list[Member], keys: list[int], dead: str = "") -> Counter:
@@ -98,12 +98,14 @@
 
 async def test_own_part_is_taken_out_as_it_was_told():
     sent = SentLoadStats()
-    sent.record(1, LoadStats({1: EndpointLoad(2, 0.5)}, {7: Use(100, 50)}))
-    sent.record(2, LoadStats({1: EndpointLoad(9, 0.5)}, {7: Use(900, 500)}))
-    sums = LoadStats({1: EndpointLoad(5, 1.0), 2: EndpointLoad(1)}, {7: Use(150, 60)})
+    sent.record(1, LoadStats({1: EndpointLoad(2, 0.5)}, {7: TokenUsage(100, 50)}))
+    sent.record(2, LoadStats({1: EndpointLoad(9, 0.5)}, {7: TokenUsage(900, 500)}))
+    sums = LoadStats(
+        {1: EndpointLoad(5, 1.0), 2: EndpointLoad(1)}, {7: TokenUsage(150, 60)}
+    )
     left = sent.subtract_sent(sums, mark_of(1))
     assert left == LoadStats(
-        {1: EndpointLoad(3, 0.5), 2: EndpointLoad(1)}, {7: Use(50, 10)}
+        {1: EndpointLoad(3, 0.5), 2: EndpointLoad(1)}, {7: TokenUsage(50, 10)}
     )
     assert sent.subtract_sent(sums, NO_MARK) == sums
 
@@ -126,14 +128,14 @@
     stalls = StallDetector(lambda: now[0])
     for _ in range(5):
         now[0] += 0.4
-        assert not stalls.stale
+        assert not stalls.recently_stalled
         stalls.tick()
     now[0] += 6.0
-    assert stalls.stale
+    assert stalls.recently_stalled
     stalls.tick()
-    assert stalls.stale
+    assert stalls.recently_stalled
     now[0] += 0.6
-    assert not stalls.stale
+    assert not stalls.recently_stalled
 
 
 async def test_frozen_router_does_not_revive_a_dead_one():
--- a/packages/fleet/tests/test_large_fleet.py
+++ b/packages/fleet/tests/test_large_fleet.py
@@ -120,8 +120,8 @@
         await asyncio.sleep(5)
         shares = [router.placer.shares for router in fleet.routers]
         for step in range(1, 40):
-            shares[7].receive("north", 1000)
+            shares[7].record_allocation("north", 1000)
             await asyncio.sleep(0.05)
             told = shares[7].sum_of_sources()
-            others = sum(use.received for use in told.values())
+            others = sum(use.allocated for use in told.values())
             assert others == 0, f"step {step}: {others}"
--- a/packages/fleet/tests/test_leaving.py
+++ b/packages/fleet/tests/test_leaving.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from teaselledge_fleet.process.leaving import TAKE_SECONDS, Leaving
+from teaselledge_fleet.process.leaving import ACCEPT_SECONDS, GracefulShutdown
 
 VIRTUAL_CLOCK = True
 GRACE = 8.0
@@ -29,10 +29,10 @@
 async def leave(running: int, ends_after: float | None) -> tuple[float, bool]:
     """Return how long leaving takes, and whether requests were cut."""
     front, serving = Front(running), Serving()
-    leaving = Leaving(GRACE, front, serving)  # type: ignore[arg-type]
+    leaving = GracefulShutdown(GRACE, front, serving)  # type: ignore[arg-type]
     loop = asyncio.get_running_loop()
     started = loop.time()
-    leaving.begin()
+    leaving.start()
     assert not front.kept
     if ends_after is not None:
         loop.call_later(ends_after, setattr, front, "running", 0)
@@ -56,15 +56,15 @@
 async def test_callers_with_old_addresses_still_find_it():
     """Callers keep an address for a while; a closed port would fail them."""
     seconds, _ = await leave(0, None)
-    assert seconds > TAKE_SECONDS
+    assert seconds > ACCEPT_SECONDS
 
 
 async def test_requests_that_could_not_end_are_refused():
     front, serving = Front(1), Serving()
-    leaving = Leaving(GRACE, front, serving)  # type: ignore[arg-type]
-    leaving.begin()
+    leaving = GracefulShutdown(GRACE, front, serving)  # type: ignore[arg-type]
+    leaving.start()
     task = asyncio.create_task(leaving.wait())
-    await asyncio.sleep(TAKE_SECONDS - 0.1)
+    await asyncio.sleep(ACCEPT_SECONDS - 0.1)
     assert not serving.leaving
     await asyncio.sleep(0.2)
     assert serving.leaving
--- a/packages/fleet/tests/test_offloading.py
+++ b/packages/fleet/tests/test_offloading.py
@@ -5,9 +5,13 @@
 from contextlib import contextmanager
 from dataclasses import dataclass, replace
 
-from teaselledge_fleet.process.busyness import CROWDED
+from teaselledge_fleet.process.busyness import HIGH_UTILISATION
 from teaselledge_fleet.process.members import Member, Members, MemberState
-from teaselledge_fleet.process.offloading import ALL_BUSY, KEPT_SECONDS, Offloading
+from teaselledge_fleet.process.offloading import (
+    CANDIDATE_TTL_SECONDS,
+    FULL_OFFLOAD_UTILISATION,
+    ConnectionOffloader,
+)
 
 VIRTUAL_CLOCK = True
 TRIES = 1000
@@ -17,7 +21,7 @@
 class Used:
     """A load."""
 
-    busy: float
+    utilisation: float
 
 
 def router(vm: str, zone: str = "z", **changes) -> Member:
@@ -30,32 +34,32 @@
     yield Members(router("r1"))
 
 
-def choices(offloading: Offloading, busy: float) -> Counter:
+def choices(offloading: ConnectionOffloader, busy: float) -> Counter:
     return Counter(offloading.choose(Used(busy)) for _ in range(TRIES))
 
 
 async def test_more_connections_are_passed_on_the_busier_a_router_is(members):
     members.hear(router("r2"))
-    offloading = Offloading(members)
-    assert choices(offloading, CROWDED) == {None: TRIES}
-    half = choices(offloading, (CROWDED + ALL_BUSY) / 2)
+    offloading = ConnectionOffloader(members)
+    assert choices(offloading, HIGH_UTILISATION) == {None: TRIES}
+    half = choices(offloading, (HIGH_UTILISATION + FULL_OFFLOAD_UTILISATION) / 2)
     assert 0.4 * TRIES < half["r2:82"] < 0.6 * TRIES
-    assert choices(offloading, ALL_BUSY) == {"r2:82": TRIES}
+    assert choices(offloading, FULL_OFFLOAD_UTILISATION) == {"r2:82": TRIES}
 
 
 async def test_routers_with_more_room_take_more(members):
     members.hear(router("large", cores=2.0))
     members.hear(router("small", cores=0.5))
-    found = choices(Offloading(members), 1.0)
+    found = choices(ConnectionOffloader(members), 1.0)
     assert found["large:82"] > 3 * found["small:82"]
 
 
 async def test_only_routers_of_the_zone_with_time_take_connections_over(members):
     members.hear(router("elsewhere", zone="y"))
-    members.hear(router("crowded", busy=CROWDED))
+    members.hear(router("crowded", utilisation=HIGH_UTILISATION))
     members.hear(replace(router("older"), relay_port=0))
     members.hear(replace(router("leaving"), state=MemberState.LEAVING))
-    assert choices(Offloading(members), 1.0) == {None: TRIES}
+    assert choices(ConnectionOffloader(members), 1.0) == {None: TRIES}
 
 
 async def test_router_that_hears_nobody_goes_on_with_those_it_knew(members):
@@ -64,10 +68,10 @@
     All of them look silent, and it would refuse everything while they have time.
     """
     members.hear(router("r2"))
-    offloading = Offloading(members)
+    offloading = ConnectionOffloader(members)
     assert offloading.choose(Used(1.0)) == "r2:82"
-    await asyncio.sleep(KEPT_SECONDS / 2)
+    await asyncio.sleep(CANDIDATE_TTL_SECONDS / 2)
     assert members.ready == [members.own]
     assert offloading.choose(Used(1.0)) == "r2:82"
-    await asyncio.sleep(KEPT_SECONDS)
+    await asyncio.sleep(CANDIDATE_TTL_SECONDS)
     assert offloading.choose(Used(1.0)) is None
--- a/packages/fleet/tests/test_one_router_flooded.py
+++ b/packages/fleet/tests/test_one_router_flooded.py
@@ -17,10 +17,10 @@
 
 from teaselledge_fleet.connection.front import Incoming
 from teaselledge_fleet.connection.pool import ConnectionPool
-from teaselledge_fleet.process.budget import RepeatBudget
+from teaselledge_fleet.process.budget import RetryBudget
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView
 from teaselledge_fleet.process.placing import FleetPlacer
-from teaselledge_fleet.process.shares import Use
+from teaselledge_fleet.process.shares import TokenUsage
 from teaselledge_fleet.process.work import name_hash
 from teaselledge_fleet.request.call import Call, Prompt
 from teaselledge_fleet.request.owndialect import OwnDialect
@@ -86,7 +86,7 @@
     Its share is then divided among the others, and nobody is over theirs.
     """
     placer = FleetPlacer(EndpointView(), "north-a", {"north-a": "north"})
-    server = Server(PromptDialect(), ConnectionPool(), placer, RepeatBudget())
+    server = Server(PromptDialect(), ConnectionPool(), placer, RetryBudget())
     server.routing = make_routing(make_route(Repeat.ANY, prompt=True, public=False))
     server.late = lambda: True
     line = RequestStartLine("GET", "/r/1", "HTTP/1.1")
@@ -95,4 +95,4 @@
     answers = Refusals()
     await server.serve(incoming, answers)
     assert answers.status == 503
-    assert placer.shares.own() == {name_hash("cellar"): Use(1200, 0)}
+    assert placer.shares.local() == {name_hash("cellar"): TokenUsage(1200, 0)}
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -7,9 +7,9 @@
 from teaselledge_fleet.process.admission import AdmissionDecision
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView, Entry
 from teaselledge_fleet.process.placing import FleetPlacer
-from teaselledge_fleet.process.prefixes import ranked
+from teaselledge_fleet.process.prefixes import rendezvous_order
 from teaselledge_fleet.process.revision import Revision
-from teaselledge_fleet.process.shares import Use
+from teaselledge_fleet.process.shares import TokenUsage
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
 from teaselledge_fleet.request.call import Call, Prompt, PromptPart
 from teaselledge_fleet.request.context import Outcome, RequestContext
@@ -50,7 +50,7 @@
 
     def fill(self, engine: str, reading: float, running: int = 1) -> None:
         """Let another router tell of work at an engine."""
-        self.placer.work.update_source(
+        self.placer.load.update_source(
             "r2", {name_hash(engine): EndpointLoad(running, reading)}
         )
 
@@ -69,7 +69,7 @@
             context = desk.context(part)
             chosen.add(await placed(desk, context))
             desk.placer.began(context, desk.view.get(next(iter(chosen))))
-        assert chosen == {ranked(part, ENGINES)[0].id}
+        assert chosen == {rendezvous_order(part, ENGINES)[0].id}
 
 
 async def test_another_router_chooses_the_same_engine():
@@ -83,8 +83,8 @@
 
 async def test_a_part_stays_when_another_engine_goes():
     desk = Desk()
-    home = ranked("p1", ENGINES)[0].id
-    other = ranked("p1", ENGINES)[1].id
+    home = rendezvous_order("p1", ENGINES)[0].id
+    other = rendezvous_order("p1", ENGINES)[1].id
     desk.view.merge([Entry(other, Revision(0, 2), None)])
     assert await placed(desk, desk.context("p1")) == home
 
@@ -92,7 +92,7 @@
 async def test_a_new_first_choice_copies_the_part_from_the_old_one():
     """The engine that keeps a part leaves; the next one need not read it anew."""
     desk = Desk()
-    home, second = ranked("p1", ENGINES)[:2]
+    home, second = rendezvous_order("p1", ENGINES)[:2]
     result = await desk.placer.place(desk.context("p1"))
     assert result.ok.endpoint == home
     assert result.ok.fetch_from == second.address
@@ -107,7 +107,7 @@
     desk = Desk()
     for engine in ENGINES:
         desk.fill(engine.id, 0.0)
-    desk.placer.work.update_source(
+    desk.placer.load.update_source(
         "r2", {name_hash(e.id): EndpointLoad(5, 0.6) for e in ENGINES}
     )
     refused = await placed(desk, desk.context())
@@ -117,7 +117,7 @@
 
 async def test_a_short_prompt_leaves_a_full_engine():
     desk = Desk()
-    home = ranked("chat", ENGINES)[0].id
+    home = rendezvous_order("chat", ENGINES)[0].id
     desk.fill(home, 0.05, running=47)
     context = desk.context("chat", shared=350, own=1_100, size=1_500)
     assert await placed(desk, context) != home
@@ -129,11 +129,11 @@
     desk.placer.shares.update_source(
         "r2",
         {
-            name_hash("flood"): Use(900_000, 500_000),
-            name_hash("cellar"): Use(300_000, 100_000),
+            name_hash("flood"): TokenUsage(900_000, 500_000),
+            name_hash("cellar"): TokenUsage(300_000, 100_000),
         },
     )
-    desk.placer.work.update_source(
+    desk.placer.load.update_source(
         "r2", {name_hash(e.id): EndpointLoad(5, 0.2) for e in ENGINES}
     )
     flood = await placed(desk, desk.context(owner="flood"))
@@ -148,16 +148,16 @@
     another one that asked for more than that was refused and got 0.7 million.
     """
     desk = Desk()
-    desk.placer.shares.promise(100_000)
+    desk.placer.shares.set_guaranteed_rate(100_000)
     uses = {
-        "flood": Use(3_000_000, 1_200_000),
-        "other": Use(1_500_000, 400_000),
-        "cellar": Use(300_000, 300_000),
+        "flood": TokenUsage(3_000_000, 1_200_000),
+        "other": TokenUsage(1_500_000, 400_000),
+        "cellar": TokenUsage(300_000, 300_000),
     }
     desk.placer.shares.update_source(
         "r2", {name_hash(name): use for name, use in uses.items()}
     )
-    desk.placer.work.update_source(
+    desk.placer.load.update_source(
         "r2", {name_hash(e.id): EndpointLoad(5, 0.07) for e in ENGINES}
     )
     flood = await placed(desk, desk.context(owner="flood"))
@@ -168,14 +168,16 @@
 
 async def test_nobody_is_refused_while_engines_have_room():
     desk = Desk()
-    desk.placer.shares.update_source("r2", {name_hash("flood"): Use(900_000, 500_000)})
+    desk.placer.shares.update_source(
+        "r2", {name_hash("flood"): TokenUsage(900_000, 500_000)}
+    )
     assert isinstance(await placed(desk, desk.context(owner="flood")), str)
 
 
 async def test_work_of_a_silent_router_is_forgotten():
     """A router is cut off; what it had told must not block engines for ever."""
     desk = Desk()
-    desk.placer.work.update_source(
+    desk.placer.load.update_source(
         "r2", {name_hash(e.id): EndpointLoad(48, 5.0) for e in ENGINES}
     )
     assert not isinstance(await placed(desk, desk.context()), str)
@@ -191,7 +193,7 @@
         desk.placer.ended(context, desk.view.get(name), outcome)
         await asyncio.sleep(60)
     for engine in ENGINES:
-        total = desk.placer.work.total(engine.id)
+        total = desk.placer.load.total(engine.id)
         assert (total.in_flight, round(total.prefill_seconds, 9)) == (0, 0)
 
 
@@ -216,7 +218,7 @@
         """Answer what was filled in."""
         return self.holders
 
-    def tell(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
+    def report_use(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
         """Note what is told."""
         self.told.append(endpoint.id)
 
@@ -228,10 +230,10 @@
     part was read again: the longest prompts came late.
     """
     desk = Desk()
-    third = ranked("p1", ENGINES)[2]
+    third = rendezvous_order("p1", ENGINES)[2]
     directory = Directory([name_hash(third.id)])
-    desk.placer.locate_with(directory)
-    desk.placer.work.update_source("r2", {name_hash(third.id): EndpointLoad(5, 0.35)})
+    desk.placer.set_locator(directory)
+    desk.placer.load.update_source("r2", {name_hash(third.id): EndpointLoad(5, 0.35)})
     result = await desk.placer.place(desk.context("p1"))
     assert result.ok.endpoint != third
     assert result.ok.fetch_from == third.address
@@ -240,19 +242,21 @@
 
 async def test_an_engine_that_keeps_a_part_goes_before_its_first_choice():
     desk = Desk()
-    third = ranked("p1", ENGINES)[2]
-    desk.placer.locate_with(Directory([name_hash(third.id)]))
+    third = rendezvous_order("p1", ENGINES)[2]
+    desk.placer.set_locator(Directory([name_hash(third.id)]))
     assert await placed(desk, desk.context("p1")) == third.id
 
 
 async def test_a_part_that_nobody_keeps_is_read_whole_by_its_first_choice():
     """The part was dropped everywhere; the engine is behind by its whole length."""
     desk = Desk()
-    desk.placer.locate_with(Directory([]))
+    desk.placer.set_locator(Directory([]))
     context = desk.context("p1", shared=13_000, own=3_700)
-    assert await placed(desk, context) == ranked("p1", ENGINES)[0].id
+    assert await placed(desk, context) == rendezvous_order("p1", ENGINES)[0].id
     kept = desk.context("p1", shared=13_000, own=3_700)
-    desk.placer.locate_with(Directory([name_hash(ranked("p1", ENGINES)[0].id)]))
+    desk.placer.set_locator(
+        Directory([name_hash(rendezvous_order("p1", ENGINES)[0].id)])
+    )
     await placed(desk, kept)
     assert context.reading > 2 * kept.reading
 
@@ -260,17 +264,19 @@
 async def test_without_a_directory_the_first_choice_is_taken_to_keep_a_part():
     """The router that keeps the directory is cut off; requests go on as before."""
     desk = Desk()
-    desk.placer.locate_with(Directory(None))
-    assert await placed(desk, desk.context("p1")) == ranked("p1", ENGINES)[0].id
+    desk.placer.set_locator(Directory(None))
+    assert (
+        await placed(desk, desk.context("p1")) == rendezvous_order("p1", ENGINES)[0].id
+    )
 
 
 async def test_short_parts_are_not_asked_for():
     """Asking for each short prompt would cost routers more than it saves engines."""
     desk = Desk()
-    directory = Directory([name_hash(ranked("p1", ENGINES)[2].id)])
-    desk.placer.locate_with(directory)
+    directory = Directory([name_hash(rendezvous_order("p1", ENGINES)[2].id)])
+    desk.placer.set_locator(directory)
     context = desk.context("p1", shared=300, own=600, size=900)
-    assert await placed(desk, context) == ranked("p1", ENGINES)[0].id
+    assert await placed(desk, context) == rendezvous_order("p1", ENGINES)[0].id
     assert directory.told == []
 
 
@@ -279,7 +285,7 @@
     desk = Desk()
     for owner, shared in (("cellar", 13_000), ("flood", 1_000)):
         await placed(desk, desk.context("p1", shared=shared, own=3_700, owner=owner))
-    uses = desk.placer.shares.own()
+    uses = desk.placer.shares.local()
     assert uses[name_hash("cellar")] == uses[name_hash("flood")]
 
 
@@ -290,8 +296,8 @@
     best again and again, and callers were refused on a quiet day.
     """
     desk = Desk()
-    home = ranked("p1", ENGINES)[0].id
-    desk.placer.locate_with(Directory([name_hash(home)]))
+    home = rendezvous_order("p1", ENGINES)[0].id
+    desk.placer.set_locator(Directory([name_hash(home)]))
     desk.fill(home, 0.45, running=3)
     placed_at = await placed(desk, desk.context("p1", shared=30_000))
     assert isinstance(placed_at, str)
@@ -308,7 +314,7 @@
         return AdmissionDecision(False, EndpointLoad(5, 0.6))
 
     desk.placer.set_admission_check(ask)
-    desk.placer.work.update_source(
+    desk.placer.load.update_source(
         "r2", {name_hash(e.id): EndpointLoad(5, 0.6) for e in ENGINES}
     )
     refused = await placed(desk, desk.context())
@@ -324,7 +330,7 @@
         await asyncio.sleep(3.0)
         desk.placer.began(context, engine)
         desk.placer.ended(context, engine, Outcome.WHOLE)
-    return desk.placer._chooser.reading.factor("books")
+    return desk.placer._chooser.prefill.slowdown("books")
 
 
 async def test_own_delay_is_not_taken_for_slow_engines():
@@ -334,7 +340,7 @@
     their share at engines with nothing to do.
     """
     desk = Desk()
-    desk.placer.learn_if(lambda at: False)
+    desk.placer.set_sample_filter(lambda at: False)
     assert await answer_late(desk, 100) == 1.0
-    desk.placer.learn_if(lambda at: True)
+    desk.placer.set_sample_filter(lambda at: True)
     assert await answer_late(desk, 20) > 1.0
--- a/packages/fleet/tests/test_prefill.py
+++ b/packages/fleet/tests/test_prefill.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import dataclass
 
-from teaselledge_fleet.process.prefill import BUSY_PART, ReadingModel
+from teaselledge_fleet.process.prefill import PREFILL_TIME_FRACTION, PrefillModel
 
 PROMPTS = (
     (826, 628),
@@ -37,24 +37,26 @@
     besides: float = 0.06
     noise: float = 0.25
 
-    def answer(self, model: ReadingModel, chance: random.Random) -> None:
+    def answer(self, model: PrefillModel, chance: random.Random) -> None:
         """Let the model see one answer, behind up to four other prompts."""
-        prior = ReadingModel()
+        prior = PrefillModel()
         ahead = [chance.choice(PROMPTS) for _ in range(chance.randint(1, 5))]
-        true = sum(prior.seconds("books", *each) for each in ahead) * self.factor
-        taken = self.besides + true / BUSY_PART * chance.lognormvariate(0, self.noise)
-        believed = sum(model.seconds("books", *each) for each in ahead)
+        true = sum(prior.predict("books", *each) for each in ahead) * self.factor
+        taken = self.besides + true / PREFILL_TIME_FRACTION * chance.lognormvariate(
+            0, self.noise
+        )
+        believed = sum(model.predict("books", *each) for each in ahead)
         model.observe("books", believed, taken)
 
 
 def learnt(engines: Engines, answers: int = ANSWERS, odd: int = 0) -> float:
     """Return the factor learnt, as a part of the true one; each odd answer is wild."""
-    chance, model = random.Random(1), ReadingModel()
+    chance, model = random.Random(1), PrefillModel()
     for number in range(answers):
         engines.answer(model, chance)
         if odd and number % odd == 0:
             model.observe("books", 0.3, chance.choice((0.001, 30.0)))
-    return model.factor("books") / engines.factor
+    return model.slowdown("books") / engines.factor
 
 
 def test_engines_of_another_speed_are_learnt_within_200_answers():
@@ -75,24 +77,24 @@
 
 def test_engines_that_change_are_learnt_anew():
     """The engines of a service are replaced by slower ones."""
-    chance, model = random.Random(2), ReadingModel()
+    chance, model = random.Random(2), PrefillModel()
     for factor in (0.5, 2.0):
         for _ in range(ANSWERS):
             Engines(factor).answer(model, chance)
-        assert abs(model.factor("books") / factor - 1) <= WITHIN
+        assert abs(model.slowdown("books") / factor - 1) <= WITHIN
 
 
 def test_short_answers_tell_nothing_of_reading():
     """An idle engine answers short prompts in the time of the way there and back."""
-    model = ReadingModel()
+    model = PrefillModel()
     for _ in range(ANSWERS):
         model.observe("books", 0.01, 0.08)
-    assert model.factor("books") == 1.0
+    assert model.slowdown("books") == 1.0
 
 
 def test_services_are_learnt_apart():
     """One service has slow engines; prompts for another one must not be refused."""
-    chance, model = random.Random(3), ReadingModel()
+    chance, model = random.Random(3), PrefillModel()
     for _ in range(ANSWERS):
         Engines(3.0).answer(model, chance)
-    assert model.factor("letters") == 1.0
+    assert model.slowdown("letters") == 1.0
--- a/packages/fleet/tests/test_relay.py
+++ b/packages/fleet/tests/test_relay.py
@@ -7,7 +7,7 @@
 
 from teaselledge_fleet.connection.relay import RelayPool, preface, read_preface
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_fleet.process.passingrate import PassingRate
+from teaselledge_fleet.process.passingrate import OffloadLimiter
 from teaselledge_fleet.version.routes import Repeat
 from teaselledge_standins.fleetrouters import RunningRouter, running_routers
 from teaselledge_standins.routes import HOST, ask, make_route, make_routing
@@ -135,10 +135,10 @@
     pair.neighbour.router._limit._limit = 0
     crowded = pair.crowded.router
     # ticks come when the test says so
-    passing, crowded._passing.tick = crowded._passing, lambda: None
+    passing, crowded._passing.start_tick = crowded._passing, lambda: None
     for _ in range(REFUSED):
         assert (await ask(pair.crowded.port)).status == 503
-    PassingRate.tick(passing)
+    OffloadLimiter.start_tick(passing)
     passed_on = crowded._front.acceptor.passed_on
     for _ in range(REFUSED):
         assert (await ask(pair.crowded.port)).status == 503
--- a/packages/fleet/tests/test_serving.py
+++ b/packages/fleet/tests/test_serving.py
@@ -3,7 +3,7 @@
 import asyncio
 import socket
 
-from teaselledge_fleet.process.budget import RepeatBudget, RepeatLimits
+from teaselledge_fleet.process.budget import RetryBudget, RetryLimits
 from teaselledge_fleet.version.routes import Repeat, Target
 from teaselledge_standins.routes import ask, make_route, make_routing, serving
 from teaselledge_standins.scripted import (
@@ -265,7 +265,7 @@
     async with ScriptedEndpoint(failing) as first, ScriptedEndpoint(failing) as second:
         route = make_route(Repeat.ANY)
         async with serving(route, first.address, second.address) as served:
-            served.server._budget = RepeatBudget(RepeatLimits(0.2, 4.0, 10.0, 1.0))
+            served.server._budget = RetryBudget(RetryLimits(0.2, 4.0, 10.0, 1.0))
             for _ in range(30):
                 await ask(served.port)
     assert 4 <= len(second.received) <= 0.2 * 30 + 4
--- a/packages/fleet/tests/test_waiting.py
+++ b/packages/fleet/tests/test_waiting.py
@@ -4,7 +4,7 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-from teaselledge_fleet.process.shares import Standing
+from teaselledge_fleet.process.shares import ShareStatus
 from teaselledge_fleet.process.waiting import (
     WAIT_FRACTION,
     WAIT_FRACTION_OVER_SHARE,
@@ -42,20 +42,24 @@
 def test_the_shortest_objective_of_a_service_bounds_all_its_prompts():
     """Plain requests and other services queue elsewhere and don't count."""
     for each in (DOSSIER, HEADLINE):
-        assert bounds().max_wait(each, "books", Standing.INSIDE) == WAIT_FRACTION * 0.8
-    assert bounds().max_wait(OTHER, "letters", Standing.INSIDE) == WAIT_FRACTION * 0.1
+        assert (
+            bounds().max_wait(each, "books", ShareStatus.INSIDE) == WAIT_FRACTION * 0.8
+        )
+    assert (
+        bounds().max_wait(OTHER, "letters", ShareStatus.INSIDE) == WAIT_FRACTION * 0.1
+    )
 
 
 def test_organisations_over_their_share_wait_less():
     assert (
-        bounds().max_wait(DOSSIER, "books", Standing.OVER)
+        bounds().max_wait(DOSSIER, "books", ShareStatus.OVER)
         == WAIT_FRACTION_OVER_SHARE * 0.8
     )
 
 
 def test_an_unknown_service_is_bounded_by_the_own_objective():
     """A split names a service that a newer version has brought."""
-    assert bounds().max_wait(DOSSIER, "new", Standing.INSIDE) == WAIT_FRACTION * 0.8
+    assert bounds().max_wait(DOSSIER, "new", ShareStatus.INSIDE) == WAIT_FRACTION * 0.8
 
 
 @dataclass
@@ -71,7 +75,7 @@
         """Take a prompt that need not wait too long."""
         self.asked[kind.name] += 1
         wait = max(0.0, self.free_at - now)
-        if wait <= self.bounds.max_wait(kind, "books", Standing.INSIDE):
+        if wait <= self.bounds.max_wait(kind, "books", ShareStatus.INSIDE):
             self.served[kind.name] += 1
             self.free_at = now + wait + reading
 
--- a/packages/standins/src/teaselledge_standins/fleetrouters.py
+++ b/packages/standins/src/teaselledge_standins/fleetrouters.py
@@ -37,17 +37,17 @@
 class UsedUp:
     """Stands for the busyness of a router that has no processor time left."""
 
-    late: bool = False
+    recently_blocked: bool = False
     overloaded: bool = True
-    busy: float = 1.0
-    crowded: float = 1.0
-    loop_used: float = 0.0
+    utilisation: float = 1.0
+    rebalance_fraction: float = 1.0
+    loop_utilisation: float = 0.0
 
-    def prompt_since(self, at: float) -> bool:
+    def responsive_since(self, at: float) -> bool:
         """Return that it is late all the time."""
         return False
 
-    def take_longest_turn(self) -> float:
+    def pop_longest_iteration(self) -> float:
         """Return that turns are short: the limit of connections is not wanted here."""
         return 0.0
 
--- a/packages/standins/src/teaselledge_standins/routes.py
+++ b/packages/standins/src/teaselledge_standins/routes.py
@@ -9,7 +9,7 @@
 from teaselledge_fleet.connection.front import FrontServer
 from teaselledge_fleet.connection.pool import ConnectionPool
 from teaselledge_fleet.faults import Fault, FaultKind
-from teaselledge_fleet.process.budget import RepeatBudget
+from teaselledge_fleet.process.budget import RetryBudget
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.request.call import Call
 from teaselledge_fleet.request.context import Outcome, Placement, RequestContext
@@ -120,7 +120,7 @@
     ]
     pool = ConnectionPool()
     placer = InOrder(endpoints)
-    server = Server(OwnDialect(), pool, placer, RepeatBudget())
+    server = Server(OwnDialect(), pool, placer, RetryBudget())
     server.routing = make_routing(route)
     front = FrontServer(server.serve, 1 << 16, 1 << 20, 15.0)
     front.listen("127.0.0.1", 0)
--- a/packages/standins/src/teaselledge_standins/spreadfleet.py
+++ b/packages/standins/src/teaselledge_standins/spreadfleet.py
@@ -18,7 +18,7 @@
 from teaselledge_fleet.process.admissionrpc import AdmissionRpc
 from teaselledge_fleet.process.coordinators import Coordinators
 from teaselledge_fleet.process.gossip import Spreading
-from teaselledge_fleet.process.locating import PartLocator
+from teaselledge_fleet.process.locating import PrefixLocator
 from teaselledge_fleet.process.members import Member, Members, MemberState
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.registration import Registration
@@ -151,7 +151,7 @@
         members.set_state(MemberState.READY)
         belief = Belief(vm, decode)
         placer = FleetPlacer(belief.view, zone, {})
-        work, admission = placer.work, AdmissionController()
+        work, admission = placer.load, AdmissionController()
         work.coordinated_load = admission.total_load
         coordinators = Coordinators(members)
         link = _Link(self, vm)
@@ -172,7 +172,7 @@
         client = StoreClient(self.store, vm)
         follower = StoreFollower(vm, client, belief, address not in seeds)
         placer.set_admission_check(asking.request_admission)
-        placer.locate_with(PartLocator(members, link, coordinators))
+        placer.set_locator(PrefixLocator(members, link, coordinators))
         registration = Registration(client, members, belief)
         router = SpreadRouter(
             vm,
--- a/tools/spread_cost.py
+++ b/tools/spread_cost.py
@@ -78,7 +78,7 @@
     """Give each router use of organisations to tell of."""
     for router in fleet.routers:
         for number in random.sample(range(ORGANISATIONS), ORGANISATIONS // 2):
-            router.placer.shares.ask(f"organisation-{number}", 20_000)
+            router.placer.shares.record_request(f"organisation-{number}", 20_000)
 
 
 async def call(router: SpreadRouter, endpoints: int) -> None:
