--- a/packages/ctl/src/teaselctl/commands/routers.py
+++ b/packages/ctl/src/teaselctl/commands/routers.py
@@ -8,8 +8,8 @@
 from teaselledge_fleet.process.members import (
     HINT_SECONDS,
     Member,
+    MemberReport,
     MemberState,
-    Report,
 )
 from teaselledge_wire.gen.fleet.ttypes import WholeState
 
@@ -33,8 +33,8 @@
     if fetched.is_error():
         raise CommandError(f"{FLAGS.router}: {fetched.error}")
     state = fetched.ok
-    routers = [_row(Report.from_wire(info)) for info in state.routers or ()]
-    own = _row(Report(Member.from_wire(state.sender), 0.0))
+    routers = [_row(MemberReport.from_wire(info)) for info in state.routers or ()]
+    own = _row(MemberReport(Member.from_wire(state.sender), 0.0))
     value = {**_summary(state), "routers": [own, *routers]}
     return Output(value, _told(value))
 
@@ -52,14 +52,14 @@
     }
 
 
-def _row(report: Report) -> dict[str, Any]:
+def _row(report: MemberReport) -> dict[str, Any]:
     member = report.member
     return {
         "vm": member.vm,
         "zone": member.zone,
         "state": member.state.name.lower(),
         "busy": member.utilisation,
-        "silent_seconds": report.silent,
+        "silent_seconds": report.silent_seconds,
     }
 
 
--- a/packages/ctl/tests/test_routers.py
+++ b/packages/ctl/tests/test_routers.py
@@ -25,7 +25,7 @@
     routing = make_routing(make_route(Repeat.ANY))
     async with running_routers(ROUTERS, routing, endpoints) as routers:
         await asyncio.sleep(SETTLED_SECONDS)
-        peers = routers[1].router._members.own.peers
+        peers = routers[1].router._members.own.peer_address
         with flagsaver.flagsaver(router=peers):
             output = await run([])
     value = output.value
--- a/packages/fleet/src/teaselledge_fleet/connection/figures.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/figures.py
@@ -4,9 +4,9 @@
 
 from teaselledge_fleet.process.members import (
     SILENT_SECONDS,
+    MemberReport,
     MemberState,
-    Report,
-    Status,
+    MemberStatus,
 )
 from teaselledge_fleet.process.shares import TokenUsage
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
@@ -86,7 +86,7 @@
     }
 
 
-def pack_alive(reports: list[Report]) -> bytes:
+def pack_alive(reports: list[MemberReport]) -> bytes:
     """Return which routers answer, as bytes."""
     return b"".join(
         ALIVE.pack(
@@ -98,10 +98,12 @@
     )
 
 
-def pack_ages(reports: list[Report]) -> bytes:
+def pack_ages(reports: list[MemberReport]) -> bytes:
     """Return how long ago these routers were heard, as bytes in the same order."""
     return bytes(
-        OLDEST if report.silent is None else _cut(report.silent / AGE_SECONDS, OLDEST)
+        OLDEST
+        if report.silent_seconds is None
+        else _cut(report.silent_seconds / AGE_SECONDS, OLDEST)
         for report in reports[: MOST_BYTES // ALIVE.size]
     )
 
@@ -118,7 +120,7 @@
     return dict(zip(keys, marks, strict=False))
 
 
-def unpack_alive(data: bytes, ages: bytes) -> dict[int, Status]:
+def unpack_alive(data: bytes, ages: bytes) -> dict[int, MemberStatus]:
     """Return what bytes tell of routers, by key.
 
     A sender of an earlier release tells no ages; it names a router for as long as one
@@ -132,7 +134,7 @@
         silent = SILENT_SECONDS
         if place < len(ages):
             silent = ages[place] * AGE_SECONDS
-        found[key] = Status(MemberState(state), busy / PERCENT, silent)
+        found[key] = MemberStatus(MemberState(state), busy / PERCENT, silent)
     return found
 
 
--- a/packages/fleet/src/teaselledge_fleet/process/addresses.py
+++ b/packages/fleet/src/teaselledge_fleet/process/addresses.py
@@ -57,7 +57,7 @@
         added = _sample(_with_room(ring), max(0, missing))
         chosen += added
         missing -= len(added)
-    return [member.callers for member in chosen[:MOST]]
+    return [member.caller_address for member in chosen[:MOST]]
 
 
 def _with_room(members: Sequence[Member]) -> Sequence[Member]:
--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -130,7 +130,7 @@
         if coordinator.vm == self._members.own.vm:
             return self._noted(endpoint, added, self._admission.decide(question))
         self.queries_sent += 1
-        self._socket.send(coordinator.peers, _to_wire(question))
+        self._socket.send(coordinator.peer_address, _to_wire(question))
         answer = None
         try:
             answer = await self._coordinators.wait_for_reply(
@@ -183,7 +183,7 @@
             coordinator = self._coordinators.for_endpoint(endpoint)
             if coordinator is None:
                 continue
-            addresses[coordinator.vm] = coordinator.peers
+            addresses[coordinator.vm] = coordinator.peer_address
             self._known[name] = self._work.local(name)
             reports[coordinator.vm][name_hash(name)] = self._work.local(name)
         for vm, work in reports.items():
--- a/packages/fleet/src/teaselledge_fleet/process/advertised.py
+++ b/packages/fleet/src/teaselledge_fleet/process/advertised.py
@@ -25,7 +25,7 @@
         """Compare the directory with that of the last call."""
         current = {member.vm for member in self._members.ready}
         for vm in sorted(current ^ self._advertised):
-            evidence = self._members.evidence(vm)
+            evidence = self._members.liveness(vm)
             _log.info(
                 "router advertised" if vm in current else "router not advertised",
                 vm=vm,
--- a/packages/fleet/src/teaselledge_fleet/process/coordinators.py
+++ b/packages/fleet/src/teaselledge_fleet/process/coordinators.py
@@ -90,11 +90,11 @@
         told = self._told.get(zone)
         fresh = told is not None and self._now() - told.at <= TOLD_SECONDS
         if zone == own.zone:
-            members = [*self._members.answering, own]
+            members = [*self._members.alive, own]
         elif told is not None and fresh:
             members = told.members
         else:
-            members = self._members.others
+            members = self._members.peers
         taking = [
             member
             for member in members
@@ -153,7 +153,7 @@
         if found:
             return found
         own = self._members.own
-        zones = {m.zone for m in [*self._members.others, own]}
+        zones = {m.zone for m in [*self._members.peers, own]}
         return self.for_zone(min(zones, key=lambda z: _order(endpoint.id, z)))
 
     def _is_silent(self, member: Member) -> bool:
--- a/packages/fleet/src/teaselledge_fleet/process/forwarding.py
+++ b/packages/fleet/src/teaselledge_fleet/process/forwarding.py
@@ -12,8 +12,8 @@
     "MAX_FORWARDER_UTILISATION",
     "Delivery",
     "SeenMessages",
-    "deliveries",
-    "relay_order",
+    "plan_deliveries",
+    "forwarding_order",
 ]
 
 FANOUT = 2
@@ -38,20 +38,20 @@
 
     Attributes
     ----------
-    member : Member
+    recipient : Member
         Who gets it.
-    pass_to : list of int
+    forward_to : list of int
         Numbers of the routers to which that one passes it on.
-    introduce : tuple of Member
+    unknown_members : tuple of Member
         Those of them that it may not know.
     """
 
-    member: Member
-    pass_to: list[int]
-    introduce: tuple[Member, ...] = ()
+    recipient: Member
+    forward_to: list[int]
+    unknown_members: tuple[Member, ...] = ()
 
 
-def relay_order(members: Iterable[Member]) -> list[int]:
+def forwarding_order(members: Iterable[Member]) -> list[int]:
     """Return the numbers of routers in the order in which they are to be reached.
 
     Those in the first half pass the message on. The order is another one each time: a
@@ -63,7 +63,7 @@
     return [name_hash(member.vm) for member in shuffled]
 
 
-def deliveries(
+def plan_deliveries(
     keys: Sequence[int], region: str, find: Callable[[int], Member | None]
 ) -> list[Delivery]:
     """Return the copies by which a message reaches all routers of some numbers.
--- a/packages/fleet/src/teaselledge_fleet/process/gossip.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -35,9 +35,9 @@
 from teaselledge_fleet.process.forwarding import (
     Delivery,
     SeenMessages,
-    deliveries,
+    plan_deliveries,
 )
-from teaselledge_fleet.process.members import Member, Members, Report
+from teaselledge_fleet.process.members import Member, MemberReport, Members
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.sent import NO_MARK, LoadStats
 from teaselledge_fleet.process.shares import OrganisationShares
@@ -47,7 +47,7 @@
 from teaselledge_fleet.process.topology import Scope, Topology
 from teaselledge_fleet.process.work import FleetLoad, name_hash
 
-__all__ = ["Spreading"]
+__all__ = ["Gossip"]
 
 _log = get_log("peers")
 
@@ -104,7 +104,7 @@
 """Least time between two fetches of a whole state."""
 
 
-class Spreading:
+class Gossip:
     """Sends pulses to the other routers and takes theirs."""
 
     def __init__(
@@ -142,18 +142,18 @@
         self._summed_at = -math.inf
         self._fetching: asyncio.Task[None] | None = None
         self._soon = asyncio.Event()
-        self.on_members: Callable[[], None] = lambda: None
+        self.on_membership_change: Callable[[], None] = lambda: None
         self._repeats = 0
         belief.on_change.append(self._repeat_soon)
 
-    def use_seeds(self, seeds: Iterable[str]) -> None:
+    def set_seeds(self, seeds: Iterable[str]) -> None:
         """Take other seeds."""
         self._seeds = tuple(seeds)
 
     async def run(self) -> None:
         """Send pulses for ever, and at once after a change."""
         while True:
-            self.pulse()
+            self.send_heartbeats()
             self._soon.clear()
             await asyncio.sleep(SOONEST_SECONDS)
             try:
@@ -164,7 +164,7 @@
 
     def _next_pause(self) -> float:
         """Return the time until the next pulse, unless there is news."""
-        if self._topology.flat:
+        if self._topology.is_full_mesh:
             return PULSE_SECONDS * random.uniform(0.9, 1.1)
         if self._repeats:
             self._repeats -= 1
@@ -176,7 +176,7 @@
         self._repeats = REPEATED - 1
         self._soon.set()
 
-    def pulse(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a pulse to each router that is to be told."""
         self._stalls.tick()
         self._advertised_log.update()
@@ -184,17 +184,17 @@
         changes = self._next_changes()
         self._turn += 1
         sums_due = self._sums_due()
-        for audience in self._topology.audiences():
+        for audience in self._topology.recipient_groups():
             scope = audience.scope
             if scope in (Scope.FLEET, Scope.ZONE) and not sums_due:
                 scope = Scope.NEWS
-            self._deliver(self._make(scope, changes), audience.copies)
-        told = {member.peers for member in self._members.others}
-        seeds = set(self._seeds) - told - {self._members.own.peers}
+            self._deliver(self._make(scope, changes), audience.deliveries)
+        told = {member.peer_address for member in self._members.peers}
+        seeds = set(self._seeds) - told - {self._members.own.peer_address}
         if seeds:
             self._socket.send_all(sorted(seeds), self._make(Scope.OWN, changes))
 
-    def state(self) -> WholeState:
+    def snapshot(self) -> WholeState:
         """Return everything this router knows."""
         belief = self._belief
         return WholeState(
@@ -209,7 +209,7 @@
             belief.era,
         )
 
-    async def learn_from(self, address: str) -> bool:
+    async def fetch_snapshot(self, address: str) -> bool:
         """Fetch everything that a router knows; False where that failed."""
         fetched = await self._client.fetch(address)
         if fetched.is_error():
@@ -234,8 +234,8 @@
             return
         self._noted_unheard_at = now
         members = self._members
-        others, answering = members.others, members.answering
-        if not self._topology.flat:
+        others, answering = members.peers, members.alive
+        if not self._topology.is_full_mesh:
             zone = members.own.zone
             others = [m for m in others if m.zone == zone]
             answering = [m for m in answering if m.zone == zone]
@@ -300,22 +300,26 @@
 
     def _deliver(self, pulse: Pulse, copies: Iterable[Delivery]) -> None:
         """Send a pulse to the first routers that get it."""
-        direct = [delivery.member.peers for delivery in copies if not delivery.pass_to]
+        direct = [
+            delivery.recipient.peer_address
+            for delivery in copies
+            if not delivery.forward_to
+        ]
         self._socket.send_all(direct, pulse)
         for delivery in copies:
-            if delivery.pass_to:
+            if delivery.forward_to:
                 passed = copy.copy(pulse)
-                passed.pass_to = delivery.pass_to
-                if delivery.introduce and pulse.scope == Scope.ZONE:
-                    passed.others = self._reports(delivery.introduce)
-                self._socket.send(delivery.member.peers, passed)
+                passed.pass_to = delivery.forward_to
+                if delivery.unknown_members and pulse.scope == Scope.ZONE:
+                    passed.others = self._reports(delivery.unknown_members)
+                self._socket.send(delivery.recipient.peer_address, passed)
 
     def _admitting(self, scope: Scope) -> list[Member]:
         """Return the routers that admit in one zone, a different one each time."""
         own = self._members.own.zone
         if scope is Scope.ZONE:
             return self._coordinators.for_zone(own)
-        zones = sorted(self._topology.zones_elsewhere)
+        zones = sorted(self._topology.other_zones)
         if scope is not Scope.FLEET or not zones:
             return []
         return self._coordinators.for_zone(zones[self._sums_told % len(zones)])
@@ -328,8 +332,8 @@
         if self._turn % REPORT_EVERY:
             return []
         members = self._members
-        known = members.answering
-        if not self._topology.flat and self._topology.aggregates:
+        known = members.alive
+        if not self._topology.is_full_mesh and self._topology.is_aggregator:
             # the zone's own routers are told with their ages already
             known = [m for m in members.ready if m.zone != members.own.zone]
         return random.sample(known, min(REPORTS, len(known)))
@@ -344,14 +348,14 @@
             # what waited while this VM was frozen is no news
             return
         for info in pulse.others or ():
-            if self._members.learn(Report.from_wire(info)):
-                self.on_members()
+            if self._members.merge_report(MemberReport.from_wire(info)):
+                self.on_membership_change()
         if passes_on and not self._pass_on(sender, pulse):
             return
         self._note_unheard()
-        if not self._members.knows(sender.vm):
+        if not self._members.is_known(sender.vm):
             self._introduce(sender)
-        if self._members.hear(sender, relayed):
+        if self._members.update_from_heartbeat(sender, relayed):
             _log.info(
                 "router heard",
                 vm=sender.vm,
@@ -359,7 +363,7 @@
                 state=sender.state.name.lower(),
                 relayed=relayed,
             )
-            self.on_members()
+            self.on_membership_change()
         self._coordinators.set_zone_coordinators(
             [Member.from_wire(m) for m in pulse.admitting or ()]
         )
@@ -397,7 +401,7 @@
         if passed.hops < MOST_HOPS:
             keys = [*(pulse.pass_to or ()), *self._meant_for(sender, pulse)]
             region = members.own.region
-            self._deliver(passed, deliveries(keys, region, members.find))
+            self._deliver(passed, plan_deliveries(keys, region, members.find_by_hash))
         return True
 
     def _meant_for(self, sender: Member, pulse: Pulse) -> list[int]:
@@ -408,17 +412,17 @@
         """
         aggregator = self._topology.aggregator
         near = sender.zone == aggregator.zone
-        if pulse.scope != Scope.ZONE or near or self._topology.aggregates:
+        if pulse.scope != Scope.ZONE or near or self._topology.is_aggregator:
             return []
         return [name_hash(aggregator.vm)]
 
     def _take_alive(self, sender: Member, pulse: Pulse) -> None:
         """Take which routers of this zone its aggregator hears."""
         near = sender.zone == self._members.own.zone
-        if not pulse.alive or not near or self._topology.aggregates:
+        if not pulse.alive or not near or self._topology.is_aggregator:
             return
         alive = unpack_alive(pulse.alive, pulse.alive_ages or b"")
-        self._members.take_statuses(alive)
+        self._members.update_from_aggregator(alive)
 
     def _introduce(self, newcomer: Member) -> None:
         """Answer a router that is not known, and name routers of its zone.
@@ -426,23 +430,23 @@
         It may know nobody but seeds, which tell their own zones only. Unheard in its
         zone it would take no callers, and names none but itself to those who ask.
         """
-        zone_peers = [m for m in self._members.others if m.zone == newcomer.zone]
+        zone_peers = [m for m in self._members.peers if m.zone == newcomer.zone]
         pulse = self._make(Scope.OWN, [])
         named = random.sample(zone_peers, min(INTRODUCED, len(zone_peers)))
         pulse.others = self._reports(named)
-        self._socket.send(newcomer.peers, pulse)
+        self._socket.send(newcomer.peer_address, pulse)
 
     def _hear_figures(self, sender: Member, pulse: Pulse) -> None:
         scope = pulse.scope or Scope.OWN
         near = sender.zone == self._members.own.zone
-        aggregates = self._topology.aggregates
+        aggregates = self._topology.is_aggregator
         work = unpack_work(pulse.work or b"")
         figures = LoadStats(work, unpack_uses(pulse.uses or b""))
         if scope == Scope.ZONE:
             if not near and aggregates:
-                self._topology.note_aggregator(sender)
+                self._topology.record_aggregator(sender)
                 self._sums.update_zone(sender.zone, figures)
-                self._sums.discard_previous_total(self._topology.zones_elsewhere)
+                self._sums.discard_previous_total(self._topology.other_zones)
         elif scope == Scope.FLEET:
             if near and not aggregates:
                 marks = unpack_marks(pulse.alive or b"", pulse.alive_marks or b"")
@@ -451,7 +455,7 @@
         elif scope == Scope.OTHERS:
             if near and not aggregates:
                 self._sums.update_others(figures)
-        elif self._topology.flat or (near and aggregates):
+        elif self._topology.is_full_mesh or (near and aggregates):
             # else the aggregator tells of its work, and it must not count twice
             self._sums.update_router(sender.vm, pulse.sequence or 0, figures)
 
@@ -472,10 +476,10 @@
         if now < self._next_fetch:
             return
         self._next_fetch = now + FETCH_PAUSE
-        self._fetching = asyncio.create_task(self._fetch_from(sender.peers))
+        self._fetching = asyncio.create_task(self._fetch_from(sender.peer_address))
 
     async def _fetch_from(self, address: str) -> None:
-        if not await self.learn_from(address):
+        if not await self.fetch_snapshot(address):
             # another sender's next pulse starts the next fetch
             self._next_fetch = 0.0
 
@@ -488,10 +492,10 @@
         belief.take_news(map(_from_wire, state.endpoints or ()), vm)
         if current and state.store_age is not None and state.store_age >= 0:
             belief.confirm(state.digest, state.store_age / 1000, vm)
-        self._members.learn(Report(Member.from_wire(state.sender), 0.0))
+        self._members.merge_report(MemberReport(Member.from_wire(state.sender), 0.0))
         for info in state.routers or ():
-            self._members.learn(Report.from_wire(info))
-        self.on_members()
+            self._members.merge_report(MemberReport.from_wire(info))
+        self.on_membership_change()
 
 
 def _milliseconds(seconds: float | None) -> int:
--- a/packages/fleet/src/teaselledge_fleet/process/locating.py
+++ b/packages/fleet/src/teaselledge_fleet/process/locating.py
@@ -73,7 +73,7 @@
         request = PartRequest(
             self._sequence, name_hash(part), name_hash(first_choice.id)
         )
-        self._socket.send(coordinator.peers, request)
+        self._socket.send(coordinator.peer_address, request)
         return await self._coordinators.wait_for_reply(
             coordinator, self._replies, self._sequence
         )
@@ -87,7 +87,7 @@
             self._directory.record_use(name_hash(part), name_hash(endpoint.id))
             return
         self._socket.send(
-            coordinator.peers, PartNote(name_hash(part), name_hash(endpoint.id))
+            coordinator.peer_address, PartNote(name_hash(part), name_hash(endpoint.id))
         )
 
     def _take_request(self, request: PartRequest, sender: str) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/members.py
+++ b/packages/fleet/src/teaselledge_fleet/process/members.py
@@ -10,7 +10,14 @@
 
 from teaselledge_fleet.process.work import name_hash
 
-__all__ = ["Evidence", "Member", "MemberState", "Members", "Report", "Status"]
+__all__ = [
+    "Liveness",
+    "Member",
+    "MemberState",
+    "Members",
+    "MemberReport",
+    "MemberStatus",
+]
 
 SILENT_SECONDS = 1.0
 """Silence after which callers are not sent to a router.
@@ -68,7 +75,7 @@
         Identifies one life of its process.
     zone, region : str
         Where it is.
-    callers, peers : str
+    caller_address, peer_address : str
         Addresses, ``host:port``.
     state : MemberState
         What it says of itself.
@@ -84,17 +91,17 @@
     incarnation: int
     zone: str
     region: str
-    callers: str
-    peers: str
+    caller_address: str
+    peer_address: str
     state: MemberState = MemberState.STARTING
     cores: float = 1.0
     utilisation: float = field(default=0.0, compare=False)
     relay_port: int = 0
 
     @property
-    def relays(self) -> str | None:
+    def relay_address(self) -> str | None:
         """Where it takes over callers' connections, ``host:port``."""
-        host, _, _ = self.callers.rpartition(":")
+        host, _, _ = self.caller_address.rpartition(":")
         return f"{host}:{self.relay_port}" if self.relay_port else None
 
     @classmethod
@@ -120,8 +127,8 @@
             self.incarnation,
             self.zone,
             self.region,
-            self.callers,
-            self.peers,
+            self.caller_address,
+            self.peer_address,
             int(self.state),
             int(self.cores * MILLICORES),
             int(self.utilisation * PERCENT),
@@ -130,23 +137,23 @@
 
 
 @dataclass(frozen=True)
-class Report:
+class MemberReport:
     """What a router tells of another one.
 
     Attributes
     ----------
     member : Member
         The other one.
-    silent : float or None
+    silent_seconds : float or None
         Seconds since the other one was heard itself, by whichever router heard it;
         None where nobody has.
     """
 
     member: Member
-    silent: float | None
+    silent_seconds: float | None
 
     @classmethod
-    def from_wire(cls, info: RouterInfo) -> "Report":
+    def from_wire(cls, info: RouterInfo) -> "MemberReport":
         """Return the report that a message holds."""
         silent = None if info.silent_ms is None else info.silent_ms / MILLISECONDS
         return cls(Member.from_wire(info), silent)
@@ -154,13 +161,13 @@
     def to_wire(self) -> RouterInfo:
         """Return the message that holds it."""
         info = self.member.to_wire()
-        if self.silent is not None:
-            info.silent_ms = int(self.silent * MILLISECONDS)
+        if self.silent_seconds is not None:
+            info.silent_ms = int(self.silent_seconds * MILLISECONDS)
         return info
 
 
 @dataclass(frozen=True)
-class Status:
+class MemberStatus:
     """What the aggregator of a zone tells of another router of it.
 
     Attributes
@@ -169,17 +176,17 @@
         What that one says of itself.
     utilisation : float
         Part of its processor time that is in use.
-    silent : float
+    silent_seconds : float
         Seconds since it was heard itself.
     """
 
     state: MemberState
     utilisation: float
-    silent: float
+    silent_seconds: float
 
 
 @dataclass(frozen=True)
-class Evidence:
+class Liveness:
     """What a router is known by.
 
     Attributes
@@ -259,7 +266,7 @@
         return self._own
 
     @property
-    def others(self) -> list[Member]:
+    def peers(self) -> list[Member]:
         """All other routers that are not forgotten, silent ones included."""
         now = self._now()
         if now - self._purged_at >= PURGE_SECONDS:
@@ -267,7 +274,7 @@
         return [known.member for known in self._known.values()]
 
     @property
-    def answering(self) -> list[Member]:
+    def alive(self) -> list[Member]:
         """The other routers that were heard lately."""
         now = self._now()
         if self._answering is None or now - self._answering_at > REMEMBERED_SECONDS:
@@ -280,7 +287,7 @@
     def zone_peers(self) -> list[Member]:
         """The other routers of this zone that were heard lately."""
         zone = self._own.zone
-        return [member for member in self.answering if member.zone == zone]
+        return [member for member in self.alive if member.zone == zone]
 
     @property
     def ready(self) -> list[Member]:
@@ -292,38 +299,38 @@
         everyone = [*others, self._own]
         return [m for m in everyone if m.state is MemberState.READY]
 
-    def find(self, key: int) -> Member | None:
+    def find_by_hash(self, key: int) -> Member | None:
         """Return the other router of a number, None where it is not known."""
         known = self._known.get(self._by_key.get(key, ""))
         return None if known is None else known.member
 
-    def knows(self, vm: str) -> bool:
+    def is_known(self, vm: str) -> bool:
         """Return whether a router is known, silent or not."""
         return vm in self._known or vm == self._own.vm
 
     @property
-    def reports(self) -> list[Report]:
+    def reports(self) -> list[MemberReport]:
         """What this router can tell of the others, the silent ones included.
 
         Routers that nobody has heard are left out: their addresses would go round
         for ever.
         """
-        found = [self.report(member) for member in self.others]
-        return [report for report in found if report.silent is not None]
+        found = [self.report(member) for member in self.peers]
+        return [report for report in found if report.silent_seconds is not None]
 
-    def report(self, member: Member) -> Report:
+    def report(self, member: Member) -> MemberReport:
         """Return what this router can tell of another one."""
-        evidence = self.evidence(member.vm)
+        evidence = self.liveness(member.vm)
         if evidence is None or math.isinf(evidence.age):
-            return Report(member, None)
-        return Report(member, evidence.age)
+            return MemberReport(member, None)
+        return MemberReport(member, evidence.age)
 
-    def evidence(self, vm: str) -> Evidence | None:
+    def liveness(self, vm: str) -> Liveness | None:
         """Return what another router is known by; None where it isn't known."""
         known = self._known.get(vm)
         if known is None:
             return None
-        return Evidence(known.heard == known.direct, self._now() - known.heard)
+        return Liveness(known.heard == known.direct, self._now() - known.heard)
 
     def set_state(self, state: MemberState) -> None:
         """Change what this router says of itself."""
@@ -333,14 +340,14 @@
         """Change how busy this router says it is."""
         self._own = replace(self._own, utilisation=busy)
 
-    def hear(self, member: Member, relayed: bool = False) -> bool:
+    def update_from_heartbeat(self, member: Member, forwarded: bool = False) -> bool:
         """Take what a router says of itself; True where it is new or has changed.
 
         Parameters
         ----------
         member : Member
             What it says.
-        relayed : bool
+        forwarded : bool
             Whether another router passed it on.
         """
         if member.vm == self._own.vm:
@@ -353,14 +360,14 @@
         if before is not None:
             known.direct, known.relayed = before.direct, before.relayed
             known.aggregated = before.aggregated
-        if relayed:
+        if forwarded:
             known.relayed = now
         else:
             known.direct = now
         self._keep(known)
         return before is None or before.member != member
 
-    def take_statuses(self, told: Mapping[int, Status]) -> None:
+    def update_from_aggregator(self, told: Mapping[int, MemberStatus]) -> None:
         """Take what the aggregator of this zone tells, by the routers' numbers."""
         now = self._now()
         self._answering = None
@@ -368,7 +375,7 @@
             known = self._known.get(self._by_key.get(key, ""))
             if known is None:
                 continue
-            heard = now - status.silent
+            heard = now - status.silent_seconds
             if heard > known.heard:
                 known.member = replace(
                     known.member, state=status.state, utilisation=status.utilisation
@@ -376,7 +383,7 @@
             known.aggregated = max(known.aggregated, heard)
             known.noted = max(known.noted, heard)
 
-    def learn(self, report: Report) -> bool:
+    def merge_report(self, report: MemberReport) -> bool:
         """Take what another router tells of one; True where it was unknown."""
         member = report.member
         if member.vm == self._own.vm or member.state is MemberState.LEAVING:
@@ -385,12 +392,12 @@
         known = self._known.get(member.vm)
         if known is not None and known.settled(now):
             return False
-        if report.silent is None:
+        if report.silent_seconds is None:
             # an address to try, no sign of life
             if known is None:
                 self._keep(_Known(member, now))
             return known is None
-        heard = now - report.silent
+        heard = now - report.silent_seconds
         if known is not None and heard <= known.heard:
             return False
         self._keep(_Known(member, heard, reported=heard))
--- a/packages/fleet/src/teaselledge_fleet/process/offloading.py
+++ b/packages/fleet/src/teaselledge_fleet/process/offloading.py
@@ -74,7 +74,7 @@
         if not candidates:
             return None
         weights = [spare_cores(member) for member in candidates]
-        return random.choices(candidates, weights)[0].relays
+        return random.choices(candidates, weights)[0].relay_address
 
     def _find(self) -> list[Member]:
         """Return routers of the zone that are not crowded themselves."""
@@ -86,7 +86,7 @@
         zone_peers = [
             member
             for member in self._members.ready
-            if member.zone == own.zone and member.vm != own.vm and member.relays
+            if member.zone == own.zone and member.vm != own.vm and member.relay_address
         ]
         if zone_peers or now - self._found_at > CANDIDATE_TTL_SECONDS:
             self._found_at = now
@@ -101,7 +101,7 @@
         now = asyncio.get_running_loop().time()
         if now - self._logged_at >= LOG_SECONDS:
             self._logged_at = now
-            vms = {member.relays: member.vm for member in self._candidates}
+            vms = {member.relay_address: member.vm for member in self._candidates}
             routers = {vms.get(r, r): n for r, n in self._passed_on.items()}
             _log.info("connections passed on", routers=routers)
             self._passed_on.clear()
--- a/packages/fleet/src/teaselledge_fleet/process/registration.py
+++ b/packages/fleet/src/teaselledge_fleet/process/registration.py
@@ -7,7 +7,7 @@
 from thrift.TSerialization import deserialize, serialize
 
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.members import Member, Members, Report
+from teaselledge_fleet.process.members import Member, MemberReport, Members
 from teaselledge_fleet.process.store import StateStore
 from teaselledge_fleet.process.storecache import Belief
 from teaselledge_fleet.process.topology import rank
@@ -50,11 +50,11 @@
     async def run(self) -> None:
         """Keep the row, and read all rows while this router is alone."""
         await asyncio.sleep(GREETING_SECONDS)
-        if not self._members.answering:
+        if not self._members.alive:
             await self._find_others()
         while True:
             await asyncio.sleep(LONELY_SECONDS)
-            if not self._members.answering:
+            if not self._members.alive:
                 await self._find_others()
             elif self._represents_zone():
                 await self._keep_row()
@@ -115,4 +115,4 @@
                 _log.warning("row of a router malformed", vm=vm, error=repr(error))
                 continue
             # a row tells nothing of when its router was alive
-            self._members.learn(Report(member, None))
+            self._members.merge_report(MemberReport(member, None))
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -19,7 +19,7 @@
 from teaselledge_fleet.process.busyness import EventLoopMonitor
 from teaselledge_fleet.process.connectionlimit import ConnectionLimit
 from teaselledge_fleet.process.coordinators import Coordinators
-from teaselledge_fleet.process.gossip import Spreading
+from teaselledge_fleet.process.gossip import Gossip
 from teaselledge_fleet.process.leaving import GracefulShutdown
 from teaselledge_fleet.process.locating import PrefixLocator
 from teaselledge_fleet.process.members import Member, Members, MemberState
@@ -141,7 +141,7 @@
         acceptor.on_refused = self._passing.record_refusal
         self._limit = ConnectionLimit()
         acceptor.has_time = lambda: self._limit.allows(self._front.running)
-        asks_seeds = bool(settings.seeds) and own.peers not in settings.seeds
+        asks_seeds = bool(settings.seeds) and own.peer_address not in settings.seeds
         self._follower = StoreFollower(place.vm, store, self._belief, asks_seeds)
         self._registration = Registration(store, self._members, self._belief)
         self._socket = PeerSocket()
@@ -160,7 +160,7 @@
         self._placer.set_locator(
             PrefixLocator(self._members, self._socket, coordinators)
         )
-        self._spreading = Spreading(
+        self._spreading = Gossip(
             self._members,
             self._belief,
             settings.seeds,
@@ -170,7 +170,7 @@
             self._socket,
             coordinators,
         )
-        self._spreading.on_members = self._note_members
+        self._spreading.on_membership_change = self._note_members
         self._leaving = GracefulShutdown(
             settings.grace_seconds, self._front, self._server
         )
@@ -202,7 +202,7 @@
 
     def use(self, settings: FleetSettings) -> None:
         """Take what may change in the settings while the process runs."""
-        self._spreading.use_seeds(settings.seeds)
+        self._spreading.set_seeds(settings.seeds)
         self._budget.set_limits(_limits(settings))
         _log.info("settings taken", seeds=list(settings.seeds))
 
@@ -210,7 +210,7 @@
         """Begin to leave."""
         _log.info("router stops", running=self._front.running)
         self._members.set_state(MemberState.LEAVING)
-        self._spreading.pulse()
+        self._spreading.send_heartbeats()
         self._leaving.start()
 
     async def wait_left(self) -> None:
@@ -280,7 +280,7 @@
             self._members.set_state(MemberState.READY)
 
     def _note_members(self) -> None:
-        self._budget.update_router_count(len(self._members.others) + 1)
+        self._budget.update_router_count(len(self._members.peers) + 1)
         self._share_connections()
 
     def _share_connections(self) -> None:
@@ -288,7 +288,7 @@
         routing = self._belief.routing
         if routing is None:
             return
-        routers = len(self._members.others) + 1
+        routers = len(self._members.peers) + 1
         caps = {}
         for endpoint in self._belief.view.endpoints:
             service = routing.services.get(endpoint.service)
@@ -315,7 +315,7 @@
 
     def _answer_peers(self, path: str, arguments: dict[str, str]) -> Page:
         if path == STATE_PATH:
-            body = encode_state(self._spreading.state())
+            body = encode_state(self._spreading.snapshot())
             return Page(200, body, "application/octet-stream")
         return Page(404)
 
@@ -332,7 +332,7 @@
         metrics.set("version", self._belief.version)
         metrics.set("store_age_seconds", -1.0 if age is None else age)
         metrics.set("store_era", self._belief.era or 0)
-        metrics.set("routers_answering", len(self._members.answering))
+        metrics.set("routers_answering", len(self._members.alive))
         metrics.set("routers_advertised", len(self._members.ready))
         metrics.set("store_calls", self._follower.calls)
         metrics.set("endpoint_connections", self._pool.opened)
--- a/packages/fleet/src/teaselledge_fleet/process/topology.py
+++ b/packages/fleet/src/teaselledge_fleet/process/topology.py
@@ -13,12 +13,12 @@
 from teaselledge_fleet.process.forwarding import (
     MAX_FORWARDER_UTILISATION,
     Delivery,
-    deliveries,
-    relay_order,
+    forwarding_order,
+    plan_deliveries,
 )
 from teaselledge_fleet.process.members import Member, Members
 
-__all__ = ["Audience", "Scope", "Topology", "rank"]
+__all__ = ["RecipientGroup", "Scope", "Topology", "rank"]
 
 _log = get_log("peers")
 
@@ -70,19 +70,19 @@
 
 
 @dataclass(frozen=True)
-class Audience:
+class RecipientGroup:
     """Who gets a pulse of a scope.
 
     Attributes
     ----------
     scope : Scope
         What it tells.
-    copies : list of Delivery
+    deliveries : list of Delivery
         To whom it is sent, and whom those tell.
     """
 
     scope: Scope
-    copies: list[Delivery]
+    deliveries: list[Delivery]
 
 
 class Topology:
@@ -102,9 +102,9 @@
         """When which router last told the sum of a zone."""
 
     @property
-    def flat(self) -> bool:
+    def is_full_mesh(self) -> bool:
         """Whether every router tells every other."""
-        return len(self._members.others) < ALL_KNOW_ALL
+        return len(self._members.peers) < ALL_KNOW_ALL
 
     @property
     def aggregator(self) -> Member:
@@ -118,41 +118,41 @@
         return self._found
 
     @property
-    def aggregates(self) -> bool:
+    def is_aggregator(self) -> bool:
         """Whether this router is the aggregator of its zone."""
         return self.aggregator.vm == self._members.own.vm
 
     @property
-    def zones_elsewhere(self) -> set[str]:
+    def other_zones(self) -> set[str]:
         """The other zones that have routers."""
-        return {m.zone for m in self._members.others} - {self._members.own.zone}
+        return {m.zone for m in self._members.peers} - {self._members.own.zone}
 
-    def audiences(self) -> list[Audience]:
+    def recipient_groups(self) -> list[RecipientGroup]:
         """Return who is to be told what."""
-        others = self._members.others
-        if self.flat:
-            return [Audience(Scope.OWN, _copies(others))]
-        if self.aggregates:
+        others = self._members.peers
+        if self.is_full_mesh:
+            return [RecipientGroup(Scope.OWN, _copies(others))]
+        if self.is_aggregator:
             return [
-                Audience(Scope.FLEET, self._to_zone(others)),
-                Audience(Scope.ZONE, self._to_zones()),
+                RecipientGroup(Scope.FLEET, self._to_zone(others)),
+                RecipientGroup(Scope.ZONE, self._to_zones()),
             ]
         aggregator = self.aggregator
         zone = self._members.own.zone
         rest = [m for m in others if m.zone == zone and m.vm != aggregator.vm]
         chosen = random.sample(rest, min(GOSSIP, len(rest)))
         return [
-            Audience(Scope.OWN, _copies([aggregator])),
-            Audience(Scope.NEWS, _copies(chosen)),
+            RecipientGroup(Scope.OWN, _copies([aggregator])),
+            RecipientGroup(Scope.NEWS, _copies(chosen)),
         ]
 
     def _to_zone(self, others: Sequence[Member]) -> list[Delivery]:
         """Return the copies for this zone, one of them for a router that is silent."""
         zone_peers = self._members.zone_peers
         own = self._members.own
-        order = relay_order(zone_peers)
+        order = forwarding_order(zone_peers)
         # one copy, as an aggregator sends more than others already
-        first = self._members.find(order[0]) if order else None
+        first = self._members.find_by_hash(order[0]) if order else None
         copies = [Delivery(first, order[1:])] if first is not None else []
         answering = {member.vm for member in zone_peers}
         silent = [m for m in others if m.zone == own.zone and m.vm not in answering]
@@ -165,13 +165,13 @@
         would pay for as many as there are zones.
         """
         aggregators = self._aggregators_elsewhere()
-        targets = relay_order(aggregators)
+        targets = forwarding_order(aggregators)
         zone_peers = self._members.zone_peers
         if not targets:
             return []
         if not zone_peers:
             own = self._members.own
-            return deliveries(targets, own.region, self._members.find)
+            return plan_deliveries(targets, own.region, self._members.find_by_hash)
         roomy = [
             m for m in zone_peers if m.utilisation <= MAX_FORWARDER_UTILISATION
         ] or zone_peers
@@ -180,7 +180,7 @@
         unknown = tuple(aggregators) if self._turn % INTRODUCING_EVERY == 0 else ()
         return [Delivery(forwarder, targets, unknown)]
 
-    def note_aggregator(self, member: Member) -> None:
+    def record_aggregator(self, member: Member) -> None:
         """Take note of a router that tells the sum of its zone."""
         now = asyncio.get_running_loop().time()
         self._noted[member.zone] = (now, member.vm)
@@ -188,7 +188,7 @@
     def _aggregators_elsewhere(self) -> list[Member]:
         """Return who is told the sum of this zone."""
         by_zone: dict[str, list[Member]] = {}
-        for member in self._members.others:
+        for member in self._members.peers:
             by_zone.setdefault(member.zone, []).append(member)
         by_zone.pop(self._members.own.zone, None)
         return [m for members in by_zone.values() for m in self._likely(members)]
--- a/packages/fleet/tests/test_forwarding.py
+++ b/packages/fleet/tests/test_forwarding.py
@@ -7,8 +7,8 @@
 from teaselledge_fleet.process.forwarding import (
     FANOUT,
     SeenMessages,
-    deliveries,
-    relay_order,
+    forwarding_order,
+    plan_deliveries,
 )
 from teaselledge_fleet.process.members import Member
 from teaselledge_fleet.process.sent import NO_MARK, LoadStats, SentLoadStats, mark_of
@@ -32,25 +32,25 @@
     """Return how often each router gets a message that starts in the north."""
     by_key = {name_hash(member.vm): member for member in members}
     found: Counter = Counter()
-    waiting = list(deliveries(keys, "north", by_key.get))
+    waiting = list(plan_deliveries(keys, "north", by_key.get))
     while waiting:
         delivery = waiting.pop()
-        found[delivery.member.vm] += 1
-        if delivery.member.vm != dead:
-            region = delivery.member.region
-            waiting += deliveries(delivery.pass_to, region, by_key.get)
+        found[delivery.recipient.vm] += 1
+        if delivery.recipient.vm != dead:
+            region = delivery.recipient.region
+            waiting += plan_deliveries(delivery.forward_to, region, by_key.get)
     return found
 
 
 async def test_message_reaches_every_router_once():
     members = [router(number) for number in range(33)]
-    found = reached(members, relay_order(members))
+    found = reached(members, forwarding_order(members))
     assert found == Counter({member.vm: 1 for member in members})
 
 
 async def test_nobody_sends_more_than_two_copies_in_its_region():
     members = {name_hash(f"r{n}"): router(n) for n in range(33)}
-    assert len(deliveries(list(members), "north", members.get)) == FANOUT
+    assert len(plan_deliveries(list(members), "north", members.get)) == FANOUT
 
 
 async def test_one_copy_goes_to_another_region():
@@ -58,31 +58,31 @@
     members = [router(n) for n in range(4)]
     members += [router(n, "south") for n in range(4, 10)]
     by_key = {name_hash(member.vm): member for member in members}
-    copies = deliveries(relay_order(members), "north", by_key.get)
-    assert [c.member.region for c in copies].count("south") == 1
-    assert set(reached(members, relay_order(members)).values()) == {1}
+    copies = plan_deliveries(forwarding_order(members), "north", by_key.get)
+    assert [c.recipient.region for c in copies].count("south") == 1
+    assert set(reached(members, forwarding_order(members)).values()) == {1}
 
 
 async def test_dead_router_cuts_off_others_for_one_message_only():
     members = [router(number) for number in range(33)]
     missed: Counter = Counter()
     for _ in range(50):
-        found = reached(members, relay_order(members), dead="r5")
+        found = reached(members, forwarding_order(members), dead="r5")
         missed.update(m.vm for m in members if m.vm not in found)
     assert all(count < 25 for count in missed.values())
 
 
 async def test_busy_routers_have_nobody_to_pass_on_to():
     members = [router(n, busy=0.9 if n < 10 else 0.1) for n in range(33)]
-    order = relay_order(members)
+    order = forwarding_order(members)
     assert set(order[-10:]) == {name_hash(f"r{n}") for n in range(10)}
 
 
 async def test_unknown_router_is_left_to_those_who_know_it():
     known = {name_hash(f"r{n}"): router(n) for n in range(4)}
     stranger = name_hash("stranger")
-    copies = deliveries([stranger, *known], "north", known.get)
-    assert sum(stranger in copy.pass_to for copy in copies) == 1
+    copies = plan_deliveries([stranger, *known], "north", known.get)
+    assert sum(stranger in copy.forward_to for copy in copies) == 1
 
 
 async def test_messages_may_overtake_one_another():
@@ -118,9 +118,9 @@
         for scope in (*Scope, 9):
             sender = second.members.own.to_wire()
             pulse = Pulse(PROTOCOL, sender, scope=int(scope), work=b"x", pass_to=[7])
-            first.take(encode_datagram(pulse), second.members.own.peers)
+            first.take(encode_datagram(pulse), second.members.own.peer_address)
         await asyncio.sleep(1)
-        assert len(first.members.others) == 19
+        assert len(first.members.peers) == 19
 
 
 async def test_messages_that_waited_while_the_vm_was_frozen_are_stale():
@@ -145,7 +145,7 @@
     """
     async with spread_fleet(store_of([]), 40, decode_number) as fleet:
         await asyncio.sleep(5)
-        dead = next(r for r in fleet.routers if r.spreading._topology.aggregates)
+        dead = next(r for r in fleet.routers if r.spreading._topology.is_aggregator)
         zone = dead.members.own.zone
         zone_peers = [
             r for r in fleet.routers if r.members.own.zone == zone and r != dead
--- a/packages/fleet/tests/test_gossip.py
+++ b/packages/fleet/tests/test_gossip.py
@@ -163,7 +163,7 @@
     store = new_store()
     async with spread_fleet(store, MANY, decode_number) as fleet:
         await asyncio.sleep(5)
-        aggregators = [r for r in fleet.routers if r.spreading._topology.aggregates]
+        aggregators = [r for r in fleet.routers if r.spreading._topology.is_aggregator]
         assert len(aggregators) == 3
         aggregators[0].kill()
         store.put(endpoint("e1", leaving=True))
--- a/packages/fleet/tests/test_large_fleet.py
+++ b/packages/fleet/tests/test_large_fleet.py
@@ -34,7 +34,7 @@
     return next(
         router
         for router in fleet.routers
-        if router.members.own.zone == zone and router.spreading._topology.aggregates
+        if router.members.own.zone == zone and router.spreading._topology.is_aggregator
     )
 
 
@@ -71,7 +71,7 @@
         living = fleet.routers[3:]
         for router in living:
             assert router.belief.version
-            assert len(router.members.answering) == len(living) - 1
+            assert len(router.members.alive) == len(living) - 1
 
 
 async def test_change_is_known_soon_though_datagrams_are_lost():
--- a/packages/fleet/tests/test_members.py
+++ b/packages/fleet/tests/test_members.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from teaselledge_fleet.connection.figures import pack_ages, pack_alive, unpack_alive
-from teaselledge_fleet.process.members import Member, Members, MemberState, Report
+from teaselledge_fleet.process.members import Member, MemberReport, Members, MemberState
 
 VIRTUAL_CLOCK = True
 OTHER = Member("r2", 1, "z2", "z2", "r2:2", "r2:1", MemberState.READY)
@@ -22,65 +22,67 @@
 
 async def test_report_ages_with_the_evidence_behind_it(members):
     """A router that many report must not stay for longer than one that heard it."""
-    members.learn(Report(OTHER, 2.5))
+    members.merge_report(MemberReport(OTHER, 2.5))
     assert advertised(members)
     await asyncio.sleep(0.6)
     assert not advertised(members)
-    members.learn(Report(OTHER, 3.1))
+    members.merge_report(MemberReport(OTHER, 3.1))
     assert not advertised(members)
-    assert members.report(OTHER).silent > 3.0
+    assert members.report(OTHER).silent_seconds > 3.0
 
 
 async def test_row_in_the_store_is_no_sign_of_life(members):
     """Rows of killed routers stay, and a router that is alone reads them every 2 s."""
-    members.learn(Report(OTHER, None))
-    assert members.others == [OTHER]
+    members.merge_report(MemberReport(OTHER, None))
+    assert members.peers == [OTHER]
     assert not advertised(members)
     assert members.reports == []
     await asyncio.sleep(31)
-    assert members.others == []
+    assert members.peers == []
 
 
 async def test_later_evidence_tells_which_of_two_lives_is_the_current_one(members):
-    members.learn(Report(OTHER, 1.0))
+    members.merge_report(MemberReport(OTHER, 1.0))
     restarted = replace(OTHER, incarnation=2)
-    members.learn(Report(restarted, 0.2))
-    members.learn(Report(OTHER, 1.1))
-    assert members.others == [restarted]
+    members.merge_report(MemberReport(restarted, 0.2))
+    members.merge_report(MemberReport(OTHER, 1.1))
+    assert members.peers == [restarted]
 
 
 async def test_silent_router_is_not_advertised_by_older_reports(members):
-    members.hear(OTHER)
+    members.update_from_heartbeat(OTHER)
     await asyncio.sleep(1.1)
-    members.learn(Report(OTHER, 0.9))
+    members.merge_report(MemberReport(OTHER, 0.9))
     assert not advertised(members)
     await asyncio.sleep(2)
-    members.learn(Report(OTHER, 3.1))
+    members.merge_report(MemberReport(OTHER, 3.1))
     assert not advertised(members)
-    members.learn(Report(OTHER, 0.5))
+    members.merge_report(MemberReport(OTHER, 0.5))
     assert advertised(members)
 
 
 def aggregated(silent: float) -> dict:
     """Return what a router of the zone tells of the other one."""
-    reports = [Report(OTHER, silent)]
+    reports = [MemberReport(OTHER, silent)]
     return unpack_alive(pack_alive(reports), pack_ages(reports))
 
 
 async def test_status_from_the_own_zone_ages_with_the_evidence_behind_it(members):
     """When routers take turns as the aggregator, each would renew a silent one."""
-    members.hear(OTHER)
+    members.update_from_heartbeat(OTHER)
     for _ in range(6):
         await asyncio.sleep(0.4)
-        silent = members.report(OTHER).silent
-        members.take_statuses(aggregated(silent))
+        silent = members.report(OTHER).silent_seconds
+        members.update_from_aggregator(aggregated(silent))
         assert advertised(members) == (silent <= 2.0)
-    assert members.report(OTHER).silent > 2.3
+    assert members.report(OTHER).silent_seconds > 2.3
 
 
 async def test_status_of_an_earlier_release_counts_as_old(members):
-    members.hear(OTHER)
+    members.update_from_heartbeat(OTHER)
     await asyncio.sleep(5)
-    members.take_statuses(unpack_alive(pack_alive([Report(OTHER, 0.1)]), b""))
-    assert members.answering == [OTHER]
-    assert members.report(OTHER).silent == 1.0
+    members.update_from_aggregator(
+        unpack_alive(pack_alive([MemberReport(OTHER, 0.1)]), b"")
+    )
+    assert members.alive == [OTHER]
+    assert members.report(OTHER).silent_seconds == 1.0
--- a/packages/fleet/tests/test_offloading.py
+++ b/packages/fleet/tests/test_offloading.py
@@ -39,7 +39,7 @@
 
 
 async def test_more_connections_are_passed_on_the_busier_a_router_is(members):
-    members.hear(router("r2"))
+    members.update_from_heartbeat(router("r2"))
     offloading = ConnectionOffloader(members)
     assert choices(offloading, HIGH_UTILISATION) == {None: TRIES}
     half = choices(offloading, (HIGH_UTILISATION + FULL_OFFLOAD_UTILISATION) / 2)
@@ -48,17 +48,17 @@
 
 
 async def test_routers_with_more_room_take_more(members):
-    members.hear(router("large", cores=2.0))
-    members.hear(router("small", cores=0.5))
+    members.update_from_heartbeat(router("large", cores=2.0))
+    members.update_from_heartbeat(router("small", cores=0.5))
     found = choices(ConnectionOffloader(members), 1.0)
     assert found["large:82"] > 3 * found["small:82"]
 
 
 async def test_only_routers_of_the_zone_with_time_take_connections_over(members):
-    members.hear(router("elsewhere", zone="y"))
-    members.hear(router("crowded", utilisation=HIGH_UTILISATION))
-    members.hear(replace(router("older"), relay_port=0))
-    members.hear(replace(router("leaving"), state=MemberState.LEAVING))
+    members.update_from_heartbeat(router("elsewhere", zone="y"))
+    members.update_from_heartbeat(router("crowded", utilisation=HIGH_UTILISATION))
+    members.update_from_heartbeat(replace(router("older"), relay_port=0))
+    members.update_from_heartbeat(replace(router("leaving"), state=MemberState.LEAVING))
     assert choices(ConnectionOffloader(members), 1.0) == {None: TRIES}
 
 
@@ -67,7 +67,7 @@
 
     All of them look silent, and it would refuse everything while they have time.
     """
-    members.hear(router("r2"))
+    members.update_from_heartbeat(router("r2"))
     offloading = ConnectionOffloader(members)
     assert offloading.choose(Used(1.0)) == "r2:82"
     await asyncio.sleep(CANDIDATE_TTL_SECONDS / 2)
--- a/packages/fleet/tests/test_relay.py
+++ b/packages/fleet/tests/test_relay.py
@@ -57,7 +57,7 @@
 
 
 def relays_of(running: RunningRouter) -> tuple[str, int]:
-    host, _, port = running.router._members.own.relays.rpartition(":")
+    host, _, port = running.router._members.own.relay_address.rpartition(":")
     return host, int(port)
 
 
--- a/packages/standins/src/teaselledge_standins/spreadfleet.py
+++ b/packages/standins/src/teaselledge_standins/spreadfleet.py
@@ -17,7 +17,7 @@
 from teaselledge_fleet.process.admission import AdmissionController
 from teaselledge_fleet.process.admissionrpc import AdmissionRpc
 from teaselledge_fleet.process.coordinators import Coordinators
-from teaselledge_fleet.process.gossip import Spreading
+from teaselledge_fleet.process.gossip import Gossip
 from teaselledge_fleet.process.locating import PrefixLocator
 from teaselledge_fleet.process.members import Member, Members, MemberState
 from teaselledge_fleet.process.placing import FleetPlacer
@@ -42,7 +42,7 @@
     belief: Belief
     follower: StoreFollower
     registration: Registration
-    spreading: Spreading
+    spreading: Gossip
     asking: AdmissionRpc
     placer: FleetPlacer
     work: FleetLoad
@@ -106,7 +106,7 @@
         router = self._fleet.by_address.get(address)
         if router is None or router.frozen or self._fleet.cut(self._vm, router.vm):
             return Error("unreachable")
-        data = encode_state(router.spreading.state())
+        data = encode_state(router.spreading.snapshot())
         return Ok(decode_state(data).ok)
 
     def close(self) -> None:
@@ -156,7 +156,7 @@
         coordinators = Coordinators(members)
         link = _Link(self, vm)
         clock = asyncio.get_running_loop().time
-        spreading = Spreading(
+        spreading = Gossip(
             members,
             belief,
             seeds,
