--- a/packages/fleet/src/teaselledge_fleet/process/admission.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admission.py
@@ -34,7 +34,7 @@
         Key of the endpoint.
     slots : int
         Requests that it runs at once.
-    sender_load : Work
+    sender_load : EndpointLoad
         What the router has there, without this request.
     prefill_seconds : float
         Seconds in which the endpoint reads this request's prompt.
@@ -59,7 +59,7 @@
     ----------
     admitted : bool
         Whether it may send the request.
-    remote_load : Work
+    remote_load : EndpointLoad
         What all other routers have at the endpoint.
     """
 
--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -63,11 +63,11 @@
         The routers.
     view : EndpointView
         The endpoints.
-    work : FleetWork
+    work : FleetLoad
         What is under way.
-    admission : Admission
+    admission : AdmissionController
         Decides for the endpoints for which others ask this router.
-    socket : Socket
+    socket : PeerTransport
         The way to other routers.
     coordinators : Coordinators
         Who admits to which endpoint.
--- a/packages/fleet/src/teaselledge_fleet/process/choosing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/choosing.py
@@ -161,9 +161,9 @@
 
     Attributes
     ----------
-    response_times : PlainForecast
+    response_times : ResponseTimeModel
         Learns how long plain services take.
-    prefill : ReadingModel
+    prefill : PrefillModel
         Learns how long model engines read.
     """
 
--- a/packages/fleet/src/teaselledge_fleet/process/endpoints.py
+++ b/packages/fleet/src/teaselledge_fleet/process/endpoints.py
@@ -7,27 +7,27 @@
 
 from teaselledge_fleet.process.revision import Revision
 
-__all__ = ["Endpoint", "EndpointView", "Entry", "Statement"]
+__all__ = ["Endpoint", "EndpointView", "EndpointEntry", "AnnouncementId"]
 
 
 @dataclass(frozen=True, order=True)
-class Statement:
+class AnnouncementId:
     """Place of a statement among all that an endpoint says of itself.
 
     Attributes
     ----------
-    born : int
+    started_ms : int
         Unix time of its start in milliseconds; 0 where it is not told.
     sequence : int
         Its count of statements since then; 0 where it is not told.
     """
 
-    born: int = 0
+    started_ms: int = 0
     sequence: int = 0
 
-    def next(self) -> "Statement":
+    def next(self) -> "AnnouncementId":
         """Return the place of the statement that follows."""
-        return Statement(self.born, self.sequence + 1)
+        return AnnouncementId(self.started_ms, self.sequence + 1)
 
 
 @dataclass(frozen=True)
@@ -48,9 +48,9 @@
         Requests that it runs at once.
     leaving : bool
         Whether it takes no new work.
-    cold_seconds : float
+    warmup_seconds : float
         How much longer it is slow after its start.
-    born : int
+    started_ms : int
         Unix time of its start in milliseconds; 0 where it is not told.
     sequence : int
         Its count of statements since then; 0 where it is not told.
@@ -62,18 +62,18 @@
     zone: str
     slots: int
     leaving: bool = False
-    cold_seconds: float = field(default=0.0, compare=False)
-    born: int = 0
+    warmup_seconds: float = field(default=0.0, compare=False)
+    started_ms: int = 0
     sequence: int = field(default=0, compare=False)
 
     @property
-    def statement(self) -> Statement:
+    def announcement_id(self) -> AnnouncementId:
         """Which of its statements this is."""
-        return Statement(self.born, self.sequence)
+        return AnnouncementId(self.started_ms, self.sequence)
 
 
 @dataclass(frozen=True)
-class Entry:
+class EndpointEntry:
     """What the store holds of an endpoint at some revision.
 
     Attributes
@@ -84,47 +84,49 @@
         The store's revision of this state.
     endpoint : Endpoint or None
         None where the entry is gone.
-    statement : Statement
+    announcement_id : AnnouncementId
         The endpoint's own count up to which this state is known to hold.
     """
 
     id: str
     revision: Revision
     endpoint: Endpoint | None
-    statement: Statement = Statement()
+    announcement_id: AnnouncementId = AnnouncementId()
 
     @classmethod
-    def of_row(
+    def from_row(
         cls, name: str, revision: Revision, endpoint: Endpoint | None
-    ) -> "Entry":
+    ) -> "EndpointEntry":
         """Return the entry that a row stands for."""
-        statement = endpoint.statement if endpoint is not None else Statement()
+        statement = (
+            endpoint.announcement_id if endpoint is not None else AnnouncementId()
+        )
         return cls(name, revision, endpoint, statement)
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether the endpoint is there and not leaving."""
         return self.endpoint is not None and not self.endpoint.leaving
 
-    def ended(self, revision: Revision) -> "Entry":
+    def as_deleted(self, revision: Revision) -> "EndpointEntry":
         """Return the entry once its row is gone.
 
         An older copy of the store may hold the row again: it was written by an
         earlier statement than the one that would follow.
         """
-        return Entry(self.id, revision, None, self.statement.next())
+        return EndpointEntry(self.id, revision, None, self.announcement_id.next())
 
-    def joined(self, other: "Entry") -> "Entry":
+    def merged_with(self, other: "EndpointEntry") -> "EndpointEntry":
         """Return which of two entries of an endpoint holds.
 
         Within an era the store's order decides. Across eras it means nothing; what the
         endpoint said last decides, and that it leaves where both are the same word.
         """
         if self.revision.era == other.revision.era:
-            return max(self, other, key=lambda e: (e.revision, e.statement))
+            return max(self, other, key=lambda e: (e.revision, e.announcement_id))
         older, newer = sorted((self, other), key=lambda e: e.revision)
-        held = older.statement, not older.takes_work
-        if held > (newer.statement, not newer.takes_work):
+        held = older.announcement_id, not older.accepts_requests
+        if held > (newer.announcement_id, not newer.accepts_requests):
             return replace(older, revision=newer.revision)
         return newer
 
@@ -137,11 +139,11 @@
     """
 
     def __init__(self) -> None:
-        self._entries: dict[str, Entry] = {}
+        self._entries: dict[str, EndpointEntry] = {}
         self._by_service: dict[str, list[Endpoint]] = {}
         self._digest = 0
 
-    def __iter__(self) -> Iterator[Entry]:
+    def __iter__(self) -> Iterator[EndpointEntry]:
         return iter(self._entries.values())
 
     @property
@@ -159,11 +161,11 @@
         entry = self._entries.get(name)
         return entry.endpoint if entry is not None else None
 
-    def entry(self, name: str) -> Entry | None:
+    def entry(self, name: str) -> EndpointEntry | None:
         """Return the entry of an endpoint, also of one that is gone."""
         return self._entries.get(name)
 
-    def holds(self, entry: Entry) -> bool:
+    def contains(self, entry: EndpointEntry) -> bool:
         """Whether an entry is known just as it is."""
         return self._entries.get(entry.id) == entry
 
@@ -171,12 +173,12 @@
         """Return the endpoints of a service that take new work."""
         return self._by_service.get(service, [])
 
-    def merge(self, entries: Iterable[Entry]) -> list[Entry]:
+    def merge(self, entries: Iterable[EndpointEntry]) -> list[EndpointEntry]:
         """Take entries that are newer, and return those that change something."""
         changed = []
         for entry in entries:
             known = self._entries.get(entry.id)
-            held = entry if known is None else known.joined(entry)
+            held = entry if known is None else known.merged_with(entry)
             self._entries[entry.id] = held
             if known is None or known.endpoint != held.endpoint:
                 changed.append(held)
--- a/packages/fleet/src/teaselledge_fleet/process/gossip.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -31,7 +31,7 @@
 from teaselledge_fleet.process.admissionrpc import PeerTransport
 from teaselledge_fleet.process.advertised import AdvertisedLog
 from teaselledge_fleet.process.coordinators import Coordinators
-from teaselledge_fleet.process.endpoints import Endpoint, Entry, Statement
+from teaselledge_fleet.process.endpoints import AnnouncementId, Endpoint, EndpointEntry
 from teaselledge_fleet.process.forwarding import (
     Delivery,
     SeenMessages,
@@ -42,7 +42,7 @@
 from teaselledge_fleet.process.sent import NO_MARK, LoadStats
 from teaselledge_fleet.process.shares import OrganisationShares
 from teaselledge_fleet.process.stalls import StallDetector
-from teaselledge_fleet.process.storecache import Belief
+from teaselledge_fleet.process.storecache import StoreCache
 from teaselledge_fleet.process.sums import LoadTotals
 from teaselledge_fleet.process.topology import Scope, Topology
 from teaselledge_fleet.process.work import FleetLoad, name_hash
@@ -110,7 +110,7 @@
     def __init__(
         self,
         members: Members,
-        belief: Belief,
+        belief: StoreCache,
         seeds: Iterable[str],
         work: FleetLoad,
         admission: AdmissionController,
@@ -133,7 +133,7 @@
         self._sequence = 0
         self._turn = 0
         self._started = asyncio.get_running_loop().time()
-        self._told: list[tuple[Entry, int]] = []
+        self._told: list[tuple[EndpointEntry, int]] = []
         self._next_fetch = 0.0
         self._noted_unheard_at = -math.inf
         self._stalls = stalls or StallDetector()
@@ -246,7 +246,7 @@
 
     def _next_changes(self) -> list[EndpointState]:
         """Return the changes to be told now."""
-        self._told += [(entry, REPEATED) for entry in self._belief.take_changes()]
+        self._told += [(entry, REPEATED) for entry in self._belief.pop_changes()]
         now, later = self._told[:CHANGES_A_PULSE], self._told[CHANGES_A_PULSE:]
         self._told = later + [(entry, left - 1) for entry, left in now if left > 1]
         if later:
@@ -277,7 +277,7 @@
             belief.version,
             belief.view.digest,
             _milliseconds(belief.age),
-            belief.follower,
+            belief.poller,
             changes,
             int(scope),
             others=self._reports(self._to_report()),
@@ -371,9 +371,11 @@
         known_at = belief.as_of
         current = self._note_era(pulse.era, sender.vm)
         if pulse.changes:
-            belief.take_news(map(_from_wire, pulse.changes), sender.vm)
+            belief.merge_entries(map(_from_wire, pulse.changes), sender.vm)
         if current and pulse.store_age is not None and pulse.store_age >= 0:
-            belief.confirm(pulse.digest, pulse.store_age / 1000, pulse.follower or "")
+            belief.update_age(
+                pulse.digest, pulse.store_age / 1000, pulse.follower or ""
+            )
         self._take_alive(sender, pulse)
         if pulse.work is not None or pulse.uses is not None:
             self._hear_figures(sender, pulse)
@@ -388,7 +390,7 @@
 
     def _note_era(self, era: int | None, source: str) -> bool:
         """Whether a router tells of the store as it is, not before it went back."""
-        return era is None or self._belief.note_era(era, source)
+        return era is None or self._belief.update_era(era, source)
 
     def _pass_on(self, sender: Member, pulse: Pulse) -> bool:
         """Pass a pulse on to those for whom it is; False where it came before."""
@@ -488,10 +490,10 @@
         vm = state.sender.vm
         current = self._note_era(state.era, vm)
         if state.configuration and (state.version or 0) > belief.version:
-            belief.take_configuration(state.configuration, vm)
-        belief.take_news(map(_from_wire, state.endpoints or ()), vm)
+            belief.update_configuration(state.configuration, vm)
+        belief.merge_entries(map(_from_wire, state.endpoints or ()), vm)
         if current and state.store_age is not None and state.store_age >= 0:
-            belief.confirm(state.digest, state.store_age / 1000, vm)
+            belief.update_age(state.digest, state.store_age / 1000, vm)
         self._members.merge_report(MemberReport(Member.from_wire(state.sender), 0.0))
         for info in state.routers or ():
             self._members.merge_report(MemberReport.from_wire(info))
@@ -502,13 +504,17 @@
     return -1 if seconds is None else min(int(seconds * 1000), 1 << 30)
 
 
-def _to_wire(entry: Entry) -> EndpointState:
-    endpoint, revision, statement = entry.endpoint, entry.revision, entry.statement
+def _to_wire(entry: EndpointEntry) -> EndpointState:
+    endpoint, revision, statement = (
+        entry.endpoint,
+        entry.revision,
+        entry.announcement_id,
+    )
     state = EndpointState(
         entry.id,
         revision.number,
         endpoint is None,
-        born=statement.born,
+        born=statement.started_ms,
         era=revision.era,
         sequence=statement.sequence,
     )
@@ -521,11 +527,11 @@
     return state
 
 
-def _from_wire(state: EndpointState) -> Entry:
+def _from_wire(state: EndpointState) -> EndpointEntry:
     revision = Revision(state.era or 0, state.revision)
-    statement = Statement(state.born or 0, state.sequence or 0)
+    statement = AnnouncementId(state.born or 0, state.sequence or 0)
     if state.gone:
-        return Entry(state.id, revision, None, statement)
+        return EndpointEntry(state.id, revision, None, statement)
     endpoint = Endpoint(
         state.id,
         state.service_name or "",
@@ -533,7 +539,7 @@
         state.zone or "",
         state.slots or 1,
         bool(state.leaving),
-        born=statement.born,
+        started_ms=statement.started_ms,
         sequence=statement.sequence,
     )
-    return Entry(state.id, revision, endpoint, statement)
+    return EndpointEntry(state.id, revision, endpoint, statement)
--- a/packages/fleet/src/teaselledge_fleet/process/locating.py
+++ b/packages/fleet/src/teaselledge_fleet/process/locating.py
@@ -28,7 +28,7 @@
     ----------
     members : Members
         The routers.
-    socket : Socket
+    socket : PeerTransport
         The way to other routers.
     coordinators : Coordinators
         Who admits to which endpoint.
--- a/packages/fleet/src/teaselledge_fleet/process/metrics.py
+++ b/packages/fleet/src/teaselledge_fleet/process/metrics.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
-__all__ = ["METRICS", "SECONDS", "FleetMetrics", "Metric", "Observations"]
+__all__ = ["METRICS", "BUCKET_BOUNDS_SECONDS", "FleetMetrics", "Metric", "Histogram"]
 
-SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0, 8.0)
+BUCKET_BOUNDS_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0, 8.0)
 """Edges of the histograms: around the objectives of 0.2 to 0.8 s, up to the longest
 deadlines of 10 s."""
 
@@ -22,7 +22,7 @@
         ``counter``, ``gauge`` or ``histogram``.
     unit : str
         Unit of its value.
-    meaning : str
+    description : str
         What it tells, in one sentence.
     labels : tuple of str
         Names of its labels.
@@ -30,7 +30,7 @@
 
     kind: str
     unit: str
-    meaning: str
+    description: str
     labels: tuple[str, ...] = ()
 
 
@@ -99,29 +99,33 @@
 
 
 @dataclass
-class Observations:
+class Histogram:
     """What a histogram was told.
 
     Attributes
     ----------
     counts : list of int
         By bucket, of which the last one has no edge.
-    seconds : float
+    sum_seconds : float
         Sum of all.
     """
 
-    counts: list[int] = field(default_factory=lambda: [0] * (len(SECONDS) + 1))
-    seconds: float = 0.0
+    counts: list[int] = field(
+        default_factory=lambda: [0] * (len(BUCKET_BOUNDS_SECONDS) + 1)
+    )
+    sum_seconds: float = 0.0
 
-    def add(self, seconds: float) -> None:
+    def observe(self, seconds: float) -> None:
         """Take one more."""
-        self.counts[bisect_left(SECONDS, seconds)] += 1
-        self.seconds += seconds
+        self.counts[bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
+        self.sum_seconds += seconds
 
     def cumulative(self) -> Iterator[tuple[str, int]]:
         """Yield the edge of each bucket, and how many are not above it."""
         total = 0
-        for edge, count in zip([*SECONDS, "+Inf"], self.counts, strict=True):
+        for edge, count in zip(
+            [*BUCKET_BOUNDS_SECONDS, "+Inf"], self.counts, strict=True
+        ):
             total += count
             yield str(edge), total
 
@@ -136,10 +140,10 @@
         for name, metric in METRICS.items():
             if not metric.labels:
                 self._values[name][()] = 0.0
-        self._histograms: defaultdict[str, defaultdict[Labels, Observations]]
-        self._histograms = defaultdict(lambda: defaultdict(Observations))
+        self._histograms: defaultdict[str, defaultdict[Labels, Histogram]]
+        self._histograms = defaultdict(lambda: defaultdict(Histogram))
 
-    def count(self, name: str, value: float = 1, **labels: str) -> None:
+    def increment(self, name: str, value: float = 1, **labels: str) -> None:
         """Add to a counter."""
         self._values[name][_key(name, labels)] += value
 
@@ -149,13 +153,13 @@
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
         """Add to a histogram."""
-        self._histograms[name][_key(name, labels)].add(seconds)
+        self._histograms[name][_key(name, labels)].observe(seconds)
 
     def values(self, name: str) -> Mapping[Labels, float]:
         """Return the values of a counter or gauge, by its labels."""
         return self._values[name]
 
-    def observations(self, name: str) -> Mapping[Labels, Observations]:
+    def histograms(self, name: str) -> Mapping[Labels, Histogram]:
         """Return what a histogram was told, by its labels."""
         return self._histograms[name]
 
--- a/packages/fleet/src/teaselledge_fleet/process/metricspage.py
+++ b/packages/fleet/src/teaselledge_fleet/process/metricspage.py
@@ -43,15 +43,17 @@
                 yield self._family(name, metric)
 
     def _family(self, name: str, metric: declared.Metric) -> Metric:
-        family = KINDS[metric.kind](PREFIX + name, metric.meaning, labels=metric.labels)
+        family = KINDS[metric.kind](
+            PREFIX + name, metric.description, labels=metric.labels
+        )
         for labels, value in self._metrics.values(name).items():
             family.add_metric(labels, value)
         return family
 
     def _histogram(self, name: str, metric: declared.Metric) -> Metric:
         family = HistogramMetricFamily(
-            PREFIX + name, metric.meaning, labels=metric.labels
+            PREFIX + name, metric.description, labels=metric.labels
         )
-        for labels, seen in self._metrics.observations(name).items():
-            family.add_metric(labels, list(seen.cumulative()), seen.seconds)
+        for labels, seen in self._metrics.histograms(name).items():
+            family.add_metric(labels, list(seen.cumulative()), seen.sum_seconds)
         return family
--- a/packages/fleet/src/teaselledge_fleet/process/registration.py
+++ b/packages/fleet/src/teaselledge_fleet/process/registration.py
@@ -9,7 +9,7 @@
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.members import Member, MemberReport, Members
 from teaselledge_fleet.process.store import StateStore
-from teaselledge_fleet.process.storecache import Belief
+from teaselledge_fleet.process.storecache import StoreCache
 from teaselledge_fleet.process.topology import rank
 
 __all__ = ["Registration"]
@@ -40,7 +40,7 @@
     may be lost when the store goes back to an older copy, and is written again then.
     """
 
-    def __init__(self, store: StateStore, members: Members, belief: Belief) -> None:
+    def __init__(self, store: StateStore, members: Members, belief: StoreCache) -> None:
         self._store = store
         self._members = members
         self._belief = belief
@@ -84,13 +84,13 @@
         own = self._members.own
         return sum(rank(m) < rank(own) for m in self._members.zone_peers) < ROWS
 
-    async def withdraw(self) -> None:
+    async def deregister(self) -> None:
         """Remove the row."""
         if self._written_in is None:
             return
         try:
             async with asyncio.timeout(WITHDRAW_SECONDS):
-                await self._store.drop_router(self._members.own.vm)
+                await self._store.delete_router(self._members.own.vm)
         except TimeoutError:
             _log.info("row not removed", vm=self._members.own.vm)
 
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -30,13 +30,13 @@
 from teaselledge_fleet.process.registration import Registration
 from teaselledge_fleet.process.settings import FleetSettings
 from teaselledge_fleet.process.store import StateStore
-from teaselledge_fleet.process.storecache import Belief, Decode
-from teaselledge_fleet.process.storepoller import StoreFollower
+from teaselledge_fleet.process.storecache import Decode, StoreCache
+from teaselledge_fleet.process.storepoller import StorePoller
 from teaselledge_fleet.request.call import Dialect
 from teaselledge_fleet.request.serving import Server
 from teaselledge_fleet.version.routes import CallerLimits
 
-__all__ = ["FleetRouter", "Pages"]
+__all__ = ["FleetRouter", "PageFormats"]
 
 _log = get_log("router")
 
@@ -58,15 +58,15 @@
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
-class Pages(Protocol):
+class PageFormats(Protocol):
     """Formats of what callers and the platform ask a router."""
 
     addresses_path: str
 
-    def place_asked(self, arguments: dict[str, str]) -> tuple[str, str]:
+    def caller_location(self, arguments: dict[str, str]) -> tuple[str, str]:
         """Return the zone and region of a caller that asks for addresses."""
 
-    def addresses(self, addresses: list[str], seconds: float) -> Page:
+    def addresses_page(self, addresses: list[str], seconds: float) -> Page:
         """Return the page that names routers."""
 
 
@@ -81,7 +81,7 @@
         What lasts.
     dialect : Dialect
         Names of headers.
-    pages : Pages
+    pages : PageFormats
         Formats of the small pages.
     decode : callable
         Reads a configuration; None where it can't.
@@ -92,7 +92,7 @@
         settings: FleetSettings,
         store: StateStore,
         dialect: Dialect,
-        pages: Pages,
+        pages: PageFormats,
         decode: Decode,
     ) -> None:
         self._settings = settings
@@ -111,7 +111,7 @@
         self._members = Members(own)
         self._busyness = EventLoopMonitor(settings.cores)
         self._busyness.on_tick = self._note_load
-        self._belief = Belief(place.vm, decode)
+        self._belief = StoreCache(place.vm, decode)
         self._pool = ConnectionPool()
         self._budget = RetryBudget(_limits(settings))
         self._placer = FleetPlacer(self._belief.view, place.zone, settings.zones)
@@ -142,7 +142,7 @@
         self._limit = ConnectionLimit()
         acceptor.has_time = lambda: self._limit.allows(self._front.running)
         asks_seeds = bool(settings.seeds) and own.peer_address not in settings.seeds
-        self._follower = StoreFollower(place.vm, store, self._belief, asks_seeds)
+        self._follower = StorePoller(place.vm, store, self._belief, asks_seeds)
         self._registration = Registration(store, self._members, self._belief)
         self._socket = PeerSocket()
         admission = AdmissionController()
@@ -200,23 +200,23 @@
         ]
         _log.info("router started", vm=self._settings.place.vm)
 
-    def use(self, settings: FleetSettings) -> None:
+    def apply_settings(self, settings: FleetSettings) -> None:
         """Take what may change in the settings while the process runs."""
         self._spreading.set_seeds(settings.seeds)
         self._budget.set_limits(_limits(settings))
         _log.info("settings taken", seeds=list(settings.seeds))
 
-    def stop(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin to leave."""
         _log.info("router stops", running=self._front.running)
         self._members.set_state(MemberState.LEAVING)
         self._spreading.send_heartbeats()
         self._leaving.start()
 
-    async def wait_left(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until nothing is left to be done."""
         await self._leaving.wait()
-        await self._registration.withdraw()
+        await self._registration.deregister()
         await self.close()
         _log.info("router stopped", running=self._front.running)
 
@@ -307,11 +307,11 @@
         if self._busyness.recently_blocked:
             # it can't tell who is silent; another router answers better
             return Page(503)
-        zone, region = self._pages.place_asked(arguments)
+        zone, region = self._pages.caller_location(arguments)
         found = addresses_for(self._members.ready, self._settings.zones, zone, region)
         if not found:
             return Page(503)
-        return self._pages.addresses(found, ADDRESS_SECONDS)
+        return self._pages.addresses_page(found, ADDRESS_SECONDS)
 
     def _answer_peers(self, path: str, arguments: dict[str, str]) -> Page:
         if path == STATE_PATH:
--- a/packages/fleet/src/teaselledge_fleet/process/sent.py
+++ b/packages/fleet/src/teaselledge_fleet/process/sent.py
@@ -35,9 +35,9 @@
 
     Attributes
     ----------
-    work : dict of int to Work
+    work : dict of int to EndpointLoad
         Work under way, by endpoint.
-    uses : dict of int to Use
+    uses : dict of int to TokenUsage
         Use within the last window, by organisation.
     """
 
--- a/packages/fleet/src/teaselledge_fleet/process/store.py
+++ b/packages/fleet/src/teaselledge_fleet/process/store.py
@@ -6,7 +6,7 @@
 
 from expression import Result
 
-from teaselledge_fleet.process.endpoints import Entry
+from teaselledge_fleet.process.endpoints import EndpointEntry
 from teaselledge_fleet.process.revision import Revision
 
 __all__ = [
@@ -41,12 +41,12 @@
     ----------
     revision : Revision
         The store's newest revision at that moment.
-    entries : tuple of Entry
+    entries : tuple of EndpointEntry
         One for each row; None as endpoint where the row can't be used.
     """
 
     revision: Revision
-    entries: tuple[Entry, ...]
+    entries: tuple[EndpointEntry, ...]
 
 
 @dataclass(frozen=True)
@@ -91,5 +91,5 @@
     async def put_router(self, vm: str, data: bytes) -> Result[None, StoreFault]:
         """Write what this router tells of itself."""
 
-    async def drop_router(self, vm: str) -> Result[None, StoreFault]:
+    async def delete_router(self, vm: str) -> Result[None, StoreFault]:
         """Remove a router's row."""
--- a/packages/fleet/src/teaselledge_fleet/process/storecache.py
+++ b/packages/fleet/src/teaselledge_fleet/process/storecache.py
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.endpoints import EndpointView, Entry
+from teaselledge_fleet.process.endpoints import EndpointEntry, EndpointView
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.store import EndpointRows
 from teaselledge_fleet.version.routes import Routing
 
-__all__ = ["Belief"]
+__all__ = ["StoreCache"]
 
 _log = get_log("belief")
 
@@ -46,7 +46,7 @@
 Decode = Callable[[bytes], Routing | None]
 
 
-class Belief:
+class StoreCache:
     """The configuration and the endpoints, as far as this router knows.
 
     Attributes
@@ -57,7 +57,7 @@
         The configuration in force; its version never goes back.
     configuration : bytes
         The same as the operator wrote it, for other routers.
-    follower : str
+    poller : str
         VM that read the store for what is believed.
     era : int or None
         How often the store has gone back to an older copy, by the newest that was
@@ -72,14 +72,14 @@
         self.view = EndpointView()
         self.routing: Routing | None = None
         self.configuration = b""
-        self.follower = ""
+        self.poller = ""
         self.era: int | None = None
         self.on_change: list[Callable[[], None]] = []
         self._as_of: float | None = None
         self._follower_as_of = 0.0
         self._returned_at: float | None = None
         self._era_noted_at = -math.inf
-        self._fresh_changes: list[Entry] = []
+        self._fresh_changes: list[EndpointEntry] = []
 
     @property
     def version(self) -> int:
@@ -96,7 +96,7 @@
         """Seconds since the endpoints were known to be as they are believed."""
         return None if self._as_of is None else self._now() - self._as_of
 
-    def take_configuration(self, data: bytes, source: str) -> bool:
+    def update_configuration(self, data: bytes, source: str) -> bool:
         """Take a configuration if it is newer; False if it can't be read."""
         routing = self._decode(data)
         if routing is None:
@@ -116,7 +116,7 @@
         self._tell()
         return True
 
-    def note_era(self, era: int, source: str) -> bool:
+    def update_era(self, era: int, source: str) -> bool:
         """Take the era of the store that somebody tells; False for an older one.
 
         What is told of an older era may have been undone.
@@ -132,29 +132,29 @@
             self._tell()
         return True
 
-    def take_rows(self, rows: EndpointRows, as_of: float) -> None:
+    def update_from_rows(self, rows: EndpointRows, as_of: float) -> None:
         """Take a reading of all entries, made by this router."""
-        if not self.note_era(rows.revision.era, "store"):
+        if not self.update_era(rows.revision.era, "store"):
             return
         self._advance(as_of)
         present = {entry.id: entry for entry in rows.entries}
         # nearly all rows of a reading are as they were in the one before
-        fresh = [entry for entry in present.values() if not self.view.holds(entry)]
+        fresh = [entry for entry in present.values() if not self.view.contains(entry)]
         news = [self._confirmed(entry, rows.revision) for entry in fresh]
         for entry in self.view:
             if entry.endpoint is not None and entry.id not in present:
                 if self._settling():
                     continue
-                news.append(entry.ended(max(rows.revision, entry.revision.next())))
+                news.append(entry.as_deleted(max(rows.revision, entry.revision.next())))
         self._merge(news, "store")
         self._note_follower(self._vm, as_of)
         self._tell()
 
-    def take_news(self, entries: Iterable[Entry], source: str) -> None:
+    def merge_entries(self, entries: Iterable[EndpointEntry], source: str) -> None:
         """Take entries that another router tells of."""
         self._merge(entries, source)
 
-    def _confirmed(self, row: Entry, newest: Revision) -> Entry:
+    def _confirmed(self, row: EndpointEntry, newest: Revision) -> EndpointEntry:
         """Return a row's entry, as a new one if it has stood for long after a restore.
 
         The row of a restored copy gives way to what its endpoint is known to have said
@@ -163,13 +163,15 @@
         known = self.view.entry(row.id)
         if known is None or row.revision < known.revision:
             return row
-        held_back = known.joined(row).endpoint != row.endpoint
+        held_back = known.merged_with(row).endpoint != row.endpoint
         if not held_back or self._now() - self._era_noted_at < CONFIRM_SECONDS:
             return row
         revision = max(newest, known.revision.next())
-        return replace(row, revision=revision, statement=known.statement.next())
+        return replace(
+            row, revision=revision, announcement_id=known.announcement_id.next()
+        )
 
-    def confirm(self, digest: int, age: float, follower: str) -> None:
+    def update_age(self, digest: int, age: float, follower: str) -> None:
         """Take another router's word on how old an equal view is."""
         if digest != self.view.digest:
             return
@@ -180,10 +182,10 @@
         if self._as_of is None or as_of > self._as_of + ECHO_SECONDS:
             self._advance(as_of)
 
-    def give_up_following(self) -> None:
+    def release_poller(self) -> None:
         """Note that this router can't read the store, so that another one does."""
-        if self.follower == self._vm:
-            self.follower = ""
+        if self.poller == self._vm:
+            self.poller = ""
 
     def _note_follower(self, follower: str, as_of: float) -> None:
         """Take who read the store at some time.
@@ -191,20 +193,20 @@
         Of two that read at the same time the first by name goes on: every router
         passes on the first name it heard lately, so the other one hears it too.
         """
-        current = self.follower
+        current = self.poller
         if not follower or self._now() - as_of > YIELD_SECONDS:
             return
         stale = self._now() - self._follower_as_of > YIELD_SECONDS
         if not current or stale or follower <= current:
-            self.follower = follower
+            self.poller = follower
             self._follower_as_of = as_of
 
-    def take_changes(self) -> list[Entry]:
+    def pop_changes(self) -> list[EndpointEntry]:
         """Return the entries that changed since the last call."""
         changes, self._fresh_changes = self._fresh_changes, []
         return changes
 
-    def _merge(self, entries: Iterable[Entry], source: str) -> None:
+    def _merge(self, entries: Iterable[EndpointEntry], source: str) -> None:
         changed = self.view.merge(entries)
         if not changed:
             return
--- a/packages/fleet/src/teaselledge_fleet/process/storepoller.py
+++ b/packages/fleet/src/teaselledge_fleet/process/storepoller.py
@@ -6,9 +6,9 @@
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.store import StateStore, StoreFault
-from teaselledge_fleet.process.storecache import Belief
+from teaselledge_fleet.process.storecache import StoreCache
 
-__all__ = ["StoreFollower"]
+__all__ = ["StorePoller"]
 
 _log = get_log("store")
 
@@ -47,7 +47,7 @@
 TICK_SECONDS = 0.05
 
 
-class StoreFollower:
+class StorePoller:
     """Reads the store when the fleet's knowledge of it grows old.
 
     Whoever reads first goes on reading, and what it tells keeps all others from
@@ -60,19 +60,19 @@
         This router's VM.
     store : StateStore
         What it reads.
-    belief : Belief
+    belief : StoreCache
         What it tells.
-    asks_seeds : bool
+    has_seeds : bool
         Whether other routers are its seeds.
     """
 
     def __init__(
-        self, vm: str, store: StateStore, belief: Belief, asks_seeds: bool = False
+        self, vm: str, store: StateStore, belief: StoreCache, has_seeds: bool = False
     ) -> None:
         self._vm = vm
         self._store = store
         self._belief = belief
-        self._asks_seeds = asks_seeds
+        self._asks_seeds = has_seeds
         self._revision: Revision | None = None
         self._pause = FIRST_PAUSE
         self._reachable: bool | None = None
@@ -88,7 +88,7 @@
             if await self._read():
                 self._pause = FIRST_PAUSE
                 continue
-            self._belief.give_up_following()
+            self._belief.release_poller()
             await asyncio.sleep(self._pause * random.uniform(0.7, 1.3))
             self._pause = min(LONGEST_PAUSE, self._pause * 2)
 
@@ -101,7 +101,7 @@
 
     async def _until_due(self) -> None:
         patience = STALE_SECONDS + random.uniform(0, SPREAD_SECONDS)
-        while self._belief.follower != self._vm:
+        while self._belief.poller != self._vm:
             age = self._belief.age
             if age is None or age > patience or not self._belief.version:
                 return
@@ -119,7 +119,7 @@
             self._note_failure(read.error)
             return False
         self._note_success()
-        self._belief.take_rows(read.ok, started)
+        self._belief.update_from_rows(read.ok, started)
         return True
 
     async def _read_configuration(self) -> bool:
@@ -130,10 +130,10 @@
             self._note_failure(read.error)
             return False
         found = read.ok
-        if not self._belief.note_era(found.revision.era, "store"):
+        if not self._belief.update_era(found.revision.era, "store"):
             return False
         data = found.data
-        if data is not None and not self._belief.take_configuration(data, "store"):
+        if data is not None and not self._belief.update_configuration(data, "store"):
             # the next change, or the next start, reads it again
             _log.error("configuration can't be read", revision=found.revision.number)
         self._revision = max(self._revision or found.revision, found.revision)
--- a/packages/fleet/src/teaselledge_fleet/process/sums.py
+++ b/packages/fleet/src/teaselledge_fleet/process/sums.py
@@ -20,11 +20,11 @@
 
     Parameters
     ----------
-    work : FleetWork
+    work : FleetLoad
         Takes the work of others.
     shares : OrganisationShares
         Counts this router's use, and takes that of others.
-    admission : Admission
+    admission : AdmissionController
         Counts the work at endpoints to which this router admits.
     """
 
@@ -104,7 +104,7 @@
 
         Parameters
         ----------
-        figures : Figures
+        figures : LoadStats
             The sums.
         mark : int
             Which pulse of this router they hold.
--- a/packages/fleet/src/teaselledge_fleet/process/waiting.py
+++ b/packages/fleet/src/teaselledge_fleet/process/waiting.py
@@ -75,7 +75,7 @@
             Its kind.
         service : str
             Where it goes.
-        standing : Standing
+        standing : ShareStatus
             What its organisation received, against what all ask for.
         """
         objective = min(route.objective, self._shortest.get(service, route.objective))
--- a/packages/fleet/src/teaselledge_fleet/request/serving.py
+++ b/packages/fleet/src/teaselledge_fleet/request/serving.py
@@ -142,7 +142,7 @@
         organisation = None
         if self.routing is not None and call.key:
             organisation = self.routing.holder_of(call.key)
-        self._metrics.count("requests", outcome="refused", fault=kind, service="")
+        self._metrics.increment("requests", outcome="refused", fault=kind, service="")
         _log.info(
             "request refused",
             id=call.id,
@@ -204,7 +204,7 @@
                 outcome = await self._attempt(placed.ok)
             finally:
                 self._server._placer.ended(context, endpoint, outcome)
-                self._server._metrics.count(
+                self._server._metrics.increment(
                     "attempts", outcome=outcome.name.lower(), service=context.service
                 )
             if outcome in (Outcome.WHOLE, Outcome.ABANDONED):
@@ -424,7 +424,7 @@
         context, metrics = self._context, self._server._metrics
         service = context.service
         fault = self._fault.kind.value if self._fault is not None else ""
-        metrics.count(
+        metrics.increment(
             "requests", outcome=outcome.name.lower(), fault=fault, service=service
         )
         metrics.observe("request_seconds", now - context.arrived, service=service)
--- a/packages/fleet/tests/test_gossip.py
+++ b/packages/fleet/tests/test_gossip.py
@@ -68,7 +68,7 @@
         store = new_store()
         async with spread_fleet(store, ROUTERS, decode_number) as fleet:
             await asyncio.sleep(5 + 0.15 * moment)
-            name = fleet.routers[0].belief.follower
+            name = fleet.routers[0].belief.poller
             next(r for r in fleet.routers if r.vm == name).kill()
             store.put(endpoint("e1", leaving=True))
             store.configure(b"2")
--- a/packages/fleet/tests/test_metrics.py
+++ b/packages/fleet/tests/test_metrics.py
@@ -12,7 +12,7 @@
     metrics = FleetMetrics()
     for service in range(10):
         metrics.observe("request_seconds", 0.1, service=f"s{service}")
-        metrics.count("requests", outcome="whole", fault="", service=f"s{service}")
+        metrics.increment("requests", outcome="whole", fault="", service=f"s{service}")
     page = metrics_page(metrics)[:COLLECTED_BYTES].decode()
     for name, metric in METRICS.items():
         if metric.kind == "gauge":
@@ -22,8 +22,8 @@
 def test_page_holds_what_was_counted():
     metrics = FleetMetrics()
     metrics.set("store_calls", 7)
-    metrics.count("attempts", outcome="whole", service="books")
-    metrics.count("attempts", outcome="whole", service="books")
+    metrics.increment("attempts", outcome="whole", service="books")
+    metrics.increment("attempts", outcome="whole", service="books")
     for seconds in (0.05, 0.1, 99.0):
         metrics.observe("pause_seconds", seconds, service="books")
     lines = metrics_page(metrics).decode().splitlines()
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -5,7 +5,7 @@
 
 from teaselledge_fleet.faults import FaultKind
 from teaselledge_fleet.process.admission import AdmissionDecision
-from teaselledge_fleet.process.endpoints import Endpoint, EndpointView, Entry
+from teaselledge_fleet.process.endpoints import Endpoint, EndpointEntry, EndpointView
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.prefixes import rendezvous_order
 from teaselledge_fleet.process.revision import Revision
@@ -33,7 +33,7 @@
     asked: int = 0
 
     def __post_init__(self) -> None:
-        self.view.merge(Entry(e.id, Revision(0, 1), e) for e in ENGINES)
+        self.view.merge(EndpointEntry(e.id, Revision(0, 1), e) for e in ENGINES)
         self.placer = FleetPlacer(self.view, "north", ZONES)
 
     def context(self, part: str = "p1", shared: int = 13_000, own: int = 3_700, **more):
@@ -85,7 +85,7 @@
     desk = Desk()
     home = rendezvous_order("p1", ENGINES)[0].id
     other = rendezvous_order("p1", ENGINES)[1].id
-    desk.view.merge([Entry(other, Revision(0, 2), None)])
+    desk.view.merge([EndpointEntry(other, Revision(0, 2), None)])
     assert await placed(desk, desk.context("p1")) == home
 
 
--- a/packages/fleet/tests/test_restored_store.py
+++ b/packages/fleet/tests/test_restored_store.py
@@ -3,10 +3,10 @@
 import asyncio
 from dataclasses import replace
 
-from teaselledge_fleet.process.endpoints import Endpoint, Entry
+from teaselledge_fleet.process.endpoints import Endpoint, EndpointEntry
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.store import EndpointRows
-from teaselledge_fleet.process.storecache import CONFIRM_SECONDS, Belief
+from teaselledge_fleet.process.storecache import CONFIRM_SECONDS, StoreCache
 from teaselledge_standins.restores import RestoreHistory
 from teaselledge_standins.spreadfleet import spread_fleet
 from teaselledge_standins.statestore import MemoryStateStore, decode_number, store_of
@@ -21,7 +21,7 @@
 
 
 def engine(name: str) -> Endpoint:
-    return Endpoint(name, "books", f"10.0.0.9:{len(name)}", "z1", 4, born=1)
+    return Endpoint(name, "books", f"10.0.0.9:{len(name)}", "z1", 4, started_ms=1)
 
 
 def new_store() -> MemoryStateStore:
@@ -77,14 +77,14 @@
 
     An endpoint that is gone, or says something else, lets no old row stand so long.
     """
-    belief = Belief("r1", decode_number)
+    belief = StoreCache("r1", decode_number)
     loop = asyncio.get_running_loop()
 
     def read(era: int, sequence: int, leaving: bool) -> bool:
         endpoint = replace(engine("e0"), sequence=sequence, leaving=leaving)
         revision = Revision(era, 4)
-        entry = Entry.of_row("e0", revision, endpoint)
-        belief.take_rows(EndpointRows(Revision(era, 9), (entry,)), loop.time())
+        entry = EndpointEntry.from_row("e0", revision, endpoint)
+        belief.update_from_rows(EndpointRows(Revision(era, 9), (entry,)), loop.time())
         return bool(belief.view.of_service("books"))
 
     assert not read(1, sequence=8, leaving=True)
@@ -100,11 +100,11 @@
 
 async def test_answer_from_before_a_restore_is_dropped():
     """A slow answer arrives after another router told of the restore."""
-    belief = Belief("r1", decode_number)
+    belief = StoreCache("r1", decode_number)
     loop = asyncio.get_running_loop()
-    entry = Entry.of_row("e0", Revision(1, 4), engine("e0"))
-    assert belief.note_era(2, "r2")
-    belief.take_rows(EndpointRows(Revision(1, 9), (entry,)), loop.time())
+    entry = EndpointEntry.from_row("e0", Revision(1, 4), engine("e0"))
+    assert belief.update_era(2, "r2")
+    belief.update_from_rows(EndpointRows(Revision(1, 9), (entry,)), loop.time())
     assert belief.view.get("e0") is None
 
 
--- a/packages/standins/src/teaselledge_standins/fleetrouters.py
+++ b/packages/standins/src/teaselledge_standins/fleetrouters.py
@@ -24,11 +24,11 @@
 
     addresses_path = "/addresses"
 
-    def place_asked(self, arguments: dict[str, str]) -> tuple[str, str]:
+    def caller_location(self, arguments: dict[str, str]) -> tuple[str, str]:
         """Return the only zone."""
         return ZONE, REGION
 
-    def addresses(self, addresses: list[str], seconds: float) -> Page:
+    def addresses_page(self, addresses: list[str], seconds: float) -> Page:
         """Return the page that names routers."""
         return Page(200, "\n".join(addresses).encode())
 
--- a/packages/standins/src/teaselledge_standins/restores.py
+++ b/packages/standins/src/teaselledge_standins/restores.py
@@ -175,7 +175,7 @@
     def _add(self, name: str) -> None:
         born = int(self._now() * 1000) + 1
         address = f"10.0.0.9:{1000 + len(self._writers)}"
-        writer = _Writer(Endpoint(name, "books", address, "z1", 4, born=born))
+        writer = _Writer(Endpoint(name, "books", address, "z1", 4, started_ms=born))
         self._writers[name] = writer
         writer.say(self._store)
 
@@ -296,7 +296,7 @@
             known = view.entry(name)
             if known is None or takes_work:
                 continue
-            if not known.takes_work:
+            if not known.accepts_requests:
                 left.add(name)
             elif name in left:
                 self._break(f"{router.vm}: {name} takes work again")
--- a/packages/standins/src/teaselledge_standins/spreadfleet.py
+++ b/packages/standins/src/teaselledge_standins/spreadfleet.py
@@ -23,8 +23,8 @@
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.registration import Registration
 from teaselledge_fleet.process.stalls import StallDetector
-from teaselledge_fleet.process.storecache import Belief, Decode
-from teaselledge_fleet.process.storepoller import StoreFollower
+from teaselledge_fleet.process.storecache import Decode, StoreCache
+from teaselledge_fleet.process.storepoller import StorePoller
 from teaselledge_fleet.process.work import FleetLoad
 from teaselledge_wire.gen.fleet.ttypes import WholeState
 
@@ -39,8 +39,8 @@
 
     vm: str
     members: Members
-    belief: Belief
-    follower: StoreFollower
+    belief: StoreCache
+    follower: StorePoller
     registration: Registration
     spreading: Gossip
     asking: AdmissionRpc
@@ -149,7 +149,7 @@
         own = Member(vm, self.chance.getrandbits(60), zone, zone, f"{vm}:2", address)
         members = Members(own)
         members.set_state(MemberState.READY)
-        belief = Belief(vm, decode)
+        belief = StoreCache(vm, decode)
         placer = FleetPlacer(belief.view, zone, {})
         work, admission = placer.load, AdmissionController()
         work.coordinated_load = admission.total_load
@@ -170,7 +170,7 @@
         spreading._client = link  # type: ignore[assignment]
         asking = AdmissionRpc(members, belief.view, work, admission, link, coordinators)
         client = StoreClient(self.store, vm)
-        follower = StoreFollower(vm, client, belief, address not in seeds)
+        follower = StorePoller(vm, client, belief, address not in seeds)
         placer.set_admission_check(asking.request_admission)
         placer.set_locator(PrefixLocator(members, link, coordinators))
         registration = Registration(client, members, belief)
--- a/packages/standins/src/teaselledge_standins/statestore.py
+++ b/packages/standins/src/teaselledge_standins/statestore.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from expression import Error, Ok, Result
-from teaselledge_fleet.process.endpoints import Endpoint, Entry
+from teaselledge_fleet.process.endpoints import Endpoint, EndpointEntry
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.store import (
     EndpointRows,
@@ -120,7 +120,7 @@
         """Read the entries of all endpoints."""
         store = self._store
         entries = [
-            Entry.of_row(name, Revision(store.era, row.number), row.endpoint)
+            EndpointEntry.from_row(name, Revision(store.era, row.number), row.endpoint)
             for name, row in store.entries.items()
         ]
         rows = EndpointRows(store.newest, tuple(entries))
@@ -154,7 +154,7 @@
         self._store.router_rows[vm] = data
         return Ok(None)
 
-    async def drop_router(self, vm: str) -> Result[None, StoreFault]:
+    async def delete_router(self, vm: str) -> Result[None, StoreFault]:
         """Remove a router's row."""
         if not await self._reach():
             return Error(StoreFault.UNREACHABLE)
--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -93,7 +93,7 @@
         for name, metric in sorted(METRICS.items())
     ]
     fleet = [
-        f"| `{name}` | {m.kind} | {m.unit} | {', '.join(m.labels)} | {m.meaning} |"
+        f"| `{name}` | {m.kind} | {m.unit} | {', '.join(m.labels)} | {m.description} |"
         for name, m in sorted(fleet_metrics.METRICS.items())
     ]
     return (
