--- a/packages/fleet/src/teaselledge_fleet/process/settings.py
+++ b/packages/fleet/src/teaselledge_fleet/process/settings.py
@@ -79,7 +79,7 @@
     address_seconds : float
         Longest time for which callers keep an answer of the address list.
     repeat_ratio, repeat_window, repeat_extra : float
-        The fleet's budget of repeated sends; see `RepeatLimits`.
+        The fleet's budget of repeated sends; see `RetryLimits`.
     share_window : float
         Seconds over which organisations' shares are counted.
     drain_seconds : float
