--- a/bench/affinity.py
+++ b/bench/affinity.py
@@ -15,7 +15,7 @@
 from teaselledge.process.affinity import CacheEvent
 from teaselledge.process.loadreport import LoadReport
 from teaselledge.process.placement import Shard
-from teaselledge.process.pool import Pool
+from teaselledge.process.pool import EndpointPool
 from teaselledge.version.document import Document, Endpoint, Kind, Service, Zone
 from teaselledge_wire.gen.router.ttypes import Register
 
@@ -91,7 +91,7 @@
         endpoints = {name: Endpoint(f"{name}:1", "z", SLOTS) for name in self.engines}
         service = Service("tokens", endpoints, {"w": Kind(("POST",), ("w",))})
         document = Document({"z": Zone("r")}, {}, {"s": service})
-        self.pool = Pool(Shard("s", "z"), document, lambda: self.now)
+        self.pool = EndpointPool(Shard("s", "z"), document, lambda: self.now)
         self.waiting: list[tuple[float, int]] = []
         self.latencies: list[float] = []
         self.hits = self.total = 0
@@ -129,7 +129,7 @@
             if name is None:
                 return
             self.waiting.pop(0)
-            self.pool.take(name, told)
+            self.pool.acquire(name, told)
             self.start(self.engines[name], arrived, prefix)
 
     def tell_truth(self, prefix: int) -> None:
@@ -170,7 +170,7 @@
     ) -> None:
         engine.running -= 1
         told = seconds if self.variant.pace else 0.0
-        self.pool.give_back(engine.name, False, told, tokens)
+        self.pool.release(engine.name, False, told, tokens)
         self.latencies.append(self.now - arrived)
         self.dispatch()
 
--- a/bench/config.py
+++ b/bench/config.py
@@ -14,7 +14,7 @@
 from teaselledge import yamlsource
 from teaselledge.process.member import Member
 from teaselledge.process.mesh import Origin
-from teaselledge.process.objectives import MAX_SERIES, Objectives
+from teaselledge.process.objectives import MAX_SERIES, ObjectiveTracker
 from teaselledge.version.assemble import Assembler
 from teaselledge.version.document import Version
 from teaselledge.version.follow import Follower
@@ -330,7 +330,7 @@
     chunks = {w.key.partition("/")[2]: w.value or b"" for w in rows}
     head = decode_head(next(w.value for w in rows if w.key == HEAD_KEY) or b"")
     version = Version(1, Assembler().build(head, chunks).ok)
-    objectives = Objectives(lambda: version)
+    objectives = ObjectiveTracker(lambda: version)
     random = Random(1)
     names = list(version.document.organisations)[:COUNTED]
     for name in names:
@@ -346,7 +346,7 @@
     report = json.dumps(objectives.report())
     shown = time.process_time() - started
     tracemalloc.start()
-    other = Objectives(lambda: version)
+    other = ObjectiveTracker(lambda: version)
     for name, seconds in calls:
         other.record(name, "model-0", "completion", seconds, False)
     size, _ = tracemalloc.get_traced_memory()
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -18,9 +18,9 @@
 import looptime
 from teaselledge.metrics import NullMetrics
 from teaselledge.process.dispatcher import Dispatcher
-from teaselledge.process.holding import digest_of
+from teaselledge.process.holding import digest_of_requests
 from teaselledge.process.member import Member
-from teaselledge.process.mesh import Origin, message
+from teaselledge.process.mesh import Origin, make_message
 from teaselledge.process.placement import Placement, Shard
 from teaselledge.version.document import (
     Document,
@@ -103,7 +103,7 @@
             self.register()
         self.granted = [s.body for s in self.mesh.take("grant")]
         for grant in self.granted:
-            self.dispatcher.accept(INGRESS, Accept(grant.grant))
+            self.dispatcher.handle_accept(INGRESS, Accept(grant.grant))
 
     def register(self) -> None:
         self.request += 1
@@ -111,16 +111,16 @@
         body = Register(
             self.request, name, "work", 100.0, 0.0, 600.0, 1000, None, True, []
         )
-        self.dispatcher.register(INGRESS, body)
+        self.dispatcher.handle_register(INGRESS, body)
 
     def grant(self) -> None:
         """End a request, which frees a slot, and grant it again."""
         ended = self.granted.pop(0)
         done = Done(ended.grant, 90.0, False, 1.0, ended.request)
-        self.dispatcher.done(INGRESS, done)
+        self.dispatcher.handle_done(INGRESS, done)
         (sent,) = self.mesh.take("grant")
         self.granted.append(sent.body)
-        self.dispatcher.accept(INGRESS, Accept(sent.body.grant))
+        self.dispatcher.handle_accept(INGRESS, Accept(sent.body.grant))
         self.register()
 
     def report(self) -> None:
@@ -131,11 +131,11 @@
             Account(name, 10.0 * self.sequence, None, 3) for name in self.names[:count]
         ]
         body = Report("here", 400, self.sequence, accounts, 0)
-        self.dispatcher.report(Origin("vm-2", 22), body)
+        self.dispatcher.handle_report(Origin("vm-2", 22), body)
 
     def digest(self) -> None:
         """Compare an ingress's digest with what is known of it."""
-        self.dispatcher.snapshot(INGRESS, Snapshot([], [], 0, 0, False))
+        self.dispatcher.handle_snapshot(INGRESS, Snapshot([], [], 0, 0, False))
 
     def tick(self) -> None:
         """Do what is due twenty times a second."""
@@ -208,7 +208,7 @@
         for _ in range(ROUNDS):
             start = time.process_time()
             for _ in range(max(1, steps // count)):
-                digest_of(numbers)
+                digest_of_requests(numbers)
             spent = time.process_time() - start
             rounds.append(spent / max(1, steps // count) * MICROSECONDS)
         figures[f"digest_of_{count}_us"] = round(statistics.median(rounds), 2)
@@ -252,7 +252,7 @@
     a_request = 0
     for label, (body, count) in _messages().items():
         name = label.removesuffix("_of_75")
-        sent = message(name, body, "sommelier-models", "kelowna-vault")
+        sent = make_message(name, body, "sommelier-models", "kelowna-vault")
         data = encode([sent], 1 << 39)
         figures[f"{label}_bytes"] = float(len(pack(data)))
         a_request += count * len(pack(data))
--- a/bench/engines.py
+++ b/bench/engines.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import looptime
-from teaselledge.process.leaving import Reason
+from teaselledge.process.endpointstatus import EndpointStatus
 from teaselledge_standins.virtual.fleet import (
     VirtualFleet,
     VirtualPlan,
@@ -48,10 +48,10 @@
     ends = loop.time() + seconds
     while loop.time() < ends:
         for name in fleet.endpoints:
-            member.report_endpoint("s", name, Reason.LOADING)
+            member.report_endpoint("s", name, EndpointStatus.LOADING)
         await asyncio.sleep(TELL_SECONDS)
     for name in fleet.endpoints:
-        member.report_endpoint("s", name, Reason.BACK)
+        member.report_endpoint("s", name, EndpointStatus.BACK)
 
 
 async def _call(
@@ -63,7 +63,7 @@
     backoff = FIRST_BACKOFF
     member = fleet.nodes[vm].membership
     while True:
-        loading = len(member.leaving_endpoints()) == len(fleet.endpoints)
+        loading = len(member.blocked_endpoints()) == len(fleet.endpoints)
         # stands for a router that refuses while no engine can answer
         if not (refuse and loading):
             outcome = await fleet.call(vm, "org", "s", "work", name, COST)
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -78,7 +78,7 @@
         joined = asyncio.get_running_loop().time()
         await asyncio.sleep(25.0)
         idle = await _traffic(fleet)
-        fleet.members["vm-001"].leave()
+        fleet.members["vm-001"].announce_leaving()
         leaving = await _until_no_new_work(fleet, "vm-001")
         fleet.vms.mark_leaving("vm-002")
         listed = await _until_no_new_work(fleet, "vm-002") - 2.0
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -8,7 +8,7 @@
 
 import loguru
 from teaselledge.process.placement import Shard
-from teaselledge.process.pool import Pool
+from teaselledge.process.pool import EndpointPool
 from teaselledge.version.document import Document, Endpoint, Kind, Service, Zone
 from teaselledge_standins.virtual.fleet import VirtualPlan
 from teaselledge_standins.virtual.plans import get_plan_by_name
@@ -107,14 +107,14 @@
     names = {f"e{i}": Endpoint(f"e{i}:1", "z", 8) for i in range(endpoints)}
     service = Service("tokens", names, {"w": Kind(("POST",), ("w",))})
     document = Document({"z": Zone("r")}, {}, {"s": service})
-    pool = Pool(Shard("s", "z"), document, lambda: 0.0)
+    pool = EndpointPool(Shard("s", "z"), document, lambda: 0.0)
     body = Register(1, "o", "w", 1.0, 0.0, 9.0, 0, 7, True, [])
     began = time.perf_counter()
     for _ in range(CHOICES):
         name = pool.choose(body)
         assert name is not None
-        pool.take(name, 7)
-        pool.give_back(name, False, 1.0, 100.0)
+        pool.acquire(name, 7)
+        pool.release(name, False, 1.0, 100.0)
     return (time.perf_counter() - began) / CHOICES * 1e6
 
 
--- a/packages/ctl/tests/test_docs.py
+++ b/packages/ctl/tests/test_docs.py
@@ -6,7 +6,7 @@
 from teaselctl.commands import COMMANDS
 from teaselledge.connection.operatorauth import ROLES
 from teaselledge.process.settings import Settings
-from teaselledge.process.status import HEALTH
+from teaselledge.process.status import HEALTH_INDICATORS
 from teaselledge.version.document import Document
 
 from tools.reference import reference
@@ -33,7 +33,7 @@
 def test_every_health_check_has_an_entry():
     page = (DOCS / "operations" / "health.md").read_text()
     sections = dict(re.findall(r"^## ([a-z-]+)\n(.*?)(?=^## |\Z)", page, re.M | re.S))
-    for name in HEALTH:
+    for name in HEALTH_INDICATORS:
         entry = sections[name]
         for part in ("What it looks like", "What it means", "What to do"):
             assert part in entry, (name, part)
--- a/packages/router/src/teaselledge/connection/operator.py
+++ b/packages/router/src/teaselledge/connection/operator.py
@@ -24,7 +24,7 @@
 from teaselledge.connection.statuspage import status_page
 from teaselledge.errors import ErrorKind, Fault, problem
 from teaselledge.log import get_log
-from teaselledge.process.objectives import Objectives
+from teaselledge.process.objectives import ObjectiveTracker
 from teaselledge.version.check import OWNED_SECTIONS
 from teaselledge.version.document import Version
 from teaselledge.version.publish import (
@@ -114,7 +114,7 @@
     known: Callable[[], int]
     publisher: Publisher
     status: StatusSource
-    objectives: Objectives
+    objectives: ObjectiveTracker
     first_key: str | None = None
     drainer: Drainer | None = None
     orders: OrderAdmin | None = None
--- a/packages/router/src/teaselledge/connection/peer.py
+++ b/packages/router/src/teaselledge/connection/peer.py
@@ -17,8 +17,8 @@
 
 from teaselledge.log import get_log
 from teaselledge.metrics import Metrics
-from teaselledge.process.mesh import Handler, Origin, Registry, message
-from teaselledge.process.tls import names_of
+from teaselledge.process.mesh import Handler, HandlerRegistry, Origin, make_message
+from teaselledge.process.tls import certificate_dns_names
 
 __all__ = ["PeerMesh"]
 
@@ -181,7 +181,7 @@
         self._origin = origin
         self._address_of = address_of
         self._metrics = metrics
-        self._registry = Registry()
+        self._registry = HandlerRegistry()
         self.introduce: Callable[[], Heartbeat] = lambda: Heartbeat(vm=origin.vm)
         self.on_refused: Callable[[str], None] = lambda vm: None
         self._links: dict[str, _Link] = {}
@@ -309,7 +309,7 @@
     def _check_server(self, stream: IOStream, vm: str) -> None:
         if not isinstance(stream, SSLIOStream) or vm.startswith("@"):
             return
-        names = names_of(stream.socket.getpeercert())
+        names = certificate_dns_names(stream.socket.getpeercert())
         if vm not in names:
             raise _RefusedPeerError(f"its certificate is for {sorted(names)}")
 
@@ -317,7 +317,7 @@
         hello = self.introduce()
         # an address may have passed to another VM since it was learnt
         hello.receiver = None if vm.startswith("@") else vm
-        for frame in self.pack([message("heartbeat", hello)]):
+        for frame in self.pack([make_message("heartbeat", hello)]):
             await stream.write(frame)
 
     async def _read_hello(self, stream: IOStream) -> Origin:
@@ -332,7 +332,7 @@
         if hello.receiver and hello.receiver != self._origin.vm:
             raise _RefusedPeerError(f"{hello.vm} wants {hello.receiver}")
         if isinstance(stream, SSLIOStream):
-            names = names_of(stream.socket.getpeercert())
+            names = certificate_dns_names(stream.socket.getpeercert())
             if hello.vm not in names:
                 raise _RefusedPeerError(
                     f"it says to be {hello.vm}, its certificate is for {sorted(names)}"
--- a/packages/router/src/teaselledge/connection/service.py
+++ b/packages/router/src/teaselledge/connection/service.py
@@ -136,7 +136,7 @@
     async def _serve(self, request: CallerRequest) -> None:
         sink = HandlerSink(self)
         try:
-            result = await self.router.forwarder.run(request, sink)
+            result = await self.router.request_runner.run(request, sink)
         except StreamClosedError:
             return
         finally:
@@ -271,7 +271,7 @@
         self, version: Version, organisation: str, service: str, kind: str, path: str
     ) -> Result[CallerRequest, Fault]:
         entry = version.document.services[service].kinds[kind]
-        refusal = self.router.node.drain.refusal()
+        refusal = self.router.node.drain.rejection()
         if refusal is not None and entry.repeatable:
             return Error(refusal)
         kept = self.router.settings.limits.body_bytes
--- a/packages/router/src/teaselledge/process/addresses.py
+++ b/packages/router/src/teaselledge/process/addresses.py
@@ -9,7 +9,7 @@
 from teaselledge.process.placement import distance
 from teaselledge.version.document import Version
 
-__all__ = ["AddressBook", "AddressList"]
+__all__ = ["RouterResolver", "AddressList"]
 
 MAX_ADDRESSES = 16
 """Addresses in one answer."""
@@ -44,7 +44,7 @@
         }
 
 
-class AddressBook:
+class RouterResolver:
     """Answers the callers' question which routers to use.
 
     Parameters
@@ -75,7 +75,7 @@
         self._version = version
         self._chance = chance or random.Random()
 
-    def answer(self, zone: str | None = None) -> AddressList:
+    def resolve(self, zone: str | None = None) -> AddressList:
         """Return the routers for a caller in a zone, nearest first.
 
         Routers that leave are absent, and so are those without a configuration
@@ -94,9 +94,9 @@
             ordered = first + ordered[len(near[0]) :] + ordered[MAX_NEAREST:]
         return AddressList(self._keep_seconds, tuple(ordered[:MAX_ADDRESSES]))
 
-    def elsewhere(self, own: str) -> str:
+    def alternative_address(self, own: str) -> str:
         """Return the address of another router that takes new work, or nothing."""
-        others = [m for m in self.answer().members if m.vm != own]
+        others = [m for m in self.resolve().members if m.vm != own]
         return others[0].caller_address if others else ""
 
     def _by_distance(
--- a/packages/router/src/teaselledge/process/affinity.py
+++ b/packages/router/src/teaselledge/process/affinity.py
@@ -83,16 +83,16 @@
             cache.store(prefix, EVENT_TRUST)
         return whole
 
-    def sent(self, endpoint: str, prefix: int) -> None:
+    def record_sent(self, endpoint: str, prefix: int) -> None:
         """Note that a request with a prefix was sent to an endpoint."""
         self._caches.setdefault(endpoint, _Cache()).store(prefix, SENT_TRUST)
 
-    def trust(self, endpoint: str, prefix: int) -> float:
+    def confidence(self, endpoint: str, prefix: int) -> float:
         """Return from 0 to 1 how sure it is that an endpoint holds a prefix."""
         cache = self._caches.get(endpoint)
         return cache.trust.get(prefix, 0.0) if cache else 0.0
 
-    def keep(self, endpoints: set[str]) -> None:
+    def retain_endpoints(self, endpoints: set[str]) -> None:
         """Forget endpoints that are gone from the document."""
         for name in set(self._caches) - endpoints:
             del self._caches[name]
--- a/packages/router/src/teaselledge/process/concurrency.py
+++ b/packages/router/src/teaselledge/process/concurrency.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ["ConcurrencyLimit", "ConcurrencyLimits"]
+__all__ = ["ConcurrencyLimit", "ConcurrencyConfig"]
 
 
 @dataclass(frozen=True)
-class ConcurrencyLimits:
+class ConcurrencyConfig:
     """How the limit of an endpoint adapts.
 
     Attributes
@@ -16,16 +16,16 @@
         be overloaded.
     samples : int
         Requests that a trial measures.
-    keep : float
+    min_throughput_kept : float
         Part of the throughput that a lower limit must keep.
-    gain : float
+    min_throughput_gain : float
         Part of the throughput that a higher limit must bring.
     pause_seconds : float
         Time between a failed trial and the next.
     grow_seconds : float
         Time after a trial that failed, or that lowered the limit, before a
         higher limit is tried.
-    memory : float
+    ewma_weight : float
         Weight of the latest request in the pace.
     drift : float
         Part by which the best pace is forgotten with each request.
@@ -33,11 +33,11 @@
 
     tolerance: float = 1.6
     samples: int = 8
-    keep: float = 0.95
-    gain: float = 1.02
+    min_throughput_kept: float = 0.95
+    min_throughput_gain: float = 1.02
     pause_seconds: float = 60.0
     grow_seconds: float = 20.0
-    memory: float = 0.2
+    ewma_weight: float = 0.2
     drift: float = 0.001
 
 
@@ -66,9 +66,9 @@
     would waste capacity while work waits.
     """
 
-    def __init__(self, slots: int, limits: ConcurrencyLimits | None = None) -> None:
+    def __init__(self, slots: int, limits: ConcurrencyConfig | None = None) -> None:
         self._slots = slots
-        self._limits = limits or ConcurrencyLimits()
+        self._limits = limits or ConcurrencyConfig()
         self._limit = slots
         self._pace = 0.0
         self._best = 0.0
@@ -82,12 +82,12 @@
         return self._limit if self._trial is None else self._trial.limit
 
     @property
-    def pace(self) -> float:
+    def seconds_per_unit(self) -> float:
         """Seconds for a unit of work lately; 0 while unknown."""
         return self._pace
 
     @property
-    def settled(self) -> int:
+    def stable_limit(self) -> int:
         """The limit apart from a trial that is under way."""
         return self._limit
 
@@ -134,7 +134,7 @@
         if not self._pace:
             self._pace = self._best = pace
             return
-        self._pace += self._limits.memory * (pace - self._pace)
+        self._pace += self._limits.ewma_weight * (pace - self._pace)
         self._best = min(self._best * (1 + self._limits.drift), self._pace)
 
     def _try(self, limit: int) -> None:
@@ -156,7 +156,11 @@
         before = self._limit / self._pace
         after = trial.limit / trial.pace
         lower = trial.limit < self._limit
-        needed = self._limits.keep if lower else self._limits.gain
+        needed = (
+            self._limits.min_throughput_kept
+            if lower
+            else self._limits.min_throughput_gain
+        )
         kept = after >= needed * before
         if lower or not kept:
             self._next_growth = now + self._limits.grow_seconds
--- a/packages/router/src/teaselledge/process/dispatch.py
+++ b/packages/router/src/teaselledge/process/dispatch.py
@@ -8,13 +8,13 @@
 from teaselledge.metrics import Metrics
 from teaselledge.process.dispatcher import Dispatcher
 from teaselledge.process.due import is_due
-from teaselledge.process.leaving import EndpointKey
+from teaselledge.process.endpointstatus import EndpointKey
 from teaselledge.process.member import Member
 from teaselledge.process.mesh import Mesh, Origin
-from teaselledge.process.placement import Placement, Shard, zones_of
+from teaselledge.process.placement import Placement, Shard, service_zones
 from teaselledge.version.document import Version
 
-__all__ = ["Dispatchers"]
+__all__ = ["DispatcherManager"]
 
 TICK_SECONDS = 0.05
 IDLE_SECONDS = 0.5
@@ -33,20 +33,20 @@
 """Bits of a dispatcher's incarnation that count those of one process."""
 
 MESSAGES: dict[str, Callable[[Dispatcher, Origin, Any], None]] = {
-    "registration": Dispatcher.register,
-    "withdraw": Dispatcher.withdraw,
-    "accept": Dispatcher.accept,
-    "decline": Dispatcher.decline,
-    "progress": Dispatcher.progress,
-    "done": Dispatcher.done,
-    "snapshot": Dispatcher.snapshot,
-    "report": Dispatcher.report,
-    "fetch": Dispatcher.fetch,
-    "fetch_answer": Dispatcher.fetch_answer,
+    "registration": Dispatcher.handle_register,
+    "withdraw": Dispatcher.handle_withdraw,
+    "accept": Dispatcher.handle_accept,
+    "decline": Dispatcher.handle_decline,
+    "progress": Dispatcher.handle_progress,
+    "done": Dispatcher.handle_done,
+    "snapshot": Dispatcher.handle_snapshot,
+    "report": Dispatcher.handle_report,
+    "fetch": Dispatcher.handle_fetch,
+    "fetch_answer": Dispatcher.handle_fetch_answer,
 }
 
 
-class Dispatchers:
+class DispatcherManager:
     """Runs the dispatchers of the shards that fall to this VM.
 
     The senders choose the dispatcher: one is started too when a message for
@@ -74,17 +74,17 @@
             mesh.subscribe(name, self._handler(method))
 
     @property
-    def running(self) -> list[Dispatcher]:
+    def dispatchers(self) -> list[Dispatcher]:
         """The dispatchers of this VM."""
         return list(self._by_shard.values())
 
-    def use(self, version: Version) -> None:
+    def apply_version(self, version: Version) -> None:
         """Take a new version of the document."""
         for shard, dispatcher in list(self._by_shard.items()):
             if shard.service not in version.document.services:
                 del self._by_shard[shard]
                 continue
-            dispatcher.use(version.document)
+            dispatcher.apply_document(version.document)
         self._place()
 
     async def run(self) -> None:
@@ -100,12 +100,12 @@
                 self._place()
             if is_due(now, follows):
                 follows = now + FOLLOW_SECONDS
-                self.follow()
+                self.refresh_placement()
             self.tick()
 
     async def _pause(self) -> None:
         """Wait for the next tick, which may be late while there is no request."""
-        if any(d.waiting or d.running for d in self.running):
+        if any(d.waiting or d.running for d in self.dispatchers):
             await asyncio.sleep(TICK_SECONDS)
             return
         self._woken.clear()
@@ -113,21 +113,21 @@
             async with asyncio.timeout(IDLE_SECONDS):
                 await self._woken.wait()
 
-    def follow(self) -> None:
+    def refresh_placement(self) -> None:
         """Look at the members and at the endpoints that leave."""
         if self._placement.refresh():
             self._place()
         leaving = list(self._leaving())
-        for dispatcher in self.running:
+        for dispatcher in self.dispatchers:
             service = dispatcher.shard.service
-            dispatcher.hint({e for s, e in leaving if s == service})
+            dispatcher.set_blocked_endpoints({e for s, e in leaving if s == service})
 
     def tick(self) -> None:
         """Do what is due in each dispatcher."""
         now = asyncio.get_running_loop().time()
-        for dispatcher in self.running:
+        for dispatcher in self.dispatchers:
             dispatcher.tick(now)
-            idle = now - dispatcher.active > LINGER_SECONDS
+            idle = now - dispatcher.last_active > LINGER_SECONDS
             if idle and not self._falls_here(dispatcher.shard):
                 del self._by_shard[dispatcher.shard]
 
@@ -142,11 +142,11 @@
             return
         services = version.document.services if self._settled else {}
         for service in services:
-            for zone in zones_of(version.document, service):
+            for zone in service_zones(version.document, service):
                 if self._falls_here(Shard(service, zone)):
                     self._find(Shard(service, zone))
         for shard, dispatcher in self._by_shard.items():
-            dispatcher.set_regular(self._falls_here(shard), self._settled)
+            dispatcher.set_assigned(self._falls_here(shard), self._settled)
 
     def _falls_here(self, shard: Shard) -> bool:
         version = self._version()
@@ -189,5 +189,5 @@
             incarnation,
         )
         self._by_shard[shard] = created
-        created.set_regular(self._falls_here(shard), self._settled)
+        created.set_assigned(self._falls_here(shard), self._settled)
         return created
--- a/packages/router/src/teaselledge/process/dispatcher.py
+++ b/packages/router/src/teaselledge/process/dispatcher.py
@@ -25,24 +25,24 @@
 
 from teaselledge.metrics import Metrics
 from teaselledge.process.affinity import CacheEvent
-from teaselledge.process.complaint import Complaints
 from teaselledge.process.due import is_due
-from teaselledge.process.estimate import Estimates, bounded_cost
-from teaselledge.process.exchange import Exchange
-from teaselledge.process.fetch import Lending, entry_of
-from teaselledge.process.holding import Digest, Holdings
+from teaselledge.process.estimate import CostEstimator, clamp_cost
+from teaselledge.process.exchange import UsageExchange
+from teaselledge.process.fetch import RequestTransfer, make_queued_request
+from teaselledge.process.holding import Digest, HeldRequests
+from teaselledge.process.invalidinput import InvalidInputReporter
 from teaselledge.process.latency import (
+    Admission,
     LatencyPolicy,
-    Room,
     get_latency_policy_by_name,
 )
 from teaselledge.process.loadreport import LoadReport
-from teaselledge.process.mesh import Mesh, Origin, message
-from teaselledge.process.placement import ACROSS, Placement, Shard, distance
-from teaselledge.process.pool import Pool
+from teaselledge.process.mesh import Mesh, Origin, make_message
+from teaselledge.process.placement import CROSS_REGION, Placement, Shard, distance
+from teaselledge.process.pool import EndpointPool
 from teaselledge.process.preset import largest_hint
-from teaselledge.process.queue import Entry, RequestKey, WaitingQueue
-from teaselledge.process.standing import Standings
+from teaselledge.process.queue import QueuedRequest, RequestKey, WaitingQueue
+from teaselledge.process.standing import UsageAccounts
 from teaselledge.version.document import Document
 
 __all__ = ["LATENCY_POLICY", "Dispatcher"]
@@ -53,7 +53,7 @@
 ACCEPT_SECONDS = 2.0
 """Time after which a grant without an answer returns to the pool."""
 
-SILENT_SECONDS = 3.0
+INGRESS_TIMEOUT_SECONDS = 3.0
 """Time after which an ingress that is not heard holds nothing any more."""
 
 GAUGE_SECONDS = 1.0
@@ -117,19 +117,19 @@
         self._shard = shard
         self._mesh = mesh
         self._metrics = metrics
-        self._complaints = Complaints("dispatch", metrics)
-        self._pool = Pool(shard, document)
+        self._complaints = InvalidInputReporter("dispatch", metrics)
+        self._pool = EndpointPool(shard, document)
         self._hinted: set[str] = set()
-        self._standings = Standings(0.0)
+        self._standings = UsageAccounts(0.0)
         self._queue = WaitingQueue(self._standings)
-        self._exchange = Exchange(
+        self._exchange = UsageExchange(
             shard, mesh, self._standings, placement, metrics, incarnation
         )
-        self._lending = Lending(
+        self._lending = RequestTransfer(
             shard, mesh, self._queue, self._standings, self._exchange, metrics
         )
-        self._estimates = Estimates()
-        self._holdings = Holdings()
+        self._estimates = CostEstimator()
+        self._holdings = HeldRequests()
         self._granted: dict[RequestKey, _Granted] = {}
         self._numbers: dict[int, RequestKey] = {}
         self._per_endpoint: Counter[str] = Counter()
@@ -148,7 +148,7 @@
         return self._shard
 
     @property
-    def standings(self) -> Standings:
+    def usage(self) -> UsageAccounts:
         """Standings of the organisations, as this dispatcher knows them."""
         return self._standings
 
@@ -163,16 +163,16 @@
         return len(self._granted)
 
     @property
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Free slots."""
-        return self._pool.free
+        return self._pool.free_slots
 
     @property
-    def active(self) -> float:
+    def last_active(self) -> float:
         """Loop time when it last held a request, minus infinity if never."""
         return self._active
 
-    def use(self, document: Document) -> None:
+    def apply_document(self, document: Document) -> None:
         """Take a new version of the document."""
         for entry in list(self._queue):
             if entry.organisation not in document.organisations:
@@ -181,7 +181,7 @@
         self._take(document)
         self._dispatch()
 
-    def set_regular(self, regular: bool, settled: bool = True) -> None:
+    def set_assigned(self, assigned: bool, converged: bool = True) -> None:
         """Tell whether this VM should dispatch for the shard.
 
         Where views differ two dispatchers serve one shard. The one that
@@ -190,14 +190,14 @@
 
         Parameters
         ----------
-        regular : bool
+        assigned : bool
             Whether the shard falls to this VM in its own view.
-        settled : bool
+        converged : bool
             Whether that view is old enough to be right; a router that just
             started knows no other and takes every shard for its own.
         """
-        self._regular = regular
-        self._exchange.regular = regular and settled
+        self._regular = assigned
+        self._exchange.assigned = assigned and converged
         self._dispatch()
 
     def tick(self, now: float) -> None:
@@ -205,12 +205,12 @@
         self._standings.tick(now - self._last_tick)
         self._last_tick = now
         for entry in self._queue.expire(now):
-            if entry.lender is None:
+            if entry.fetched_from is None:
                 self._holdings.discard(entry.key)
-        for origin in self._holdings.silent(now - SILENT_SECONDS):
+        for origin in self._holdings.timed_out(now - INGRESS_TIMEOUT_SECONDS):
             self._forget(origin)
         self._expire_grants(now)
-        self._lending.tick(self._pool.free, now)
+        self._lending.tick(self._pool.free_slots, now)
         self._dispatch()
         self._exchange.tick(now)
         if self._granted or len(self._queue):
@@ -221,14 +221,14 @@
 
     def _gauge(self) -> None:
         label = f"{self._shard.service}.{self._shard.zone}"
-        self._metrics.gauge("dispatch.free_slots", self._pool.free, label)
+        self._metrics.gauge("dispatch.free_slots", self._pool.free_slots, label)
         self._metrics.gauge("dispatch.waiting", len(self._queue), label)
         self._metrics.gauge("dispatch.gap", self._standings.gap, label)
 
-    def hint(self, blocked: Collection[str]) -> None:
+    def set_blocked_endpoints(self, blocked: Collection[str]) -> None:
         """Give no new work to some endpoints for now, and to the others again."""
         for name in self._hinted | set(blocked):
-            self._pool.hint(name, name in blocked)
+            self._pool.set_blocked(name, name in blocked)
         self._hinted = set(blocked)
 
     def observe_load(self, report: LoadReport) -> None:
@@ -239,28 +239,28 @@
         """Take an event of an engine's prefix cache."""
         self._pool.observe_cache(event)
 
-    def register(self, origin: Origin, body: Register) -> None:
+    def handle_register(self, origin: Origin, body: Register) -> None:
         """Add a waiting request."""
         self._hear(origin)
         if self._add(origin, body):
             self._dispatch()
 
-    def withdraw(self, origin: Origin, body: Withdraw) -> None:
+    def handle_withdraw(self, origin: Origin, body: Withdraw) -> None:
         """Remove a request that no longer waits."""
         if body.owner_vm:
             key = RequestKey(body.owner_vm, body.owner_incarnation or 0, body.request)
             entry = self._queue.get(key)
-            if entry is not None and entry.lender is not None:
+            if entry is not None and entry.fetched_from is not None:
                 self._queue.remove(key)
             return
         key = RequestKey(origin.vm, origin.incarnation, body.request)
         self._holdings.discard(key)
         entry = self._queue.remove(key)
         if entry is not None:
-            self._exchange.note_waiting(entry.organisation)
-        self._lending.withdraw(key)
+            self._exchange.mark_waiting_changed(entry.organisation)
+        self._lending.cancel_transfer(key)
 
-    def accept(self, origin: Origin, body: Accept) -> None:
+    def handle_accept(self, origin: Origin, body: Accept) -> None:
         """Note that an ingress runs a granted request."""
         key = self._numbers.get(body.grant)
         if key is None or key.vm != origin.vm:
@@ -273,7 +273,7 @@
         self._hear(origin)
         self._holdings.add(key)
 
-    def decline(self, origin: Origin, body: Decline) -> None:
+    def handle_decline(self, origin: Origin, body: Decline) -> None:
         """Take back a grant that the ingress does not use."""
         key = self._numbers.get(body.grant)
         if key is None or key.vm != origin.vm:
@@ -283,7 +283,7 @@
         self._end(granted, 0.0, False, 0.0)
         self._dispatch()
 
-    def progress(self, origin: Origin, body: Progress) -> None:
+    def handle_progress(self, origin: Origin, body: Progress) -> None:
         """Charge what a stream has cost beyond its first charge."""
         granted = self._find(origin, body.request, body.grant)
         if granted is None:
@@ -293,7 +293,7 @@
             self._exchange.charge(granted.organisation, cost - granted.charged)
             granted.charged = cost
 
-    def done(self, origin: Origin, body: Done) -> None:
+    def handle_done(self, origin: Origin, body: Done) -> None:
         """Correct the charge and free the slot."""
         granted = self._find(origin, body.request, body.grant)
         if granted is None:
@@ -306,14 +306,14 @@
             return
         cost = self._sane(body.cost, granted)
         if not body.failed:
-            self._estimates.learn(
+            self._estimates.update(
                 granted.organisation, granted.kind, granted.hint, cost
             )
         seconds = body.seconds or 0.0
         self._end(granted, cost, bool(body.failed), seconds)
         self._dispatch()
 
-    def snapshot(self, origin: Origin, body: Snapshot) -> None:
+    def handle_snapshot(self, origin: Origin, body: Snapshot) -> None:
         """Compare what an ingress holds, or learn it in full."""
         self._hear(origin)
         if not body.full:
@@ -336,18 +336,18 @@
         self._reply(origin, False)
         self._dispatch()
 
-    def report(self, origin: Origin, body: Report) -> None:
+    def handle_report(self, origin: Origin, body: Report) -> None:
         """Take in what another dispatcher counted."""
-        self._exchange.receive(origin, body)
+        self._exchange.handle_report(origin, body)
         self._dispatch()
 
-    def fetch(self, origin: Origin, body: Fetch) -> None:
+    def handle_fetch(self, origin: Origin, body: Fetch) -> None:
         """Lend waiting requests to another dispatcher."""
-        self._lending.fetch(origin, body)
+        self._lending.handle_fetch(origin, body)
 
-    def fetch_answer(self, origin: Origin, body: FetchAnswer) -> None:
+    def handle_fetch_answer(self, origin: Origin, body: FetchAnswer) -> None:
         """Queue requests that another dispatcher lends."""
-        for entry in self._lending.answer(origin, body):
+        for entry in self._lending.handle_fetch_answer(origin, body):
             if entry.key not in self._granted and entry.key not in self._lending:
                 self._queue.add(entry)
         self._dispatch()
@@ -357,7 +357,7 @@
         self._document = document
         self._service = service
         self._largest_hint = largest_hint(service)
-        self._pool.use(document)
+        self._pool.apply_document(document)
         self._slots = sum(
             endpoint.slots
             for endpoint in service.endpoints.values()
@@ -365,35 +365,35 @@
         )
         shares = [entry.share for entry in document.organisations.values()]
         smallest = min(shares, default=1.0)
-        self._standings.debt_floor = DEBT_HINTS * self._largest_hint / smallest
-        self._standings.use(document.organisations)
-        self._exchange.use(document)
-        self._lending.use(document, self._slots)
-        self._estimates.keep(set(document.organisations))
+        self._standings.max_lead_floor = DEBT_HINTS * self._largest_hint / smallest
+        self._standings.set_organisations(document.organisations)
+        self._exchange.apply_document(document)
+        self._lending.apply_document(document, self._slots)
+        self._estimates.retain_organisations(set(document.organisations))
         batches = service.cost == "tokens"
         name = LATENCY_POLICY if batches else "plain"
         self._policy = get_latency_policy_by_name(name)
 
     def _add(self, origin: Origin, body: Register) -> bool:
-        entry = entry_of(origin, body, self._document, self._shard.service)
+        entry = make_queued_request(origin, body, self._document, self._shard.service)
         if entry is None:
             return False
         key = entry.key
         if key in self._granted or key in self._lending:
             return False
         borrowed = self._queue.get(key)
-        if borrowed is not None and borrowed.lender is not None:
+        if borrowed is not None and borrowed.fetched_from is not None:
             self._queue.remove(key)
         if not self._queue.add(entry):
             return False
         self._holdings.add(key)
-        self._exchange.note_waiting(entry.organisation)
+        self._exchange.mark_waiting_changed(entry.organisation)
         return True
 
     def _adopt(self, origin: Origin, running: Running) -> None:
         key = RequestKey(origin.vm, origin.incarnation, running.request)
         self._queue.remove(key)
-        self._lending.withdraw(key)
+        self._lending.cancel_transfer(key)
         granted = self._granted.get(key)
         if granted is not None:
             granted.accepted = True
@@ -404,7 +404,7 @@
             # the endpoint left the document while the request runs on it
             self._holdings.add(key)
             return
-        charged = bounded_cost(running.charged, 0.0, self._largest_hint)
+        charged = clamp_cost(running.charged, 0.0, self._largest_hint)
         kind = self._service.kinds.get(running.kind or "")
         granted = _Granted(
             running.grant or 0,
@@ -418,7 +418,7 @@
             accepted=True,
         )
         self._granted[key] = granted
-        self._pool.take(granted.endpoint)
+        self._pool.acquire(granted.endpoint)
         self._per_endpoint[granted.endpoint] += 1
         self._holdings.add(key)
 
@@ -426,7 +426,7 @@
         """Forget a request that its ingress does not hold any more."""
         self._holdings.discard(key)
         self._queue.remove(key)
-        self._lending.withdraw(key)
+        self._lending.cancel_transfer(key)
         granted = self._granted.get(key)
         if granted is not None:
             cost = granted.charged if granted.accepted else 0.0
@@ -435,17 +435,17 @@
     def _forget(self, origin: Origin) -> None:
         for request in self._holdings.requests(origin):
             self._drop(RequestKey(origin.vm, origin.incarnation, request))
-        self._holdings.forget(origin)
+        self._holdings.remove(origin)
 
     def _hear(self, origin: Origin) -> None:
         now = asyncio.get_running_loop().time()
-        for earlier in self._holdings.hear(origin, now):
+        for earlier in self._holdings.touch(origin, now):
             self._forget(earlier)
 
     def _reply(self, origin: Origin, wanted: bool) -> None:
         body = SnapshotReply(wanted)
         shard = self._shard
-        sent = message("snapshot_reply", body, shard.service, shard.zone)
+        sent = make_message("snapshot_reply", body, shard.service, shard.zone)
         self._mesh.send(origin.vm, sent)
 
     def _find(
@@ -459,10 +459,10 @@
         return self._granted.get(key)
 
     def _sane(self, cost: float | None, granted: _Granted) -> float:
-        bounded = bounded_cost(cost, granted.charged, self._largest_hint)
+        bounded = clamp_cost(cost, granted.charged, self._largest_hint)
         if bounded != cost:
             text = f"Cost of a request on {granted.endpoint} is out of range."
-            self._complaints.note("dispatch.bad_costs", "range", text)
+            self._complaints.report("dispatch.bad_costs", "range", text)
         return bounded
 
     def _end(
@@ -474,7 +474,7 @@
         if self._numbers.get(granted.number) == granted.key:
             del self._numbers[granted.number]
         self._holdings.discard(granted.key)
-        self._pool.give_back(granted.endpoint, failed, seconds, max(0.0, cost))
+        self._pool.release(granted.endpoint, failed, seconds, max(0.0, cost))
         self._per_endpoint[granted.endpoint] -= 1
         self._preempted -= granted.preempted
         if cost != granted.charged:
@@ -495,19 +495,19 @@
     def _dispatch(self) -> None:
         now = asyncio.get_running_loop().time()
         while len(self._queue) and self._may_grant():
-            free = self._pool.free
+            free = self._pool.free_slots
             above = max(0, len(self._granted) - self._slots) + self._preempted
-            room = self._policy.room(free, self._slots, above)
+            room = self._policy.admission(free, self._slots, above)
             picked = self._pick(room, above, now)
             if picked is None:
                 break
             self._grant(*picked, now)
-        free = self._pool.free if self._regular else 0
-        self._exchange.free = free
+        free = self._pool.free_slots if self._regular else 0
+        self._exchange.free_slots = free
         if free > 0 and not len(self._queue):
-            self._exchange.tell_idle(free)
+            self._exchange.report_idle(free)
         self._lending.push()
-        if self._exchange.regular:
+        if self._exchange.assigned:
             self._lending.pull(free)
 
     def _may_grant(self) -> bool:
@@ -515,15 +515,17 @@
             return True
         return len(self._granted) < max(1, self._slots // IRREGULAR_PART)
 
-    def _pick(self, room: Room, above: int, now: float) -> tuple[Entry, str] | None:
-        if room is Room.NONE:
+    def _pick(
+        self, room: Admission, above: int, now: float
+    ) -> tuple[QueuedRequest, str] | None:
+        if room is Admission.NONE:
             return None
-        if room is Room.PREEMPT:
+        if room is Admission.PREEMPT:
             self._preempt()
             return None
-        if room is Room.ANY:
+        if room is Admission.ANY:
             return self._pick_any(now)
-        if room is Room.ABOVE and above < max(1, self._slots // EARLY_PART):
+        if room is Admission.ABOVE and above < max(1, self._slots // EARLY_PART):
             early = self._pick_early(now)
             if early is not None:
                 return early
@@ -532,28 +534,28 @@
         allowed = LEAD_HINTS * self._largest_hint
         for entry in self._queue.candidates(now, only_interactive=True):
             name = entry.organisation
-            lead = self._standings.lead(name) * self._standings.share_of(name)
+            lead = self._standings.lead(name) * self._standings.share(name)
             if lead > allowed:
                 continue
-            if room is Room.INTERACTIVE:
-                endpoint = self._pool.choose(entry.body)
+            if room is Admission.INTERACTIVE:
+                endpoint = self._pool.choose(entry.registration)
             else:
                 endpoint = self._choose_above(entry)
             if endpoint is not None:
                 return entry, endpoint
         return None
 
-    def _pick_any(self, now: float) -> tuple[Entry, str] | None:
+    def _pick_any(self, now: float) -> tuple[QueuedRequest, str] | None:
         for entry in self._queue.candidates(now):
-            endpoint = self._pool.choose(entry.body)
+            endpoint = self._pool.choose(entry.registration)
             if endpoint is not None:
                 return entry, endpoint
-            if not entry.body.excluded:
+            if not entry.registration.excluded:
                 # no endpoint takes anything now
                 return None
         return None
 
-    def _pick_early(self, now: float) -> tuple[Entry, str] | None:
+    def _pick_early(self, now: float) -> tuple[QueuedRequest, str] | None:
         """Return the next request if it comes from another region.
 
         Its grant and body take two crossings of the region link, for which a
@@ -561,15 +563,15 @@
         the slots has become free.
         """
         entry = next(self._queue.candidates(now), None)
-        if entry is None or entry.lender is None:
+        if entry is None or entry.fetched_from is None:
             return None
-        zones = (self._shard.zone, entry.lender.zone)
-        if distance(self._document, *zones) != ACROSS:
+        zones = (self._shard.zone, entry.fetched_from.zone)
+        if distance(self._document, *zones) != CROSS_REGION:
             return None
         endpoint = self._choose_above(entry)
         return None if endpoint is None else (entry, endpoint)
 
-    def _choose_above(self, entry: Entry) -> str | None:
+    def _choose_above(self, entry: QueuedRequest) -> str | None:
         # an endpoint that runs something is not ejected
         names = [
             name
@@ -578,11 +580,11 @@
         ]
         return min(names, key=self._load, default=None)
 
-    def _usable(self, name: str, entry: Entry) -> bool:
+    def _usable(self, name: str, entry: QueuedRequest) -> bool:
         endpoint = self._service.endpoints.get(name)
         if endpoint is None or endpoint.leaving:
             return False
-        return name not in (entry.body.excluded or [])
+        return name not in (entry.registration.excluded or [])
 
     def _load(self, name: str) -> float:
         return self._per_endpoint[name] / self._service.endpoints[name].slots
@@ -594,7 +596,7 @@
         victims = [g for g in self._granted.values() if self._may_preempt(g)]
         victim = max(
             victims,
-            key=lambda g: (self._standings.of(g.organisation), g.since),
+            key=lambda g: (self._standings.normalised_usage(g.organisation), g.since),
             default=None,
         )
         if victim is None:
@@ -610,13 +612,13 @@
         known = granted.organisation in self._standings
         return granted.accepted and not granted.preempted and known
 
-    def _grant(self, entry: Entry, endpoint: str, now: float) -> None:
-        body = entry.body
-        self._queue.start(entry.key)
-        self._pool.take(endpoint, body.prefix)
+    def _grant(self, entry: QueuedRequest, endpoint: str, now: float) -> None:
+        body = entry.registration
+        self._queue.remove_started(entry.key)
+        self._pool.acquire(endpoint, body.prefix)
         number = self._next_grant
         self._next_grant += 1
-        charged = self._estimates.expect(
+        charged = self._estimates.predict(
             body.organisation, body.kind or "", body.cost_hint
         )
         granted = _Granted(
@@ -628,17 +630,17 @@
             endpoint,
             charged,
             now,
-            borrowed=entry.lender is not None,
+            borrowed=entry.fetched_from is not None,
         )
         self._granted[entry.key] = granted
         self._numbers[number] = entry.key
         self._per_endpoint[endpoint] += 1
-        self._standings.started(body.organisation)
+        self._standings.record_start(body.organisation)
         self._exchange.charge(body.organisation, charged)
-        self._exchange.note_waiting(body.organisation)
+        self._exchange.mark_waiting_changed(body.organisation)
         grant = Grant(body.request, number, endpoint, charged, entry.key.incarnation)
         self._send(entry.key, "grant", grant)
 
     def _send(self, key: RequestKey, name: str, body: Grant | Preempt) -> None:
         shard = self._shard
-        self._mesh.send(key.vm, message(name, body, shard.service, shard.zone))
+        self._mesh.send(key.vm, make_message(name, body, shard.service, shard.zone))
--- a/packages/router/src/teaselledge/process/drain.py
+++ b/packages/router/src/teaselledge/process/drain.py
@@ -12,7 +12,7 @@
 from teaselledge.request.context import CallerRequest, Sink
 from teaselledge.request.order import OrderDesk, unproven
 
-__all__ = ["Drain", "DrainExit", "Gate", "Phase"]
+__all__ = ["Drain", "DrainExit", "DrainGate", "Phase"]
 
 _log = get_log("drain")
 
@@ -52,16 +52,16 @@
         """Answer a request."""
 
 
-class Parts(Protocol):
+class DrainTarget(Protocol):
     """What a shutdown needs of the router."""
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the others that this router takes no new work."""
 
-    def hand_back(self, fault: Fault) -> None:
+    def reject_waiting(self, fault: Fault) -> None:
         """Give a final answer to requests that wait and have not begun."""
 
-    def elsewhere(self) -> str:
+    def alternative_address(self) -> str:
         """Return the address of another router, or nothing."""
 
 
@@ -82,7 +82,7 @@
 
     def __init__(
         self,
-        parts: Parts,
+        parts: DrainTarget,
         in_progress: Callable[[], int],
         address_seconds: float,
         drain_seconds: float,
@@ -107,7 +107,7 @@
         self._phase = Phase.LEAVING
         self._started.set()
         _log.info("This router leaves.")
-        self._parts.leave()
+        self._parts.announce_leaving()
 
     def signal(self) -> None:
         """Start, or end at once where it has started already."""
@@ -115,7 +115,7 @@
             self._hurried.set()
         self.start()
 
-    def refusal(self) -> Fault | None:
+    def rejection(self) -> Fault | None:
         """Return what a new request is told, None where it is taken."""
         if self._phase in (Phase.SERVING, Phase.LEAVING):
             return None
@@ -144,24 +144,24 @@
     async def _leave(self) -> None:
         await asyncio.sleep(self._address_seconds)
         self._phase = Phase.REFUSING
-        self._parts.hand_back(self._fault())
+        self._parts.reject_waiting(self._fault())
         while self._in_progress():
             await asyncio.sleep(CHECK_SECONDS)
 
     def _fault(self) -> Fault:
-        address = self._parts.elsewhere()
+        address = self._parts.alternative_address()
         detail = f"Use {address} instead." if address else ""
         return Fault(ErrorKind.LEAVING, Ran.NO, detail)
 
 
-class Gate:
+class DrainGate:
     """Counts the requests in progress and refuses new ones while leaving."""
 
     def __init__(self, runner: Runner, orders: OrderDesk) -> None:
         self._runner = runner
         self._orders = orders
         self._running = 0
-        self.refusal: Callable[[], Fault | None] = lambda: None
+        self.rejection: Callable[[], Fault | None] = lambda: None
 
     @property
     def in_progress(self) -> int:
@@ -170,7 +170,7 @@
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
         """Answer a request."""
-        fault = self.refusal()
+        fault = self.rejection()
         if fault is not None and request.kind_entry.repeatable:
             return Error(unproven(fault, request.key))
         if fault is not None:
--- a/packages/router/src/teaselledge/process/noticing.py
+++ b/packages/router/src/teaselledge/process/endpointobserver.py
@@ -10,30 +10,30 @@
     Outbound,
     SendFailure,
 )
-from teaselledge.process.leaving import Reason
+from teaselledge.process.endpointstatus import EndpointStatus
 
-__all__ = ["LEAVING_HEADER", "NoticingClient"]
+__all__ = ["LEAVING_HEADER", "ObservingEndpointClient"]
 
 LEAVING_HEADER = "X-Leaving"
 """Header of an endpoint's answers with which it says that it leaves."""
 
 
-class NoticingClient:
+class ObservingEndpointClient:
     """Passes requests on and reports refusals and the endpoint's own word.
 
     Parameters
     ----------
     client : EndpointClient
         Sends the requests.
-    notice : callable
+    on_status : callable
         Called with the endpoint's address and what was noticed.
     """
 
     def __init__(
-        self, client: EndpointClient, notice: Callable[[str, Reason], None]
+        self, client: EndpointClient, on_status: Callable[[str, EndpointStatus], None]
     ) -> None:
         self._client = client
-        self._notice = notice
+        self._notice = on_status
 
     async def send(
         self, address: str, request: Outbound
@@ -44,8 +44,10 @@
             # no answer in time may be this router's way there; a refusal is the
             # endpoint's host itself, whoever asks
             if result.error.refused:
-                self._notice(address, Reason.REFUSED)
+                self._notice(address, EndpointStatus.REFUSED)
             return result
         leaving = result.ok.headers.get(LEAVING_HEADER, "").lower() in ("1", "true")
-        self._notice(address, Reason.LEAVING if leaving else Reason.BACK)
+        self._notice(
+            address, EndpointStatus.LEAVING if leaving else EndpointStatus.BACK
+        )
         return result
--- a/packages/router/src/teaselledge/process/leaving.py
+++ b/packages/router/src/teaselledge/process/endpointstatus.py
@@ -6,7 +6,7 @@
 
 from teaselledge_wire.gen.router.ttypes import EndpointNews
 
-__all__ = ["EndpointKey", "EndpointNotices", "Reason"]
+__all__ = ["EndpointKey", "EndpointStatusTable", "EndpointStatus"]
 
 EndpointKey = tuple[str, str]
 """Service and endpoint."""
@@ -15,7 +15,7 @@
 MAX_SECONDS = 3600.0
 
 
-class Reason(IntEnum):
+class EndpointStatus(IntEnum):
     """Why an endpoint gets no new work."""
 
     BACK = 0
@@ -31,23 +31,23 @@
     """It loads a model and can't answer yet."""
 
 
-SECONDS: dict[Reason, float] = {
-    Reason.BACK: 5.0,
-    Reason.REFUSED: 5.0,
-    Reason.LEAVING: 600.0,
-    Reason.LOADING: 10.0,
+SECONDS: dict[EndpointStatus, float] = {
+    EndpointStatus.BACK: 5.0,
+    EndpointStatus.REFUSED: 5.0,
+    EndpointStatus.LEAVING: 600.0,
+    EndpointStatus.LOADING: 10.0,
 }
 """How long a notice holds unless repeated."""
 
 
 @dataclass(frozen=True)
 class _Notice:
-    reason: Reason
+    reason: EndpointStatus
     number: int
     ends: float
 
 
-class EndpointNotices:
+class EndpointStatusTable:
     """Notices by endpoint and reporter.
 
     A notice ends by itself, so that a wrong one takes an endpoint away for
@@ -60,7 +60,7 @@
         self._notices: dict[tuple[EndpointKey, str], _Notice] = {}
 
     def report(
-        self, endpoint: EndpointKey, reason: Reason, now: float
+        self, endpoint: EndpointKey, reason: EndpointStatus, now: float
     ) -> EndpointNews | None:
         """Note what this router saw; None where it was told lately."""
         known = self._notices.get((endpoint, self._reporter))
@@ -68,7 +68,7 @@
         if known is not None and known.reason is reason:
             if known.ends - now > seconds / 2:
                 return None
-        elif reason is Reason.BACK and endpoint not in self.blocked(now):
+        elif reason is EndpointStatus.BACK and endpoint not in self.blocked(now):
             return None
         self._number += 1
         news = EndpointNews(
@@ -89,31 +89,33 @@
         if known is None and len(self._notices) >= MAX_NOTICES:
             return False
         try:
-            reason = Reason(news.reason)
+            reason = EndpointStatus(news.reason)
         except ValueError:
             # a newer release may know more reasons
             return False
         ends = now + min(max(news.seconds, 0.0), MAX_SECONDS)
-        if reason is Reason.BACK:
+        if reason is EndpointStatus.BACK:
             self._end_soft(endpoint)
         self._notices[key] = _Notice(reason, news.number, ends)
         return True
 
-    def blocked(self, now: float) -> dict[EndpointKey, Reason]:
+    def blocked(self, now: float) -> dict[EndpointKey, EndpointStatus]:
         """Return the endpoints that get no new work, with the gravest reason."""
-        found: dict[EndpointKey, Reason] = {}
+        found: dict[EndpointKey, EndpointStatus] = {}
         for (endpoint, _), notice in self._notices.items():
-            if notice.ends <= now or notice.reason is Reason.BACK:
+            if notice.ends <= now or notice.reason is EndpointStatus.BACK:
                 continue
             old = found.get(endpoint)
-            if old is not Reason.LEAVING:
+            if old is not EndpointStatus.LEAVING:
                 found[endpoint] = notice.reason
         return found
 
     def _end_soft(self, endpoint: EndpointKey) -> None:
         for key, notice in list(self._notices.items()):
-            if key[0] == endpoint and notice.reason is not Reason.LEAVING:
-                self._notices[key] = _Notice(Reason.BACK, notice.number, notice.ends)
+            if key[0] == endpoint and notice.reason is not EndpointStatus.LEAVING:
+                self._notices[key] = _Notice(
+                    EndpointStatus.BACK, notice.number, notice.ends
+                )
 
     def _drop(self, over: Callable[[_Notice], bool]) -> None:
         for key, notice in list(self._notices.items()):
--- a/packages/router/src/teaselledge/process/engineadmin.py
+++ b/packages/router/src/teaselledge/process/engineadmin.py
@@ -7,8 +7,8 @@
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
 from teaselledge.process.engineorders import (
+    EngineOrderFailure,
     EngineState,
-    OrderFailure,
     Target,
     decode_state,
 )
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self._client = SimpleAsyncHTTPClient(force_instance=True, max_clients=16)
 
-    async def state(self, address: str) -> Result[EngineState, OrderFailure]:
+    async def state(self, address: str) -> Result[EngineState, EngineOrderFailure]:
         """Read an engine's state."""
         request = HTTPRequest(
             f"http://{address}/admin/state", request_timeout=CALL_SECONDS
@@ -35,14 +35,14 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
         except OSError:
-            return Error(OrderFailure.REFUSED)
+            return Error(EngineOrderFailure.REFUSED)
         if response.code != OK:
-            return Error(OrderFailure.REFUSED)
+            return Error(EngineOrderFailure.REFUSED)
         return decode_state(response.body)
 
-    async def order(
+    async def set_target(
         self, address: str, number: int, target: Target
-    ) -> Result[None, OrderFailure]:
+    ) -> Result[None, EngineOrderFailure]:
         """Give an order; the answer comes when the engine has taken it."""
         body = {"number": number, "role": target.role, "models": target.models}
         request = HTTPRequest(
@@ -54,14 +54,14 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
         except ConnectionRefusedError:
-            return Error(OrderFailure.REFUSED)
+            return Error(EngineOrderFailure.REFUSED)
         except (OSError, HTTPClientError):
-            return Error(OrderFailure.UNCERTAIN)
+            return Error(EngineOrderFailure.UNCERTAIN)
         if response.code == OK:
             return Ok(None)
         if response.code == CONFLICT:
-            return Error(OrderFailure.OLD_NUMBER)
+            return Error(EngineOrderFailure.OLD_NUMBER)
         if response.code in CLIENT_ERRORS:
-            return Error(OrderFailure.REFUSED)
+            return Error(EngineOrderFailure.REFUSED)
         # a server error, or tornado's code for a timeout
-        return Error(OrderFailure.UNCERTAIN)
+        return Error(EngineOrderFailure.UNCERTAIN)
--- a/packages/router/src/teaselledge/process/enginefeed.py
+++ b/packages/router/src/teaselledge/process/enginefeed.py
@@ -10,7 +10,7 @@
 from tornado.simple_httpclient import SimpleAsyncHTTPClient
 
 from teaselledge.process.affinity import CacheEvent
-from teaselledge.process.dispatch import Dispatchers
+from teaselledge.process.dispatch import DispatcherManager
 from teaselledge.process.dispatcher import Dispatcher
 from teaselledge.process.loadreport import LoadReport
 from teaselledge.version.document import Endpoint, Version
@@ -114,7 +114,7 @@
 
     def __init__(
         self,
-        dispatchers: Dispatchers,
+        dispatchers: DispatcherManager,
         version: Callable[[], Version | None],
         source: FeedSource,
     ) -> None:
@@ -136,7 +136,7 @@
             return
         reads = []
         read_now = set()
-        for dispatcher in self._dispatchers.running:
+        for dispatcher in self._dispatchers.dispatchers:
             shard = dispatcher.shard
             service = version.document.services.get(shard.service)
             if service is None or not service.reports_load:
--- a/packages/router/src/teaselledge/process/enginekeeper.py
+++ b/packages/router/src/teaselledge/process/enginekeeper.py
@@ -6,13 +6,13 @@
 import xxhash
 
 from teaselledge.log import get_log
-from teaselledge.process.engineorders import EngineOrders, Progress
+from teaselledge.process.endpointstatus import EndpointStatus
+from teaselledge.process.engineorders import EngineReconciler, ReconcileResult
 from teaselledge.process.lease import Lease
-from teaselledge.process.leaving import Reason
 from teaselledge.process.membership import Membership
 from teaselledge.version.document import Document, Version
 
-__all__ = ["EngineKeeper", "LEASE_NAME"]
+__all__ = ["EngineController", "LEASE_NAME"]
 
 _log = get_log("engines")
 
@@ -23,13 +23,13 @@
 """Routers that try to hold the lease; all of the fleet would read its row."""
 
 
-class EngineKeeper:
+class EngineController:
     """Holds the lease, if it falls to this router, and brings engines about."""
 
     def __init__(
         self,
         lease: Lease,
-        orders: EngineOrders,
+        orders: EngineReconciler,
         membership: Membership,
         version: Callable[[], Version | None],
     ) -> None:
@@ -43,12 +43,12 @@
         while True:
             await asyncio.sleep(STEP_SECONDS)
             try:
-                await self.step()
+                await self.reconcile_once()
             except Exception as error:
                 # one engine's odd answer must not end the work for all others
                 _log.error(f"Looking after the engines failed: {error!r}.")
 
-    async def step(self) -> None:
+    async def reconcile_once(self) -> None:
         """Try for the lease and look at the engines once."""
         version = self._version()
         if version is None or not _has_models(version.document):
@@ -58,7 +58,7 @@
         if self._membership.own.leaving:
             await self._lease.release()
             return
-        if await self._lease.step() is None:
+        if await self._lease.acquire_or_renew() is None:
             return
         for name, service in version.document.services.items():
             engines = [e for e, entry in service.endpoints.items() if entry.models]
@@ -66,13 +66,13 @@
             for endpoint, progress in found.items():
                 self._tell(name, endpoint, progress)
 
-    def _tell(self, service: str, endpoint: str, progress: Progress) -> None:
-        if progress is Progress.LOADING:
-            self._membership.report_endpoint(service, endpoint, Reason.LOADING)
-        elif progress is Progress.RIGHT:
-            blocked = self._membership.leaving_endpoints()
-            if blocked.get((service, endpoint)) is Reason.LOADING:
-                self._membership.report_endpoint(service, endpoint, Reason.BACK)
+    def _tell(self, service: str, endpoint: str, progress: ReconcileResult) -> None:
+        if progress is ReconcileResult.LOADING:
+            self._membership.report_endpoint(service, endpoint, EndpointStatus.LOADING)
+        elif progress is ReconcileResult.RIGHT:
+            blocked = self._membership.blocked_endpoints()
+            if blocked.get((service, endpoint)) is EndpointStatus.LOADING:
+                self._membership.report_endpoint(service, endpoint, EndpointStatus.BACK)
 
     def _is_candidate(self) -> bool:
         staying = [m.vm for m in self._membership.live() if not m.leaving]
--- a/packages/router/src/teaselledge/process/engineorders.py
+++ b/packages/router/src/teaselledge/process/engineorders.py
@@ -27,13 +27,13 @@
 __all__ = [
     "ENGINE_ORDERS_TABLE",
     "EngineAdmin",
-    "EngineOrders",
+    "EngineReconciler",
     "EngineState",
-    "OrderFailure",
+    "EngineOrderFailure",
     "OrderRow",
-    "Progress",
+    "ReconcileResult",
     "Target",
-    "target_of",
+    "desired_target",
 ]
 
 _log = get_log("engines")
@@ -60,7 +60,7 @@
     models: tuple[str, ...]
 
 
-def target_of(service: Service, endpoint: str) -> Target:
+def desired_target(service: Service, endpoint: str) -> Target:
     """Return what the document wants of an engine."""
     entry = service.endpoints[endpoint]
     models = []
@@ -88,7 +88,7 @@
     loading: bool = False
 
 
-class OrderFailure(Enum):
+class EngineOrderFailure(Enum):
     """Why an order got no answer that it was carried out."""
 
     REFUSED = "refused"
@@ -104,12 +104,12 @@
 class EngineAdmin(Protocol):
     """The engines' interface for orders."""
 
-    async def state(self, address: str) -> Result[EngineState, OrderFailure]:
+    async def state(self, address: str) -> Result[EngineState, EngineOrderFailure]:
         """Read an engine's state."""
 
-    async def order(
+    async def set_target(
         self, address: str, number: int, target: Target
-    ) -> Result[None, OrderFailure]:
+    ) -> Result[None, EngineOrderFailure]:
         """Give an order; the answer comes when the engine has taken it."""
 
 
@@ -146,7 +146,7 @@
         return cls(fields["holder"], fields["number"], target, fields["open"])
 
 
-class Progress(Enum):
+class ReconcileResult(Enum):
     """What one look at an engine led to."""
 
     RIGHT = "right"
@@ -162,7 +162,7 @@
     """It or the store gave no answer; the next look goes on."""
 
 
-class EngineOrders:
+class EngineReconciler:
     """Brings engines to their target states while this process holds the lease.
 
     Parameters
@@ -173,7 +173,7 @@
         Only its holder issues orders.
     admin : EngineAdmin
         Reaches the engines.
-    is_gone : callable
+    is_terminated : callable
         Whether a holder's process can send nothing any more, bytes on their
         way included. It must never be wrong that it is.
     metrics : Metrics
@@ -185,62 +185,66 @@
         tables: TableService,
         lease: Lease,
         admin: EngineAdmin,
-        is_gone: Callable[[str], bool],
+        is_terminated: Callable[[str], bool],
         metrics: Metrics,
     ) -> None:
         self._tables = tables
         self._lease = lease
         self._admin = admin
-        self._is_gone = is_gone
+        self._is_gone = is_terminated
         self._metrics = metrics
         self._uncertain: dict[str, float] = {}
 
     async def reconcile(
         self, name: str, service: Service, endpoints: Iterable[str]
-    ) -> dict[str, Progress]:
+    ) -> dict[str, ReconcileResult]:
         """Look at the engines of a service once, and order what is missing.
 
         The engines that load draw on the service's budget, so that a change for
         all of them does not exceed the rate of the weight store.
         """
-        found: dict[str, Progress] = {}
+        found: dict[str, ReconcileResult] = {}
         wanted = list(endpoints)
         loading = 0
         for endpoint in wanted:
             state = await self._admin.state(service.endpoints[endpoint].address)
             if state.is_ok() and state.ok.loading:
                 loading += 1
-                found[endpoint] = Progress.LOADING
+                found[endpoint] = ReconcileResult.LOADING
         for endpoint in wanted:
             if endpoint in found:
                 continue
             room = loading < service.loads_at_once
-            progress = await self.bring(name, service, endpoint, room)
-            loading += progress is Progress.LOADING
+            progress = await self.reconcile_engine(name, service, endpoint, room)
+            loading += progress is ReconcileResult.LOADING
             found[endpoint] = progress
         return found
 
-    async def bring(
+    async def reconcile_engine(
         self, name: str, service: Service, endpoint: str, may_load: bool = True
-    ) -> Progress:
+    ) -> ReconcileResult:
         """Look at one engine and give the order that it needs, if it may."""
         address = service.endpoints[endpoint].address
-        target = target_of(service, endpoint)
+        target = desired_target(service, endpoint)
         key = f"{name}/{endpoint}"
         read = await self._tables.get(ENGINE_ORDERS_TABLE, key)
         if read.is_error():
-            return Progress.FAILED
+            return ReconcileResult.FAILED
         row = read.ok
         last = OrderRow.decode(row.value) if row else None
         if last is None or not last.open or self._is_sent(key, last, target):
             state = await self._admin.state(address)
             if state.is_error():
-                return Progress.FAILED
+                return ReconcileResult.FAILED
             if state.ok.target == target:
-                return Progress.LOADING if state.ok.loading else Progress.RIGHT
+                return (
+                    ReconcileResult.LOADING
+                    if state.ok.loading
+                    else ReconcileResult.RIGHT
+                )
         if not may_load or self._must_wait(service, key, last, target):
             self._metrics.count("engines.waiting")
-            return Progress.WAITING
+            return ReconcileResult.WAITING
         return await self._order(service, key, address, row, target)
 
     def _is_sent(self, key: str, last: OrderRow, target: Target) -> bool:
@@ -281,28 +285,28 @@
         address: str,
         row: Row | None,
         target: Target,
-    ) -> Progress:
+    ) -> ReconcileResult:
         held = self._lease.held
         if held is None:
-            return Progress.FAILED
+            return ReconcileResult.FAILED
         number = held.number + 1
         entry = OrderRow(self._lease.holder, number, target, True)
         version = row.version if row else 0
         intent = Write(ENGINE_ORDERS_TABLE, key, entry.encode(), version)
         recorded = await self._lease.commit([intent], number)
         if recorded.is_error():
-            return Progress.FAILED
+            return ReconcileResult.FAILED
         # a pause here is why the record exists: whoever holds the lease by now
         # knows that this order may come
-        sent = await self._admin.order(address, number, target)
-        if sent.is_error() and sent.error is OrderFailure.UNCERTAIN:
+        sent = await self._admin.set_target(address, number, target)
+        if sent.is_error() and sent.error is EngineOrderFailure.UNCERTAIN:
             self._uncertain[key] = asyncio.get_running_loop().time()
-            return Progress.FAILED
+            return ReconcileResult.FAILED
         if key in self._uncertain and not service.checks_fencing:
             # an earlier copy of this order may still be on its way, so the record
             # stays open until it can't be
             if not self._expired(key):
-                return Progress.LOADING
+                return ReconcileResult.LOADING
             del self._uncertain[key]
         closed = OrderRow(entry.holder, number, target, False)
         # without the lease: also a holder that has lost it must say that its
@@ -311,14 +315,14 @@
             [Write(ENGINE_ORDERS_TABLE, key, closed.encode(), version + 1)]
         )
         self._metrics.count("engines.orders")
-        return Progress.FAILED if sent.is_error() else Progress.LOADING
+        return ReconcileResult.FAILED if sent.is_error() else ReconcileResult.LOADING
 
     def _expired(self, key: str) -> bool:
         now = asyncio.get_running_loop().time()
         return now - self._uncertain[key] >= WIRE_SECONDS
 
 
-def decode_state(data: bytes) -> Result[EngineState, OrderFailure]:
+def decode_state(data: bytes) -> Result[EngineState, EngineOrderFailure]:
     """Read an engine's answer about its state."""
     try:
         fields = json.loads(data)
@@ -326,4 +330,4 @@
         return Ok(EngineState(target, bool(fields["loading"])))
     except (ValueError, KeyError, TypeError):
         # an engine of another make or a proxy's error page
-        return Error(OrderFailure.REFUSED)
+        return Error(EngineOrderFailure.REFUSED)
--- a/packages/router/src/teaselledge/process/estimate.py
+++ b/packages/router/src/teaselledge/process/estimate.py
@@ -2,7 +2,7 @@
 
 import math
 
-__all__ = ["Estimates", "bounded_cost"]
+__all__ = ["CostEstimator", "clamp_cost"]
 
 WEIGHT = 0.1
 LARGEST_RATIO = 64.0
@@ -10,7 +10,7 @@
 """Cost, as a multiple of the service's largest hint, above which it is cut."""
 
 
-class Estimates:
+class CostEstimator:
     """Ratio of cost to hint by organisation and kind.
 
     A hint that is ten times too low would let an organisation start ten times
@@ -21,11 +21,11 @@
     def __init__(self) -> None:
         self._ratios: dict[tuple[str, str], float] = {}
 
-    def expect(self, organisation: str, kind: str, hint: float) -> float:
+    def predict(self, organisation: str, kind: str, hint: float) -> float:
         """Return the cost to charge at the start."""
         return hint * self._ratios.get((organisation, kind), 1.0)
 
-    def learn(self, organisation: str, kind: str, hint: float, cost: float) -> None:
+    def update(self, organisation: str, kind: str, hint: float, cost: float) -> None:
         """Note what a request did cost."""
         if hint <= 0:
             return
@@ -33,14 +33,14 @@
         old = self._ratios.get((organisation, kind), 1.0)
         self._ratios[(organisation, kind)] = old + (seen - old) * WEIGHT
 
-    def keep(self, organisations: set[str]) -> None:
+    def retain_organisations(self, organisations: set[str]) -> None:
         """Forget organisations that the document no longer has."""
         gone = [key for key in self._ratios if key[0] not in organisations]
         for key in gone:
             del self._ratios[key]
 
 
-def bounded_cost(cost: float | None, charged: float, largest_hint: float) -> float:
+def clamp_cost(cost: float | None, charged: float, largest_hint: float) -> float:
     """Return a cost that a peer or endpoint told, within sane limits.
 
     Parameters
--- a/packages/router/src/teaselledge/process/exchange.py
+++ b/packages/router/src/teaselledge/process/exchange.py
@@ -8,23 +8,23 @@
 from teaselledge_wire.gen.router.ttypes import Account, Report
 
 from teaselledge.metrics import Metrics
-from teaselledge.process.complaint import Complaints
 from teaselledge.process.due import is_due
-from teaselledge.process.mesh import Mesh, Origin, message
+from teaselledge.process.invalidinput import InvalidInputReporter
+from teaselledge.process.mesh import Mesh, Origin, make_message
 from teaselledge.process.placement import (
-    ACROSS,
-    Peer,
+    CROSS_REGION,
+    PeerDispatcher,
     Placement,
     Shard,
     distance,
     representative_zone,
-    zones_of,
+    service_zones,
 )
 from teaselledge.process.preset import Preset, get_preset_by_name
-from teaselledge.process.standing import Standings
+from teaselledge.process.standing import UsageAccounts
 from teaselledge.version.document import Document
 
-__all__ = ["Exchange", "View"]
+__all__ = ["UsageExchange", "PeerLoad"]
 
 ADOPT_SECONDS = 3.0
 """Age up to which a dispatcher takes standings over from its peers."""
@@ -54,7 +54,7 @@
 
 
 @dataclass
-class View:
+class PeerLoad:
     """What a dispatcher, or the representative of a region, told last.
 
     Attributes
@@ -63,18 +63,18 @@
         Whom to ask for work.
     region : str or None
         Set where the figures are the sums of a region.
-    heard : float
+    updated_at : float
         Loop time.
-    free : int
+    free_slots : int
         Free slots.
     waiting : dict of str to int
         Waiting requests by organisation.
     """
 
-    peer: Peer
+    peer: PeerDispatcher
     region: str | None
-    heard: float
-    free: int = 0
+    updated_at: float
+    free_slots: int = 0
     waiting: dict[str, int] = field(default_factory=dict)
 
 
@@ -94,7 +94,7 @@
     return MESSAGE_BYTES + names + ACCOUNT_BYTES * len(accounts)
 
 
-class Exchange:
+class UsageExchange:
     """Sends what this dispatcher counted and takes in what others did.
 
     The incarnation names this dispatcher; the next number names the sums that
@@ -108,7 +108,7 @@
         self,
         shard: Shard,
         mesh: Mesh,
-        standings: Standings,
+        standings: UsageAccounts,
         placement: Placement,
         metrics: Metrics,
         incarnation: int,
@@ -117,7 +117,7 @@
         self._mesh = mesh
         self._standings = standings
         self._placement = placement
-        self._complaints = Complaints("dispatch", metrics)
+        self._complaints = InvalidInputReporter("dispatch", metrics)
         self._incarnation = incarnation
         now = asyncio.get_running_loop().time()
         self._born = now
@@ -126,7 +126,7 @@
         self._quantum = self._margin = 1.0
         self._speaks = False
         self._counters: dict[int, _Counters] = {}
-        self._views: dict[Peer | str, View] = {}
+        self._views: dict[PeerDispatcher | str, PeerLoad] = {}
         self._changed: set[str] = set()
         self._told_waiting: set[str] = set()
         self._unreported = 0.0
@@ -136,8 +136,8 @@
         self._latest = now
         self._keepalive = now
         self._told_free = 0
-        self.free = 0
-        self.regular = True
+        self.free_slots = 0
+        self.assigned = True
         self._region_served: dict[str, float] = {}
         self._region_changed: set[str] = set()
         self._region_waiting: set[str] = set()
@@ -150,22 +150,22 @@
         return self._quantum
 
     @property
-    def margin(self) -> float:
+    def fetch_margin(self) -> float:
         """Deficit from which work is fetched from another zone."""
         return self._margin
 
     @property
-    def views(self) -> Iterable[View]:
+    def peer_loads(self) -> Iterable[PeerLoad]:
         """What others told, those of this region first."""
         return sorted(self._views.values(), key=lambda v: v.region is not None)
 
-    def use(self, document: Document) -> None:
+    def apply_document(self, document: Document) -> None:
         """Take a new version of the document."""
         self._document = document
         service = document.services[self._shard.service]
         self._preset = get_preset_by_name(service.preset)
         self._quantum = self._preset.quantum(service)
-        self._margin = self._preset.margin(service)
+        self._margin = self._preset.fetch_margin(service)
         name = self._shard.service
         speaker = representative_zone(document, name, self._region)
         self._speaks = speaker == self._shard.zone
@@ -194,15 +194,15 @@
         wanted = due or (late and self._has_news()) or self._needs_keepalive(now)
         if wanted and is_due(now, self._earliest):
             self.send(now)
-        if not self._speaks or not self.regular:
+        if not self._speaks or not self.assigned:
             # two speakers would have their region's service counted twice
             return
         if is_due(now, self._region_latest + self._preset.region_interval):
             self._send_region(now)
 
-    def tell_idle(self, free: int) -> None:
+    def report_idle(self, free: int) -> None:
         """Tell at once that slots became free while nothing waits here."""
-        self.free = free
+        self.free_slots = free
         if free <= 0 or self._told_free > 0:
             return
         now = asyncio.get_running_loop().time()
@@ -216,7 +216,7 @@
         full = is_due(now, self._keepalive + KEEPALIVE_SECONDS)
         if full:
             self._keepalive = now
-            names |= {n for n in standings.backlogged if standings.waiting(n)}
+            names |= {n for n in standings.backlogged if standings.local_waiting(n)}
         names |= self._told_waiting
         accounts = [self._account(n, full) for n in sorted(names) if n in standings]
         self._told_waiting = {a.organisation for a in accounts if a.waiting}
@@ -224,25 +224,29 @@
         self._changed.clear()
         self._unreported = 0.0
         self._latest = now
-        self._told_free = self.free
+        self._told_free = self.free_slots
         for account in accounts:
             self._reported[account.organisation] = account.served
         peers = self.peers()
         self._sequence += 1
         body = Report(
-            self._shard.zone, self._incarnation, self._sequence, accounts, self.free
+            self._shard.zone,
+            self._incarnation,
+            self._sequence,
+            accounts,
+            self.free_slots,
         )
         for peer in peers:
             self._send(peer, body)
         size = _size(accounts) * len(peers)
         self._earliest = now + size / self._preset.report_bytes
 
-    def note_waiting(self, organisation: str) -> None:
+    def mark_waiting_changed(self, organisation: str) -> None:
         """Note that an organisation began or ceased to wait here."""
         self._changed.add(organisation)
         self._region_changed.add(organisation)
 
-    def receive(self, origin: Origin, body: Report) -> None:
+    def handle_report(self, origin: Origin, body: Report) -> None:
         """Take in a report."""
         document = self._document
         zone = body.zone or ""
@@ -257,12 +261,12 @@
             return
         counters.sequence, counters.heard = body.sequence, now
         region = body.region
-        peer = Peer(body.vm or origin.vm, zone)
+        peer = PeerDispatcher(body.vm or origin.vm, zone)
         # one that just started has yet to take its standings over
         young = body.sequence <= FIRST_SEQUENCES
         weight = 0.0 if young else (NEAR_WEIGHT if region is None else FAR_WEIGHT)
         view = self._view(peer, region, now)
-        view.free = max(0, body.free_slots or 0)
+        view.free_slots = max(0, body.free_slots or 0)
         waiting: dict[str, int] = {}
         for account in body.accounts or []:
             if self._take(account, counters, region is None, weight):
@@ -272,24 +276,24 @@
             region is not None
             and origin.vm == peer.vm
             and self._speaks
-            and self.regular
+            and self.assigned
         ):
             self._relay(origin, body)
 
-    def peers(self) -> list[Peer]:
+    def peers(self) -> list[PeerDispatcher]:
         """Return the other dispatchers of the service in this region."""
         document = self._document
         if document is None:
             return []
         found = {v.peer for v in self._views.values() if v.region is None}
         service, own = self._shard.service, self._shard.zone
-        for zone in zones_of(document, service) | {own}:
-            if distance(document, own, zone) == ACROSS:
+        for zone in service_zones(document, service) | {own}:
+            if distance(document, own, zone) == CROSS_REGION:
                 continue
             member = self._placement.dispatcher(document, Shard(service, zone))
             if member is not None:
-                found.add(Peer(member.vm, zone))
-        found.discard(Peer(self._mesh.origin.vm, own))
+                found.add(PeerDispatcher(member.vm, zone))
+        found.discard(PeerDispatcher(self._mesh.origin.vm, own))
         return sorted(found, key=lambda p: (p.zone, p.vm))
 
     @property
@@ -309,47 +313,47 @@
         standings = self._standings
         return Account(
             name,
-            standings.own(name),
-            standings.of(name) if full else None,
-            standings.waiting(name),
+            standings.local_usage(name),
+            standings.normalised_usage(name) if full else None,
+            standings.local_waiting(name),
         )
 
-    def _send(self, peer: Peer, body: Report) -> None:
-        sent = message("report", body, self._shard.service, peer.zone)
+    def _send(self, peer: PeerDispatcher, body: Report) -> None:
+        sent = make_message("report", body, self._shard.service, peer.zone)
         self._mesh.send(peer.vm, sent)
 
     def _note(self, organisation: str, cost: float) -> None:
-        if not self._speaks or not self.regular:
+        if not self._speaks or not self.assigned:
             return
         total = self._region_served.get(organisation, 0.0)
         self._region_served[organisation] = total + cost
         self._region_changed.add(organisation)
 
     def _has_news(self) -> bool:
-        idle = (self.free > 0) != (self._told_free > 0)
+        idle = (self.free_slots > 0) != (self._told_free > 0)
         return bool(self._changed) or bool(self._told_waiting) or idle
 
     def _needs_keepalive(self, now: float) -> bool:
-        return self.regular and is_due(now, self._latest + KEEPALIVE_SECONDS)
+        return self.assigned and is_due(now, self._latest + KEEPALIVE_SECONDS)
 
-    def _stale(self, view: View, now: float) -> bool:
-        return now - view.heard > VIEW_SECONDS
+    def _stale(self, view: PeerLoad, now: float) -> bool:
+        return now - view.updated_at > VIEW_SECONDS
 
-    def _view(self, peer: Peer, region: str | None, now: float) -> View:
+    def _view(self, peer: PeerDispatcher, region: str | None, now: float) -> PeerLoad:
         name = peer if region is None else region
         view = self._views.get(name)
         if view is None:
-            view = self._views[name] = View(peer, region, now)
-        view.peer, view.heard = peer, now
+            view = self._views[name] = PeerLoad(peer, region, now)
+        view.peer, view.updated_at = peer, now
         return view
 
-    def _tell_waiting(self, view: View, waiting: dict[str, int]) -> None:
+    def _tell_waiting(self, view: PeerLoad, waiting: dict[str, int]) -> None:
         old = {name for name, count in view.waiting.items() if count > 0}
         new = {name: count for name, count in waiting.items() if count > 0}
         for name in old - set(new):
-            self._standings.add_elsewhere(name, -1)
+            self._standings.add_remote_backlog(name, -1)
         for name in set(new) - old:
-            self._standings.add_elsewhere(name, 1)
+            self._standings.add_remote_backlog(name, 1)
         if view.region is None:
             self._region_changed |= old ^ set(new)
         view.waiting = new
@@ -380,31 +384,31 @@
         last = counters.served.get(name)
         counters.served[name] = served
         # the sender has not heard yet what was served here since the last report
-        unheard = self._standings.own(name) - self._reported.get(name, 0.0)
-        share = self._standings.share_of(name)
+        unheard = self._standings.local_usage(name) - self._reported.get(name, 0.0)
+        share = self._standings.share(name)
         if standing is not None:
             standing += unheard / share
         if counters.older and standing is not None and name not in counters.adopted:
             counters.adopted.add(name)
             if self._starting:
-                self._standings.adopt(name, standing)
+                self._standings.set_usage(name, standing)
         if last is None and counters.older:
             # what a dispatcher served before this one started is in the
             # standing that it tells; counting it too would count it twice
             return True
         growth = served - (last or 0.0)
-        if growth < -self._standings.debt * share:
+        if growth < -self._standings.max_lead * share:
             self._refuse("backwards", f"Counter of {name} runs backwards.")
             return False
-        self._standings.grow(name, growth)
+        self._standings.add_remote_usage(name, growth)
         if near:
             self._note(name, growth)
         if standing is not None:
-            self._standings.move(name, standing, weight)
+            self._standings.blend_usage(name, standing, weight)
         return True
 
     def _refuse(self, cause: str, text: str) -> None:
-        self._complaints.note("dispatch.bad_reports", cause, text)
+        self._complaints.report("dispatch.bad_reports", cause, text)
 
     def _relay(self, origin: Origin, body: Report) -> None:
         body.vm = origin.vm
@@ -420,8 +424,8 @@
                     waiting[name] = waiting.get(name, 0) + count
         backlogged = list(standings.backlogged)
         for name in backlogged:
-            if standings.waiting(name):
-                waiting[name] = waiting.get(name, 0) + standings.waiting(name)
+            if standings.local_waiting(name):
+                waiting[name] = waiting.get(name, 0) + standings.local_waiting(name)
         changed = self._region_changed & set(backlogged)
         changed |= self._region_waiting - set(waiting)
         full = is_due(now, self._region_keepalive + 2 * KEEPALIVE_SECONDS)
@@ -431,14 +435,14 @@
         self._region_waiting = set(waiting)
         self._region_changed.clear()
         near = [v for v in self._views.values() if v.region is None]
-        free = self.free + sum(view.free for view in near)
+        free = self.free_slots + sum(view.free_slots for view in near)
         self._region_latest = now
         self._sequence += 1
         accounts = [
             Account(
                 name,
                 self._region_served.get(name, 0.0),
-                standings.of(name) if full else None,
+                standings.normalised_usage(name) if full else None,
                 waiting.get(name, 0),
             )
             for name in sorted(changed)
@@ -460,12 +464,12 @@
         )
         self._region_latest = now + max(0.0, pause)
 
-    def _speakers(self) -> list[Peer]:
+    def _speakers(self) -> list[PeerDispatcher]:
         document = self._document
         if document is None:
             return []
         service = self._shard.service
-        regions = {document.zones[z].region for z in zones_of(document, service)}
+        regions = {document.zones[z].region for z in service_zones(document, service)}
         found = []
         for region in sorted(regions - {self._region}):
             zone = representative_zone(document, service, region)
@@ -473,5 +477,5 @@
                 continue
             member = self._placement.dispatcher(document, Shard(service, zone))
             if member is not None:
-                found.append(Peer(member.vm, zone))
+                found.append(PeerDispatcher(member.vm, zone))
         return found
--- a/packages/router/src/teaselledge/process/fetch.py
+++ b/packages/router/src/teaselledge/process/fetch.py
@@ -9,14 +9,14 @@
 from teaselledge_wire.gen.router.ttypes import Fetch, FetchAnswer, Register, Withdraw
 
 from teaselledge.metrics import Metrics
-from teaselledge.process.exchange import Exchange, View
-from teaselledge.process.mesh import Mesh, Origin, message
-from teaselledge.process.placement import ACROSS, Peer, Shard, distance
-from teaselledge.process.queue import Entry, RequestKey, WaitingQueue
-from teaselledge.process.standing import Standings
+from teaselledge.process.exchange import PeerLoad, UsageExchange
+from teaselledge.process.mesh import Mesh, Origin, make_message
+from teaselledge.process.placement import CROSS_REGION, PeerDispatcher, Shard, distance
+from teaselledge.process.queue import QueuedRequest, RequestKey, WaitingQueue
+from teaselledge.process.standing import UsageAccounts
 from teaselledge.version.document import Document
 
-__all__ = ["Lending", "entry_of"]
+__all__ = ["RequestTransfer", "make_queued_request"]
 
 LEND_SECONDS = 1.0
 FAR_LEND_SECONDS = 2.0
@@ -56,14 +56,14 @@
 LONGEST_SECONDS = 1e9
 
 
-def entry_of(
+def make_queued_request(
     origin: Origin,
     body: Register,
     document: Document,
     service: str,
-    lender: Peer | None = None,
-    until: float = 0.0,
-) -> Entry | None:
+    fetched_from: PeerDispatcher | None = None,
+    return_at: float = 0.0,
+) -> QueuedRequest | None:
     """Return the queue entry of a registration, None where it is malformed."""
     known = body.organisation in document.organisations
     kind = document.services[service].kinds.get(body.kind or "")
@@ -82,13 +82,15 @@
     )
     arrived = now - max(0.0, body.waited)
     deadline = now + body.deadline
-    return Entry(key, body, kind.interactive, arrived, deadline, lender, until)
+    return QueuedRequest(
+        key, body, kind.interactive, arrived, deadline, fetched_from, return_at
+    )
 
 
 @dataclass(frozen=True)
 class _Lent:
-    entry: Entry
-    borrower: Peer
+    entry: QueuedRequest
+    borrower: PeerDispatcher
     since: float
     until: float
 
@@ -99,7 +101,7 @@
     until: float
 
 
-def _in_turns(entries: Iterable[Entry]) -> list[Entry]:
+def _in_turns(entries: Iterable[QueuedRequest]) -> list[QueuedRequest]:
     """Order entries so that each organisation has one before any has two."""
     counts: Counter[str] = Counter()
     turns = []
@@ -109,11 +111,11 @@
     return [entry for _, entry in sorted(turns, key=lambda turn: turn[0])]
 
 
-def _name(view: View) -> str:
+def _name(view: PeerLoad) -> str:
     return view.region or f"{view.peer.vm}/{view.peer.zone}"
 
 
-class Lending:
+class RequestTransfer:
     """Fetches waiting requests from other dispatchers and lends own ones.
 
     A request that is lent has left the lender's queue until the borrower's
@@ -126,8 +128,8 @@
         shard: Shard,
         mesh: Mesh,
         queue: WaitingQueue,
-        standings: Standings,
-        exchange: Exchange,
+        standings: UsageAccounts,
+        exchange: UsageExchange,
         metrics: Metrics,
     ) -> None:
         self._shard = shard
@@ -148,14 +150,14 @@
     def __contains__(self, key: object) -> bool:
         return key in self._lent
 
-    def use(self, document: Document, slots: int) -> None:
+    def apply_document(self, document: Document, slots: int) -> None:
         """Take a new version of the document and the number of own slots."""
         self._document = document
         self._slots = max(1, slots)
 
     def push(self) -> None:
         """Lend what waits here to dispatchers that told of free slots."""
-        if len(self._queue) > self._queue.borrowed:
+        if len(self._queue) > self._queue.fetched_count:
             self._push(asyncio.get_running_loop().time())
 
     def pull(self, free: int) -> None:
@@ -166,15 +168,15 @@
             return
         self._pull_needy(now)
 
-    def fetch(self, origin: Origin, body: Fetch) -> None:
+    def handle_fetch(self, origin: Origin, body: Fetch) -> None:
         """Lend to a dispatcher that asks."""
         document = self._document
         if document is None or body.zone not in document.zones:
             return
-        borrower = Peer(body.vm or origin.vm, body.zone)
+        borrower = PeerDispatcher(body.vm or origin.vm, body.zone)
         now = asyncio.get_running_loop().time()
         idle = max(0, body.idle or 0)
-        spare = len(self._queue) - self._queue.borrowed - self._ahead(AHEAD_PART)
+        spare = len(self._queue) - self._queue.fetched_count - self._ahead(AHEAD_PART)
         count = min(body.count or 1, MAX_COUNT, max(idle, spare))
         if body.organisations:
             count = min(body.count or 1, MAX_COUNT)
@@ -182,7 +184,9 @@
         if picked or not self._pass_on(origin, body):
             self._lend(picked, borrower, body.fetch or 0, now)
 
-    def answer(self, origin: Origin, body: FetchAnswer) -> list[Entry]:
+    def handle_fetch_answer(
+        self, origin: Origin, body: FetchAnswer
+    ) -> list[QueuedRequest]:
         """Return the requests that another dispatcher lends."""
         document = self._document
         now = asyncio.get_running_loop().time()
@@ -191,25 +195,25 @@
             self._pauses[asked.view] = now + PAUSE_SECONDS
         if document is None or body.zone not in document.zones:
             return []
-        lender = Peer(origin.vm, body.zone)
+        lender = PeerDispatcher(origin.vm, body.zone)
         until = now + self._lend_seconds(lender) - RETURN_SECONDS
         entries = []
         for told in body.entries or []:
             if not told.owner_vm or told.owner_incarnation is None:
                 continue
             service = self._shard.service
-            entry = entry_of(origin, told, document, service, lender, until)
+            entry = make_queued_request(origin, told, document, service, lender, until)
             if entry is not None:
                 entries.append(entry)
         self._metrics.count("dispatch.fetched", len(entries))
         return entries
 
-    def withdraw(self, key: RequestKey) -> bool:
+    def cancel_transfer(self, key: RequestKey) -> bool:
         """End a loan because the request no longer waits."""
         lent = self._lent.pop(key, None)
         if lent is None:
             return False
-        self._standings.add_waiting(lent.entry.organisation, -1)
+        self._standings.add_local_waiting(lent.entry.organisation, -1)
         body = Withdraw(key.request, key.vm, key.incarnation)
         self._send(lent.borrower, "withdraw", body)
         return True
@@ -223,30 +227,33 @@
             if lent.until <= now or (idle and now - lent.since > RECLAIM_SECONDS):
                 del self._lent[key]
                 self._queue.add(lent.entry)
-                self._standings.add_waiting(lent.entry.organisation, -1)
+                self._standings.add_local_waiting(lent.entry.organisation, -1)
 
     def _ahead(self, part: int) -> int:
         return 1 + self._slots // part
 
     def _across(self, zone: str) -> bool:
         document = self._document
-        return document is None or distance(document, self._shard.zone, zone) == ACROSS
+        return (
+            document is None
+            or distance(document, self._shard.zone, zone) == CROSS_REGION
+        )
 
-    def _lend_seconds(self, peer: Peer) -> float:
+    def _lend_seconds(self, peer: PeerDispatcher) -> float:
         return FAR_LEND_SECONDS if self._across(peer.zone) else LEND_SECONDS
 
     def _push(self, now: float) -> None:
-        for view in self._exchange.views:
-            if view.free <= 0:
+        for view in self._exchange.peer_loads:
+            if view.free_slots <= 0:
                 continue
-            picked = self._pick([], min(view.free, MAX_COUNT), view.peer, now)
+            picked = self._pick([], min(view.free_slots, MAX_COUNT), view.peer, now)
             if not picked:
                 return
-            view.free -= len(picked)
+            view.free_slots -= len(picked)
             self._lend(picked, view.peer, 0, now)
 
     def _pull(self, missing: int, free: int, now: float) -> bool:
-        views = [v for v in self._exchange.views if any(v.waiting.values())]
+        views = [v for v in self._exchange.peer_loads if any(v.waiting.values())]
         near = [v for v in views if v.region is None]
         if near:
             view = max(near, key=lambda v: sum(v.waiting.values()))
@@ -258,19 +265,21 @@
         return self._ask(view, [], missing, missing, now)
 
     def _pull_needy(self, now: float) -> None:
-        first = self._queue.neediest
+        first = self._queue.least_served
         if first is None:
             return
         standings = self._standings
         for name in list(islice(standings.backlogged, NEEDY_LOOK)):
-            if self._queue.waiting(name) or not standings.waits_elsewhere(name):
+            if self._queue.count_of(name) or not standings.has_remote_waiting(name):
                 continue
-            behind = standings.of(first) - standings.of(name)
-            deficit = behind * standings.share_of(name)
-            margin = self._exchange.margin
+            behind = standings.normalised_usage(first) - standings.normalised_usage(
+                name
+            )
+            deficit = behind * standings.share(name)
+            margin = self._exchange.fetch_margin
             if deficit <= margin:
                 return
-            for view in self._exchange.views:
+            for view in self._exchange.peer_loads:
                 if not view.waiting.get(name):
                     continue
                 if view.region is not None and deficit <= margin * FAR_MARGIN:
@@ -280,7 +289,12 @@
                 return
 
     def _ask(
-        self, view: View, organisations: list[str], count: int, idle: int, now: float
+        self,
+        view: PeerLoad,
+        organisations: list[str],
+        count: int,
+        idle: int,
+        now: float,
     ) -> bool:
         name = _name(view)
         if self._pauses.get(name, 0.0) > now:
@@ -308,10 +322,10 @@
         # the representative of a region may have nothing itself
         if body.vm is not None or not self._across(body.zone):
             return False
-        views = [v for v in self._exchange.views if v.region is None]
+        views = [v for v in self._exchange.peer_loads if v.region is None]
         wanted = body.organisations or []
 
-        def waiting(view: View) -> int:
+        def waiting(view: PeerLoad) -> int:
             names = wanted or list(view.waiting)
             return sum(view.waiting.get(name, 0) for name in names)
 
@@ -323,22 +337,22 @@
         return True
 
     def _pick(
-        self, organisations: list[str], count: int, borrower: Peer, now: float
-    ) -> list[Entry]:
+        self, organisations: list[str], count: int, borrower: PeerDispatcher, now: float
+    ) -> list[QueuedRequest]:
         if count <= 0:
             return []
         across = self._across(borrower.zone)
-        found: list[Entry] = []
+        found: list[QueuedRequest] = []
         if organisations:
             for name in organisations[:MAX_COUNT]:
-                found += self._queue.of(name, now, limit=count)
+                found += self._queue.candidates_of(name, now, limit=count)
         else:
             found += _in_turns(self._queue.candidates(now))
-        picked: list[Entry] = []
+        picked: list[QueuedRequest] = []
         for entry in found:
             if len(picked) >= count:
                 break
-            if entry.lender is not None:
+            if entry.fetched_from is not None:
                 continue
             if across and now - entry.arrived < FAR_WAIT_SECONDS:
                 continue
@@ -346,12 +360,12 @@
                 picked.append(entry)
         return picked
 
-    def _affordable(self, entry: Entry, now: float) -> bool:
+    def _affordable(self, entry: QueuedRequest, now: float) -> bool:
         """Return whether the region link has room for a body, and take it."""
         passed = now - self._link_time
         self._link_time = now
         self._link_bytes = min(LINK_BYTES, self._link_bytes + passed * LINK_BYTES)
-        size = max(0, entry.body.body_bytes or 0)
+        size = max(0, entry.registration.body_bytes or 0)
         patient = now - entry.arrived > PATIENCE_SECONDS
         if size > self._link_bytes and not (patient and self._link_bytes > 0):
             return False
@@ -359,21 +373,25 @@
         return True
 
     def _lend(
-        self, picked: list[Entry], borrower: Peer, fetch: int, now: float
+        self,
+        picked: list[QueuedRequest],
+        borrower: PeerDispatcher,
+        fetch: int,
+        now: float,
     ) -> None:
         until = now + self._lend_seconds(borrower)
         bodies = []
         for entry in picked:
             # a lent request still counts in its organisation's backlog
-            self._standings.add_waiting(entry.organisation, 1)
+            self._standings.add_local_waiting(entry.organisation, 1)
             self._queue.remove(entry.key)
             self._lent[entry.key] = _Lent(entry, borrower, now, until)
             bodies.append(self._body(entry, now))
         body = FetchAnswer(fetch, bool(picked), bodies, self._shard.zone)
         self._send(borrower, "fetch_answer", body)
 
-    def _body(self, entry: Entry, now: float) -> Register:
-        key, told = entry.key, entry.body
+    def _body(self, entry: QueuedRequest, now: float) -> Register:
+        key, told = entry.key, entry.registration
         return Register(
             told.request,
             told.organisation,
@@ -390,7 +408,7 @@
         )
 
     def _send(
-        self, peer: Peer, name: str, body: Fetch | FetchAnswer | Withdraw
+        self, peer: PeerDispatcher, name: str, body: Fetch | FetchAnswer | Withdraw
     ) -> None:
-        sent = message(name, body, self._shard.service, peer.zone)
+        sent = make_message(name, body, self._shard.service, peer.zone)
         self._mesh.send(peer.vm, sent)
--- a/packages/router/src/teaselledge/process/holding.py
+++ b/packages/router/src/teaselledge/process/holding.py
@@ -6,7 +6,7 @@
 from teaselledge.process.mesh import Origin
 from teaselledge.process.queue import RequestKey
 
-__all__ = ["Digest", "Holdings", "digest_of"]
+__all__ = ["Digest", "HeldRequests", "digest_of_requests"]
 
 MIX = 0x9E3779B97F4A7C15
 MASK = (1 << 63) - 1
@@ -25,7 +25,7 @@
     return (mixed ^ (mixed >> 29)) * MIX & MASK
 
 
-def digest_of(requests: Iterable[int]) -> Digest:
+def digest_of_requests(requests: Iterable[int]) -> Digest:
     """Return the digest of some request numbers."""
     count = value = 0
     for request in requests:
@@ -41,13 +41,13 @@
     value: int = 0
 
 
-class Holdings:
+class HeldRequests:
     """Request numbers by ingress, with the time when it was last heard."""
 
     def __init__(self) -> None:
         self._held: dict[Origin, _Held] = {}
 
-    def hear(self, origin: Origin, now: float) -> list[Origin]:
+    def touch(self, origin: Origin, now: float) -> list[Origin]:
         """Note a message and return earlier lives of the same ingress."""
         held = self._held.get(origin)
         if held is not None:
@@ -56,7 +56,7 @@
         self._held[origin] = _Held(now)
         return [o for o in self._held if o.vm == origin.vm and o != origin]
 
-    def silent(self, before: float) -> list[Origin]:
+    def timed_out(self, before: float) -> list[Origin]:
         """Return the ingresses that were last heard before a time."""
         return [o for o, held in self._held.items() if held.heard < before]
 
@@ -86,6 +86,6 @@
         held = self._held.get(origin)
         return Digest(len(held.requests), held.value) if held else Digest()
 
-    def forget(self, origin: Origin) -> None:
+    def remove(self, origin: Origin) -> None:
         """Drop an ingress."""
         self._held.pop(origin, None)
--- a/packages/router/src/teaselledge/process/ingress.py
+++ b/packages/router/src/teaselledge/process/ingress.py
@@ -24,14 +24,14 @@
 from teaselledge.errors import ErrorKind, Fault
 from teaselledge.metrics import Metrics, NullMetrics
 from teaselledge.process.due import is_due
-from teaselledge.process.holding import digest_of
+from teaselledge.process.holding import digest_of_requests
 from teaselledge.process.member import Member
-from teaselledge.process.mesh import Mesh, Origin, message
+from teaselledge.process.mesh import Mesh, Origin, make_message
 from teaselledge.process.placement import Placement, Shard, home_shard
 from teaselledge.process.settings import Limits
 from teaselledge.version.document import Version
 
-__all__ = ["Granted", "Ingress", "IngressLimits", "Ticket"]
+__all__ = ["SlotGrant", "Ingress", "IngressLimits", "SlotRequest"]
 
 DIGEST_SECONDS = 1.0
 """Interval at which an ingress compares with its dispatchers."""
@@ -39,7 +39,7 @@
 REFRESH_SECONDS = 0.2
 """Interval at which it looks whether a shard has another dispatcher."""
 
-SUSPECT_SECONDS = 2.5
+REPLY_TIMEOUT_SECONDS = 2.5
 """Silence after which a dispatcher that should answer is passed over."""
 
 QUIET_DIGESTS = 3
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class Ticket:
+class SlotRequest:
     """A request that asks for a slot.
 
     Attributes
@@ -69,7 +69,7 @@
         Hash of the prompt's prefix.
     excluded : tuple of str
         Endpoints that failed this request already.
-    begun : bool
+    response_started : bool
         Part of its answer has reached the caller.
     """
 
@@ -82,7 +82,7 @@
     repeatable: bool = True
     prefix: int | None = None
     excluded: tuple[str, ...] = ()
-    begun: bool = False
+    response_started: bool = False
 
 
 class _HandedBackError(Exception):
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True)
-class Granted:
+class SlotGrant:
     """A slot for one request.
 
     Attributes
@@ -144,19 +144,19 @@
 
 @dataclass
 class _Waiting:
-    ticket: Ticket
+    ticket: SlotRequest
     arrived: float
     shard: Shard
     vm: str
-    granted: "asyncio.Future[Granted]" = field(
+    granted: "asyncio.Future[SlotGrant]" = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
 
 
 @dataclass
 class _Running:
-    ticket: Ticket
-    granted: Granted
+    ticket: SlotRequest
+    granted: SlotGrant
     vm: str
     since: float
     charged: float
@@ -219,7 +219,7 @@
         """Requests that hold a slot."""
         return len(self._running)
 
-    async def acquire(self, ticket: Ticket) -> Result[Granted, Fault]:
+    async def acquire(self, ticket: SlotRequest) -> Result[SlotGrant, Fault]:
         """Wait for a slot until the ticket's deadline.
 
         Returns
@@ -255,15 +255,15 @@
             raise
         return Ok(granted)
 
-    def hand_back(self, fault: Fault) -> None:
+    def reject_waiting(self, fault: Fault) -> None:
         """Give up what waits and has not begun, with a final answer at once."""
         for waiting in self._waiting.values():
             ticket = waiting.ticket
-            if waiting.granted.done() or ticket.begun or ticket.excluded:
+            if waiting.granted.done() or ticket.response_started or ticket.excluded:
                 continue
             waiting.granted.set_exception(_HandedBackError(fault))
 
-    def progress(self, granted: Granted, cost: float) -> None:
+    def report_cost(self, granted: SlotGrant, cost: float) -> None:
         """Tell what a stream has cost so far; cheap to call for each part.
 
         A hint that is far too low would let long streams look cheap until
@@ -276,7 +276,7 @@
         body = Progress(granted.grant, granted.request, cost)
         self._send(_Place(running.vm, granted.shard), "progress", body)
 
-    def release(self, granted: Granted, cost: float, failed: bool) -> None:
+    def release(self, granted: SlotGrant, cost: float, failed: bool) -> None:
         """Give a slot back and tell what it cost."""
         running = self._running.pop(granted.request, None)
         if running is None:
@@ -293,17 +293,17 @@
             await asyncio.sleep(REFRESH_SECONDS)
             now = loop.time()
             self._suspect(now)
-            self.follow()
+            self.refresh_placement()
             if is_due(now, next_digest):
                 next_digest = now + DIGEST_SECONDS
-                self.compare()
+                self.send_digests()
 
-    def follow(self) -> None:
+    def refresh_placement(self) -> None:
         """Look at the members, and move where a shard has another dispatcher."""
         if self._placement.refresh():
-            self.move()
+            self.reassign_requests()
 
-    def move(self) -> None:
+    def reassign_requests(self) -> None:
         """Hand over to the dispatchers that the shards have now."""
         moved: set[_Place] = set()
         for waiting in self._waiting.values():
@@ -327,7 +327,7 @@
         for place in sorted(moved, key=lambda p: (p.vm, p.shard.zone)):
             self._send_full(place, held.get(place, _Held()))
 
-    def compare(self) -> None:
+    def send_digests(self) -> None:
         """Send a digest of what is held to each dispatcher."""
         held = self._held()
         now = asyncio.get_running_loop().time()
@@ -340,7 +340,7 @@
             if not place.vm:
                 continue
             requests = held.get(place, _Held())
-            digest = digest_of(requests.waiting + requests.running)
+            digest = digest_of_requests(requests.waiting + requests.running)
             body = Snapshot([], [], digest.count, digest.value, False)
             self._unanswered.setdefault(place.vm, now)
             self._send(place, "snapshot", body)
@@ -351,7 +351,7 @@
                 body = Snapshot([], [], 0, 0, False)
                 self._send(_Place(vm, service.shard), "snapshot", body)
 
-    def _refusal(self, version: Version, ticket: Ticket) -> Fault | None:
+    def _refusal(self, version: Version, ticket: SlotRequest) -> Fault | None:
         entry = version.document.organisations.get(ticket.organisation)
         if entry is None:
             return Fault(ErrorKind.FORBIDDEN)
@@ -365,7 +365,7 @@
             return Fault(ErrorKind.ROUTER_FULL)
         return None
 
-    def _add(self, ticket: Ticket, shard: Shard) -> int:
+    def _add(self, ticket: SlotRequest, shard: Shard) -> int:
         number = self._next_request
         self._next_request += 1
         now = asyncio.get_running_loop().time()
@@ -416,7 +416,7 @@
         this ingress, whose requests would wait until their deadlines.
         """
         for vm, since in list(self._unanswered.items()):
-            if now - since < SUSPECT_SECONDS or vm == self._mesh.origin.vm:
+            if now - since < REPLY_TIMEOUT_SECONDS or vm == self._mesh.origin.vm:
                 continue
             del self._unanswered[vm]
             self._placement.suspect(vm)
@@ -477,11 +477,11 @@
         if not place.vm:
             return
         shard = place.shard
-        self._mesh.send(place.vm, message(name, body, shard.service, shard.zone))
+        self._mesh.send(place.vm, make_message(name, body, shard.service, shard.zone))
 
     def _heard(self, vm: str) -> None:
         self._unanswered.pop(vm, None)
-        self._placement.trust(vm)
+        self._placement.clear_suspect(vm)
 
     def _on_grant(self, origin: Origin, service: str, zone: str, body: Grant) -> None:
         self._heard(origin.vm)
@@ -494,7 +494,7 @@
             return
         self._remove(body.request)
         now = asyncio.get_running_loop().time()
-        granted = Granted(
+        granted = SlotGrant(
             body.endpoint, origin, place.shard, body.grant, body.request, body.charged
         )
         self._running[body.request] = _Running(
--- a/packages/router/src/teaselledge/process/complaint.py
+++ b/packages/router/src/teaselledge/process/invalidinput.py
@@ -5,12 +5,12 @@
 from teaselledge.log import get_log
 from teaselledge.metrics import Metrics
 
-__all__ = ["Complaints"]
+__all__ = ["InvalidInputReporter"]
 
 PERIOD_SECONDS = 10.0
 
 
-class Complaints:
+class InvalidInputReporter:
     """Counts bad input and logs each cause once a period."""
 
     def __init__(self, part: str, metrics: Metrics) -> None:
@@ -18,7 +18,7 @@
         self._metrics = metrics
         self._logged: dict[tuple[str, str], float] = {}
 
-    def note(self, metric: str, cause: str, text: str) -> None:
+    def report(self, metric: str, cause: str, text: str) -> None:
         """Count an occurrence; a flood of them must not fill the logs."""
         self._metrics.count(metric, 1, cause)
         now = asyncio.get_running_loop().time()
--- a/packages/router/src/teaselledge/process/latency.py
+++ b/packages/router/src/teaselledge/process/latency.py
@@ -7,7 +7,7 @@
     "LATENCY_POLICIES",
     "LatencyPolicy",
     "LatencyPolicyNotFoundError",
-    "Room",
+    "Admission",
     "get_latency_policy_by_name",
 ]
 
@@ -21,7 +21,7 @@
 """One stream in so many may be asked to end at a time."""
 
 
-class Room(Enum):
+class Admission(Enum):
     """What may start now."""
 
     ANY = "any"
@@ -43,7 +43,7 @@
 class LatencyPolicy(Protocol):
     """Decides what may start."""
 
-    def room(self, free: int, slots: int, above: int) -> Room:
+    def admission(self, free: int, slots: int, over_limit: int) -> Admission:
         """Return what may start.
 
         Parameters
@@ -52,7 +52,7 @@
             Free slots of the shard.
         slots : int
             Slots of the shard.
-        above : int
+        over_limit : int
             Requests that were started above the slots, or streams that were
             asked to end and did not yet.
         """
@@ -69,39 +69,49 @@
 class PlainPolicy:
     """Interactive requests are first in line and have no slots of their own."""
 
-    def room(self, free: int, slots: int, above: int) -> Room:
+    def admission(self, free: int, slots: int, over_limit: int) -> Admission:
         """Return what may start."""
-        return Room.ANY if free > 0 else Room.NONE
+        return Admission.ANY if free > 0 else Admission.NONE
 
 
 class ReservePolicy:
     """Keeps some slots for interactive requests; they idle without any."""
 
-    def room(self, free: int, slots: int, above: int) -> Room:
+    def admission(self, free: int, slots: int, over_limit: int) -> Admission:
         """Return what may start."""
         if free <= 0:
-            return Room.NONE
-        return Room.ANY if free > _part(slots, RESERVE_PART) else Room.INTERACTIVE
+            return Admission.NONE
+        return (
+            Admission.ANY
+            if free > _part(slots, RESERVE_PART)
+            else Admission.INTERACTIVE
+        )
 
 
 class BurstPolicy:
     """Starts interactive requests above the slots; the batch slows a little."""
 
-    def room(self, free: int, slots: int, above: int) -> Room:
+    def admission(self, free: int, slots: int, over_limit: int) -> Admission:
         """Return what may start."""
         if free > 0:
-            return Room.ANY
-        return Room.ABOVE if above < _part(slots, BURST_PART) else Room.NONE
+            return Admission.ANY
+        return (
+            Admission.ABOVE if over_limit < _part(slots, BURST_PART) else Admission.NONE
+        )
 
 
 class PreemptPolicy:
     """Ends a long stream, which is resumed later, for an interactive request."""
 
-    def room(self, free: int, slots: int, above: int) -> Room:
+    def admission(self, free: int, slots: int, over_limit: int) -> Admission:
         """Return what may start."""
         if free > 0:
-            return Room.ANY
-        return Room.PREEMPT if above < _part(slots, PREEMPT_PART) else Room.NONE
+            return Admission.ANY
+        return (
+            Admission.PREEMPT
+            if over_limit < _part(slots, PREEMPT_PART)
+            else Admission.NONE
+        )
 
 
 LATENCY_POLICIES: dict[str, type[LatencyPolicy]] = {
--- a/packages/router/src/teaselledge/process/lease.py
+++ b/packages/router/src/teaselledge/process/lease.py
@@ -23,7 +23,7 @@
     Write,
 )
 
-__all__ = ["LEASES_TABLE", "Held", "Lease", "LeaseRecord"]
+__all__ = ["LEASES_TABLE", "HeldLease", "Lease", "LeaseRecord"]
 
 _log = get_log("lease")
 
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class HeldLease:
     """A lease that this process holds, as far as it knows.
 
     Attributes
@@ -103,11 +103,11 @@
         self._holder = holder
         self._seconds = seconds
         self._writes = 0
-        self._held: Held | None = None
+        self._held: HeldLease | None = None
         self._seen: tuple[int, float] | None = None
 
     @property
-    def held(self) -> Held | None:
+    def held(self) -> HeldLease | None:
         """The lease, None where it is not held or may have been taken over."""
         held = self._held
         if held is None or asyncio.get_running_loop().time() >= held.until:
@@ -119,7 +119,7 @@
         """Name of this process as a holder."""
         return self._holder
 
-    async def step(self) -> Held | None:
+    async def acquire_or_renew(self) -> HeldLease | None:
         """Renew the lease, or take it where it is free or has lapsed."""
         now = asyncio.get_running_loop().time()
         read = await self._tables.get(LEASES_TABLE, self._name)
@@ -184,7 +184,7 @@
             self._seen = (row.version, now)
         return now - self._seen[1] >= self._seconds
 
-    async def _take(self, old: LeaseRecord, version: int) -> Held | None:
+    async def _take(self, old: LeaseRecord, version: int) -> HeldLease | None:
         number = old.number
         if old.holder != self._holder or self._held is None:
             number += 1
@@ -197,7 +197,7 @@
 
     async def _write(
         self, record: LeaseRecord, version: int, writes: Sequence[Write]
-    ) -> Result[Held, StoreError]:
+    ) -> Result[HeldLease, StoreError]:
         """Write the lease's row and others until it is known whether it happened.
 
         A write whose answer was lost may land at any later time, but only on the
@@ -221,7 +221,7 @@
 
     async def _after_conflict(
         self, record: LeaseRecord, until: float, error: StoreError
-    ) -> Result[Held, StoreError]:
+    ) -> Result[HeldLease, StoreError]:
         for _ in range(MAX_TRIES):
             read = await self._tables.get(LEASES_TABLE, self._name)
             if read.is_ok():
@@ -232,8 +232,8 @@
             await asyncio.sleep(RETRY_SECONDS)
         return Error(StoreError(StoreErrorKind.UNCERTAIN))
 
-    def _keep(self, record: LeaseRecord, version: int, until: float) -> Held:
-        self._held = Held(record.number, version, until)
+    def _keep(self, record: LeaseRecord, version: int, until: float) -> HeldLease:
+        self._held = HeldLease(record.number, version, until)
         return self._held
 
     def _record(self, number: int, holder: str) -> LeaseRecord:
--- a/packages/router/src/teaselledge/process/liveness.py
+++ b/packages/router/src/teaselledge/process/liveness.py
@@ -9,9 +9,9 @@
 
 from teaselledge.process.member import Member
 
-__all__ = ["Change", "Record", "State", "View"]
+__all__ = ["Change", "MemberRecord", "State", "MembershipView"]
 
-REVIVE_BEATS = 5
+REFUTE_BEATS = 5
 """Beats by which a router must be ahead of its death notice to be alive.
 
 A death is declared four beat periods or more after the last beat that anyone
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Record:
+class MemberRecord:
     """What is known of one incarnation of a router.
 
     Attributes
@@ -54,7 +54,7 @@
     state: State
     since: float
 
-    def rumour(self) -> Rumour:
+    def to_rumour(self) -> Rumour:
         """Return the record as it is told to others."""
         member = self.member
         short = Rumour(
@@ -76,14 +76,14 @@
     NONE = 0
     """Nothing; it was known already."""
 
-    NEWS = 1
+    UPDATED = 1
     """It changed the view and is worth passing on."""
 
     STALE = 2
     """The view knows better, which the sender should be told."""
 
 
-class View:
+class MembershipView:
     """Records by VM and incarnation.
 
     Each incarnation has a record of its own, so what is told of a predecessor
@@ -91,7 +91,7 @@
     """
 
     def __init__(self) -> None:
-        self._lives: dict[str, dict[int, Record]] = {}
+        self._lives: dict[str, dict[int, MemberRecord]] = {}
         self._epoch = 0
         self._current: tuple[int, dict[str, int]] = (-1, {})
         self._digest: tuple[tuple[int, Member], int] | None = None
@@ -106,28 +106,28 @@
                 return Change.NONE
             self._put(_record(rumour, now))
             self._trim(rumour.vm)
-            return Change.NEWS
+            return Change.UPDATED
         if _is_stale(known, rumour):
             return Change.STALE if known.state is State.ALIVE else Change.NONE
         merged = _merge(known, rumour, now)
         self._put(merged)
-        return Change.NEWS if _told(merged) != _told(known) else Change.NONE
+        return Change.UPDATED if _told(merged) != _told(known) else Change.NONE
 
-    def find(self, vm: str, incarnation: int) -> Record | None:
+    def find(self, vm: str, incarnation: int) -> MemberRecord | None:
         """Return the record of one incarnation."""
         return self._lives.get(vm, {}).get(incarnation)
 
-    def current(self, vm: str) -> Record | None:
+    def current(self, vm: str) -> MemberRecord | None:
         """Return the highest incarnation that is not dead."""
         living = [r for r in self._lives.get(vm, {}).values() if r.state < State.DEAD]
         return max(living, key=lambda r: r.member.incarnation, default=None)
 
-    def living(self) -> Iterator[Record]:
+    def live_records(self) -> Iterator[MemberRecord]:
         """Iterate over the current record of every router that has one."""
         for vm, incarnation in list(self._current_lives().items()):
             yield self._lives[vm][incarnation]
 
-    def living_names(self) -> Set[str]:
+    def live_vms(self) -> Set[str]:
         """Return the VMs with a record that is not dead."""
         return self._current_lives().keys()
 
@@ -142,24 +142,24 @@
             self._current = (self._epoch, lives)
         return self._current[1]
 
-    def records(self) -> Iterator[Record]:
+    def records(self) -> Iterator[MemberRecord]:
         """Iterate over all records."""
         for lives in self._lives.values():
             yield from lives.values()
 
-    def set_state(self, record: Record, state: State, now: float) -> Record:
+    def set_state(self, record: MemberRecord, state: State, now: float) -> MemberRecord:
         """Change the state of a record."""
         changed = replace(record, state=state, since=now)
         self._put(changed)
         return changed
 
-    def mark_leaving(self, record: Record) -> Record:
+    def mark_leaving(self, record: MemberRecord) -> MemberRecord:
         """Note that an incarnation leaves, which never goes back."""
         changed = replace(record, member=replace(record.member, leaving=True))
         self._put(changed)
         return changed
 
-    def forget(self, before: float) -> None:
+    def prune_dead(self, before: float) -> None:
         """Drop the dead of long ago."""
         for vm, lives in list(self._lives.items()):
             for incarnation, record in list(lives.items()):
@@ -180,7 +180,7 @@
         """
         key = (self._epoch, own)
         if self._digest is None or self._digest[0] != key:
-            members = [r.member for r in self.living() if r.member.vm != own.vm]
+            members = [r.member for r in self.live_records() if r.member.vm != own.vm]
             members.append(own)
             text = "\n".join(
                 f"{m.vm} {m.incarnation} {m.leaving} {m.version > 0} {m.peer_address}"
@@ -190,7 +190,7 @@
             self._digest = (key, bits & ((1 << DIGEST_BITS) - 1))
         return self._digest[1]
 
-    def _put(self, record: Record) -> None:
+    def _put(self, record: MemberRecord) -> None:
         member = record.member
         lives = self._lives.setdefault(member.vm, {})
         old = lives.get(member.incarnation)
@@ -210,14 +210,14 @@
             self._epoch += 1
 
 
-def _told(record: Record) -> tuple[State, bool, bool, str]:
+def _told(record: MemberRecord) -> tuple[State, bool, bool, str]:
     """Return what others act on, so that a change of it is passed on."""
     member = record.member
     configured = member.version > 0
     return record.state, member.leaving, configured, member.peer_address
 
 
-def _record(rumour: Rumour, now: float) -> Record:
+def _record(rumour: Rumour, now: float) -> MemberRecord:
     member = Member(
         rumour.vm,
         rumour.zone or "",
@@ -230,10 +230,10 @@
         rumour.load or 0.0,
         rumour.operator_address or "",
     )
-    return Record(member, rumour.beat, State(rumour.state), now)
+    return MemberRecord(member, rumour.beat, State(rumour.state), now)
 
 
-def _is_stale(known: Record, rumour: Rumour) -> bool:
+def _is_stale(known: MemberRecord, rumour: Rumour) -> bool:
     """Return whether a rumour tells less than what is known.
 
     News of a router's leaving is never stale.
@@ -241,19 +241,19 @@
     if rumour.leaving and not known.member.leaving:
         return False
     if known.state is State.DEAD and rumour.state != State.DEAD:
-        return rumour.beat < known.beat + REVIVE_BEATS
+        return rumour.beat < known.beat + REFUTE_BEATS
     if rumour.beat != known.beat:
         return rumour.beat < known.beat
     return rumour.state < known.state
 
 
-def _merge(known: Record, rumour: Rumour, now: float) -> Record:
+def _merge(known: MemberRecord, rumour: Rumour, now: float) -> MemberRecord:
     told = _record(rumour, now)
     leaving = known.member.leaving or rumour.leaving
     if rumour.beat < known.beat or (
         known.state is State.DEAD
         and rumour.state != State.DEAD
-        and rumour.beat < known.beat + REVIVE_BEATS
+        and rumour.beat < known.beat + REFUTE_BEATS
     ):
         return replace(known, member=replace(known.member, leaving=leaving))
     member = known.member
@@ -263,4 +263,4 @@
     if rumour.beat == known.beat:
         state = max(state, known.state)
     since = known.since if state is known.state else now
-    return Record(replace(member, leaving=leaving), rumour.beat, state, since)
+    return MemberRecord(replace(member, leaving=leaving), rumour.beat, state, since)
--- a/packages/router/src/teaselledge/process/loadreport.py
+++ b/packages/router/src/teaselledge/process/loadreport.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-__all__ = ["LoadReport", "ReportedLoad"]
+__all__ = ["LoadReport", "ExternalLoad"]
 
 LAG_SECONDS = 3.0
 """Longest lag of a report that is reckoned with."""
@@ -28,7 +28,7 @@
     queued: int = 0
 
 
-class ReportedLoad:
+class ExternalLoad:
     """Requests at one endpoint that this dispatcher did not grant.
 
     A second dispatcher of the shard, during a split, or an ingress that
@@ -43,7 +43,7 @@
         self._others = 0
         self._heard = -STALE_SECONDS
 
-    def note_own(self, used: int, now: float) -> None:
+    def record_own(self, used: int, now: float) -> None:
         """Note the own count after it changed."""
         own = self._own
         while own and own[-1][1] <= used:
@@ -58,7 +58,7 @@
         self._others = max(0, report.running + report.queued - most)
         self._heard = now
 
-    def others(self, now: float) -> int:
+    def external_requests(self, now: float) -> int:
         """Return how many requests others have there."""
         return self._others if now - self._heard < STALE_SECONDS else 0
 
--- a/packages/router/src/teaselledge/process/membership.py
+++ b/packages/router/src/teaselledge/process/membership.py
@@ -16,27 +16,36 @@
 
 from teaselledge.log import get_log
 from teaselledge.platform import VmEntry, VmList
+from teaselledge.process.endpointstatus import (
+    EndpointKey,
+    EndpointStatus,
+    EndpointStatusTable,
+)
 from teaselledge.process.gossip import neighbours
-from teaselledge.process.leaving import EndpointKey, EndpointNotices, Reason
 from teaselledge.process.liveness import (
-    REVIVE_BEATS,
+    REFUTE_BEATS,
     Change,
-    Record,
+    MemberRecord,
+    MembershipView,
     State,
-    View,
 )
 from teaselledge.process.member import Member
-from teaselledge.process.mesh import Mesh, Origin, message
+from teaselledge.process.mesh import Mesh, Origin, make_message
 
-__all__ = ["BEAT_SECONDS", "Membership", "SILENT_SECONDS", "SUSPECT_SECONDS"]
+__all__ = [
+    "HEARTBEAT_SECONDS",
+    "Membership",
+    "HEARTBEAT_TIMEOUT_SECONDS",
+    "SUSPICION_TIMEOUT_SECONDS",
+]
 
 _log = get_log("members")
 
-BEAT_SECONDS = 1.0
-SILENT_SECONDS = 3.2
+HEARTBEAT_SECONDS = 1.0
+HEARTBEAT_TIMEOUT_SECONDS = 3.2
 """Without an answer for so long a router is suspected."""
 
-SUSPECT_SECONDS = 0.9
+SUSPICION_TIMEOUT_SECONDS = 0.9
 """A suspicion that nobody refutes for so long makes a router dead."""
 
 MAX_PATIENCE_SECONDS = 60.0
@@ -103,7 +112,7 @@
         self._leaving = False
         self._superseded = False
         self._beat = 1
-        self._view = View()
+        self._view = MembershipView()
         self._listed: dict[str, VmEntry] = {}
         self._unlisted: dict[str, float] = {}
         self._first_seen: dict[tuple[str, int], float] = {}
@@ -115,7 +124,7 @@
         self._mismatches: dict[str, int] = {}
         self._others: tuple[int, float, list[Member]] = (-1, 0.0, [])
         self._neighbours: tuple[int, list[str]] = (-1, [])
-        self._notices = EndpointNotices(f"{own.vm}/{own.incarnation:x}")
+        self._notices = EndpointStatusTable(f"{own.vm}/{own.incarnation:x}")
         self._callbacks: list[Callable[[], None]] = []
         self._next_sync = 0.0
         self._last_tick: float | None = None
@@ -148,11 +157,11 @@
         """Whether the last read of the platform's list succeeded."""
         return not self._list_failed
 
-    def rename(self, own: Member) -> None:
+    def update_own(self, own: Member) -> None:
         """Replace what this router tells of itself."""
         self._own = own
 
-    def introduction(self) -> Heartbeat:
+    def hello(self) -> Heartbeat:
         """Return what this router says first on each connection."""
         own = self.own
         return Heartbeat(
@@ -171,7 +180,7 @@
             own.operator_address,
         )
 
-    def learn(self, rumours: Iterable[Rumour]) -> None:
+    def load_rumours(self, rumours: Iterable[Rumour]) -> None:
         """Take in what is known without passing it on."""
         now = asyncio.get_running_loop().time()
         for rumour in rumours:
@@ -182,7 +191,7 @@
         """Call a function after each change of members or endpoint notices."""
         self._callbacks.append(callback)
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the others that this router takes no new work."""
         if self._leaving:
             return
@@ -191,7 +200,7 @@
         self._spread([self._own_rumour()], [])
         self._changed()
 
-    def depart(self) -> None:
+    def announce_shutdown(self) -> None:
         """Tell the neighbours that this process ends now."""
         rumour = self._own_rumour()
         rumour.state = int(State.DEAD)
@@ -204,8 +213,8 @@
         """
         now = asyncio.get_running_loop().time()
         epoch, made, others = self._others
-        if epoch != self._view.epoch or now - made >= BEAT_SECONDS:
-            members = (record.member for record in self._view.living())
+        if epoch != self._view.epoch or now - made >= HEARTBEAT_SECONDS:
+            members = (record.member for record in self._view.live_records())
             others = [member for member in members if member.vm != self._own.vm]
             self._others = (self._view.epoch, now, others)
         return [self.own, *others]
@@ -215,20 +224,26 @@
         record = self._view.current(vm)
         return record.member if record is not None else None
 
-    def usable(self) -> list[Member]:
+    def reachable_members(self) -> list[Member]:
         """Return the live routers with which messages pass both ways.
 
         A router that is heard but doesn't hear, or the other way round, is live
         for the fleet and yet of no use as a dispatcher to this one.
         """
         now = asyncio.get_running_loop().time()
-        away = {vm for vm, at in self._unanswered.items() if now - at >= SILENT_SECONDS}
-        away |= {vm for vm, at in self._lost.items() if now - at < SILENT_SECONDS}
+        away = {
+            vm
+            for vm, at in self._unanswered.items()
+            if now - at >= HEARTBEAT_TIMEOUT_SECONDS
+        }
+        away |= {
+            vm for vm, at in self._lost.items() if now - at < HEARTBEAT_TIMEOUT_SECONDS
+        }
         if not away:
             return self.live()
         return [member for member in self.live() if member.vm not in away]
 
-    def refused(self, vm: str) -> None:
+    def report_connection_refused(self, vm: str) -> None:
         """Note that a router's host refused a connection."""
         now = asyncio.get_running_loop().time()
         record = self._view.current(vm)
@@ -236,7 +251,9 @@
             self._lost[vm] = now
             self._suspect(record, now)
 
-    def report_endpoint(self, service: str, endpoint: str, reason: Reason) -> None:
+    def report_endpoint(
+        self, service: str, endpoint: str, reason: EndpointStatus
+    ) -> None:
         """Tell the fleet what this router noticed about an endpoint."""
         now = asyncio.get_running_loop().time()
         news = self._notices.report((service, endpoint), reason, now)
@@ -244,7 +261,7 @@
             self._spread([], [news])
             self._changed()
 
-    def leaving_endpoints(self) -> dict[EndpointKey, Reason]:
+    def blocked_endpoints(self) -> dict[EndpointKey, EndpointStatus]:
         """Return the endpoints that get no new work now, and why."""
         return self._notices.blocked(asyncio.get_running_loop().time())
 
@@ -252,7 +269,7 @@
         """Return the VMs of the platform's list, as last read."""
         return list(self._listed)
 
-    def lost(self, seconds: float) -> list[str]:
+    def recently_dead(self, seconds: float) -> list[str]:
         """Return the VMs that died within that time and have not come back."""
         since = asyncio.get_running_loop().time() - seconds
         living = {member.vm for member in self.live()}
@@ -263,7 +280,7 @@
         }
         return sorted(dead - living)
 
-    def is_gone(self, holder: str) -> bool:
+    def is_terminated(self, holder: str) -> bool:
         """Return whether a process can send nothing any more.
 
         A holder is ``vm/incarnation``, in hex. The platform lists a VM until it
@@ -312,10 +329,10 @@
         before, self._listed = self._listed, {entry.vm: entry for entry in result.ok}
         now = asyncio.get_running_loop().time()
         news = []
-        for record in list(self._view.living()):
+        for record in list(self._view.live_records()):
             if self._list_says_leaving(record, before, now):
                 marked = self._view.mark_leaving(record)
-                news.append(marked.rumour())
+                news.append(marked.to_rumour())
         own = self._listed.get(self._own.vm)
         if (
             own is not None
@@ -324,7 +341,7 @@
         ):
             # the platform's word; the process goes on serving what it has and
             # drains when it is told to stop
-            self.leave()
+            self.announce_leaving()
         if news:
             self._spread(news, [])
             self._changed()
@@ -335,8 +352,8 @@
         reading = asyncio.create_task(self._follow_list())
         try:
             while True:
-                self.beat()
-                await asyncio.sleep(BEAT_SECONDS)
+                self.send_heartbeats()
+                await asyncio.sleep(HEARTBEAT_SECONDS)
         finally:
             reading.cancel()
 
@@ -358,11 +375,14 @@
                 part, first = random.random(), False
             await asyncio.sleep(self._list_period() * part)
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send one heartbeat to the neighbours and judge who is silent."""
         now = asyncio.get_running_loop().time()
         self._beat += 1
-        if self._last_tick is not None and now - self._last_tick > 2 * BEAT_SECONDS:
+        if (
+            self._last_tick is not None
+            and now - self._last_tick > 2 * HEARTBEAT_SECONDS
+        ):
             # this process was paused: the others seem silent, but it is this one
             # that was; ask all again before judging anyone
             self._unanswered.clear()
@@ -378,7 +398,7 @@
             # callers and dispatchers wait for the first version
             self._configured = not self._configured
             self._spread([self._own_rumour()], [])
-        known = self._view.living_names()
+        known = self._view.live_vms()
         for vm in set(self._unanswered) - known:
             del self._unanswered[vm]
         targets = set(self.neighbours()) | self._audited()
@@ -386,12 +406,12 @@
         targets |= set(self._unanswered)
         for vm in sorted(targets & known):
             self._unanswered.setdefault(vm, now)
-            self._mesh.send(vm, message("beat", self._own_beat(True)))
+            self._mesh.send(vm, make_message("beat", self._own_beat(True)))
         if self._beat % FORGET_BEATS == 0:
             self._forget(now)
 
     def _forget(self, now: float) -> None:
-        self._view.forget(now - RETAIN_SECONDS)
+        self._view.prune_dead(now - RETAIN_SECONDS)
         known = {
             (m.vm, m.incarnation) for m in (r.member for r in self._view.records())
         }
@@ -410,7 +430,7 @@
         return found
 
     def _list_period(self) -> float:
-        return max(BEAT_SECONDS, len(self.live()) / LIST_READS_PER_SECOND)
+        return max(HEARTBEAT_SECONDS, len(self.live()) / LIST_READS_PER_SECOND)
 
     def _note_unlisted(self, listed: set[str]) -> None:
         now = asyncio.get_running_loop().time()
@@ -422,7 +442,7 @@
             del self._unlisted[vm]
 
     def _list_says_leaving(
-        self, record: Record, before: dict[str, VmEntry], now: float
+        self, record: MemberRecord, before: dict[str, VmEntry], now: float
     ) -> bool:
         member = record.member
         old, new = before.get(member.vm), self._listed.get(member.vm)
@@ -446,7 +466,7 @@
         # ever; each router is asked by someone every few seconds
         if self._beat % AUDIT_BEATS:
             return set()
-        others = sorted(self._view.living_names() - {self._own.vm})
+        others = sorted(self._view.live_vms() - {self._own.vm})
         if not others:
             return set()
         self._audit += 1
@@ -456,7 +476,7 @@
 
     def _join(self) -> None:
         """Ask routers that are listed or remembered, but not known to live."""
-        known = self._view.living_names()
+        known = self._view.live_vms()
         candidates = sorted((set(self._listed) - known) - {self._own.vm})
         if not candidates and self._beat % AUDIT_BEATS == 0:
             dead = {record.member.vm for record in self._view.records()}
@@ -471,34 +491,34 @@
             self._mesh.send(vm, self._gossip([self._own_rumour()], [], True))
 
     def _judge(self, now: float) -> None:
-        for record in list(self._view.living()):
+        for record in list(self._view.live_records()):
             vm = record.member.vm
             if record.state is State.SUSPECT:
-                if now - record.since >= SUSPECT_SECONDS:
+                if now - record.since >= SUSPICION_TIMEOUT_SECONDS:
                     self._view.set_state(record, State.DEAD, now)
                     _log.info(f"Router {vm} is dead.")
                     self._changed()
                 continue
-            patience = self._patience.get(vm, SILENT_SECONDS)
+            patience = self._patience.get(vm, HEARTBEAT_TIMEOUT_SECONDS)
             if now - self._unanswered.get(vm, now) >= patience:
                 self._suspect(record, now)
 
-    def _suspect(self, record: Record, now: float) -> None:
+    def _suspect(self, record: MemberRecord, now: float) -> None:
         vm = record.member.vm
         # on a way that works in one direction only, others vouch for the router
         # each time; without growing patience every such pair would keep the
         # whole fleet busy with suspicions
-        patience = self._patience.get(vm, SILENT_SECONDS)
+        patience = self._patience.get(vm, HEARTBEAT_TIMEOUT_SECONDS)
         self._patience[vm] = min(2 * patience, MAX_PATIENCE_SECONDS)
         suspected = self._view.set_state(record, State.SUSPECT, now)
-        self._spread([suspected.rumour()], [])
+        self._spread([suspected.to_rumour()], [])
 
     def _own_state(self) -> Member:
         configured = min(1, self._version())
         return replace(self._own, leaving=self._leaving, version=configured)
 
     def _own_rumour(self) -> Rumour:
-        return Record(self.own, self._beat, State.ALIVE, 0.0).rumour()
+        return MemberRecord(self.own, self._beat, State.ALIVE, 0.0).to_rumour()
 
     def _own_beat(self, ask: bool) -> Beat:
         digest = self._view.digest(self._own_state())
@@ -509,14 +529,16 @@
     def _gossip(
         self, rumours: list[Rumour], endpoints: list[EndpointNews], ask: bool = False
     ) -> Message:
-        return message("gossip", Gossip(rumours, endpoints, ask))
+        return make_message("gossip", Gossip(rumours, endpoints, ask))
 
     def _spread(
         self, rumours: list[Rumour], endpoints: list[EndpointNews], but: str = ""
     ) -> None:
         now = asyncio.get_running_loop().time()
         recent = {
-            vm for vm, heard in self._heard.items() if now - heard < SILENT_SECONDS
+            vm
+            for vm, heard in self._heard.items()
+            if now - heard < HEARTBEAT_TIMEOUT_SECONDS
         }
         for vm in sorted(set(self.neighbours()) | recent):
             if vm != but:
@@ -549,7 +571,7 @@
         if record is not None and record.state is State.DEAD:
             # it was cut off or paused; told of its death notice, it answers
             # with a beat above it
-            self._mesh.send(origin.vm, self._gossip([record.rumour()], []))
+            self._mesh.send(origin.vm, self._gossip([record.to_rumour()], []))
         if record is None:
             # its introduction was lost or this router restarted empty
             self._mesh.send(origin.vm, self._gossip([self._own_rumour()], [], True))
@@ -562,8 +584,8 @@
                 del self._unanswered[origin.vm]
                 self._patience.pop(origin.vm, None)
         else:
-            self._mesh.send(origin.vm, message("beat", self._own_beat(False)))
-        rumour = record.rumour()
+            self._mesh.send(origin.vm, make_message("beat", self._own_beat(False)))
+        rumour = record.to_rumour()
         rumour.beat, rumour.leaving = body.beat, body.leaving
         rumour.state = int(State.ALIVE)
         member = record.member
@@ -600,7 +622,7 @@
 
     def _tell_all(self, vm: str) -> None:
         rumours = [self._own_rumour()]
-        rumours += [record.rumour() for record in self._view.living()]
+        rumours += [record.to_rumour() for record in self._view.live_records()]
         for start in range(0, len(rumours), RUMOURS_IN_MESSAGE):
             part = rumours[start : start + RUMOURS_IN_MESSAGE]
             self._mesh.send(vm, self._gossip(part, []))
@@ -617,14 +639,14 @@
                 continue
             key = (rumour.vm, rumour.incarnation)
             change = self._view.merge(rumour, now)
-            if change is Change.NEWS:
+            if change is Change.UPDATED:
                 self._first_seen.setdefault(key, now)
                 news.append(rumour)
                 news.extend(self._bury_predecessors(rumour, now))
             elif change is Change.STALE and rumour.state != State.ALIVE:
                 found = self._view.find(*key)
                 if found is not None:
-                    answers.append(found.rumour())
+                    answers.append(found.to_rumour())
         if answers:
             self._mesh.send(sender, self._gossip(answers, []))
         if not news:
@@ -640,11 +662,11 @@
         if rumour.incarnation == own.incarnation:
             if rumour.state != State.ALIVE:
                 # refute: a beat that no suspicion can match
-                self._beat = max(self._beat, rumour.beat + REVIVE_BEATS) + 1
+                self._beat = max(self._beat, rumour.beat + REFUTE_BEATS) + 1
                 self._spread([self._own_rumour()], [], sender)
                 self._mesh.send(sender, self._gossip([self._own_rumour()], []))
             if rumour.leaving:
-                self.leave()
+                self.announce_leaving()
             return
         if rumour.incarnation > own.incarnation and rumour.state == State.ALIVE:
             if not self._superseded:
@@ -653,7 +675,7 @@
                     "this one takes no new work."
                 )
             self._superseded = True
-            self.leave()
+            self.announce_leaving()
 
     def _bury_predecessors(self, rumour: Rumour, now: float) -> list[Rumour]:
         # one address can't be served by two processes at once, so the older
@@ -670,7 +692,7 @@
                 and record.state is not State.DEAD
             ):
                 dead = self._view.set_state(record, State.DEAD, now)
-                buried.append(dead.rumour())
+                buried.append(dead.to_rumour())
         return buried
 
     def _changed(self) -> None:
--- a/packages/router/src/teaselledge/process/mesh.py
+++ b/packages/router/src/teaselledge/process/mesh.py
@@ -6,7 +6,14 @@
 
 from teaselledge_wire.gen.router.ttypes import Body, Message
 
-__all__ = ["Handler", "Mesh", "Origin", "Registry", "body_of", "message"]
+__all__ = [
+    "Handler",
+    "Mesh",
+    "Origin",
+    "HandlerRegistry",
+    "unpack_body",
+    "make_message",
+]
 
 
 @dataclass(frozen=True)
@@ -46,7 +53,7 @@
 BODIES: tuple[str, ...] = tuple(Body.__slots__)
 
 
-def body_of(received: Message) -> tuple[str, Any] | None:
+def unpack_body(received: Message) -> tuple[str, Any] | None:
     """Return name and value of the body, None where this release has none."""
     if received.body is None:
         return None
@@ -57,12 +64,12 @@
     return None
 
 
-def message(name: str, value: Any, service: str = "", zone: str = "") -> Message:
+def make_message(name: str, value: Any, service: str = "", zone: str = "") -> Message:
     """Return a message with the named body."""
     return Message(Body(**{name: value}), service or None, zone or None)
 
 
-class Registry:
+class HandlerRegistry:
     """Handlers by body, shared by the real mesh and the fakes."""
 
     def __init__(self) -> None:
@@ -76,7 +83,7 @@
 
     def deliver(self, origin: Origin, received: Message) -> None:
         """Call the handlers of a message."""
-        found = body_of(received)
+        found = unpack_body(received)
         if found is None:
             return
         name, value = found
--- a/packages/router/src/teaselledge/process/node.py
+++ b/packages/router/src/teaselledge/process/node.py
@@ -9,20 +9,20 @@
 from teaselledge.errors import Fault
 from teaselledge.metrics import Metrics
 from teaselledge.platform import ObjectStore, TableService, VmList
-from teaselledge.process.addresses import AddressBook
-from teaselledge.process.dispatch import Dispatchers
-from teaselledge.process.drain import Drain, Gate
+from teaselledge.process.addresses import RouterResolver
+from teaselledge.process.dispatch import DispatcherManager
+from teaselledge.process.drain import Drain, DrainGate
+from teaselledge.process.endpointobserver import ObservingEndpointClient
+from teaselledge.process.endpointstatus import EndpointStatus
 from teaselledge.process.enginefeed import EngineFeed, FeedSource
-from teaselledge.process.enginekeeper import LEASE_NAME, EngineKeeper
-from teaselledge.process.engineorders import EngineAdmin, EngineOrders
+from teaselledge.process.enginekeeper import LEASE_NAME, EngineController
+from teaselledge.process.engineorders import EngineAdmin, EngineReconciler
 from teaselledge.process.ingress import Ingress, IngressLimits
 from teaselledge.process.lease import Lease
-from teaselledge.process.leaving import Reason
 from teaselledge.process.member import Member
 from teaselledge.process.membership import Membership
 from teaselledge.process.mesh import Mesh
-from teaselledge.process.noticing import NoticingClient
-from teaselledge.process.objectives import Objectives
+from teaselledge.process.objectives import ObjectiveTracker
 from teaselledge.process.settings import Settings
 from teaselledge.request.forward import Forwarder
 from teaselledge.request.journal import Journal
@@ -67,7 +67,7 @@
         self.mesh = mesh
         self._tasks: list[asyncio.Task[None]] = []
         self.follower = Follower(platform.tables, mesh, self._live, self._use, metrics)
-        self.objectives = Objectives(self._version)
+        self.objectives = ObjectiveTracker(self._version)
         self.membership = Membership(
             own,
             mesh,
@@ -76,12 +76,12 @@
             self._version_number,
             settings.seeds,
         )
-        self.dispatchers = Dispatchers(
+        self.dispatchers = DispatcherManager(
             mesh,
             self._version,
             self._live,
             metrics,
-            self.membership.leaving_endpoints,
+            self.membership.blocked_endpoints,
         )
         self.ingress = Ingress(
             settings.zone,
@@ -91,35 +91,37 @@
             IngressLimits.from_config(settings.limits),
             metrics,
         )
-        self.membership.on_change(self.dispatchers.follow)
-        self.membership.on_change(self.ingress.follow)
-        client = NoticingClient(client, self._notice)
+        self.membership.on_change(self.dispatchers.refresh_placement)
+        self.membership.on_change(self.ingress.refresh_placement)
+        client = ObservingEndpointClient(client, self._notice)
         journal = Journal(platform.tables, platform.objects, metrics, clock)
         owner = f"{own.vm}/{own.incarnation:x}"
         self.orders = OrderDesk(self.ingress, client, journal, metrics, owner)
         self.sweeper = Sweeper(journal, self._sweeps)
         self.runner = Forwarder(self.ingress, client, self.orders, metrics)
-        self.forwarder = Gate(self.runner, self.orders)
-        self.addresses = AddressBook(
+        self.request_runner = DrainGate(self.runner, self.orders)
+        self.addresses = RouterResolver(
             settings.zone, settings.address_seconds, self._live, self._version
         )
         self.drain = Drain(
             self,
-            lambda: self.forwarder.in_progress,
+            lambda: self.request_runner.in_progress,
             settings.address_seconds,
             settings.drain_seconds,
         )
-        self.forwarder.refusal = self.drain.refusal
+        self.request_runner.rejection = self.drain.rejection
         self.feed: EngineFeed | None = None
         if feed is not None:
             self.feed = EngineFeed(self.dispatchers, self._version, feed)
-        self.keeper: EngineKeeper | None = None
+        self.engine_controller: EngineController | None = None
         if engines is not None:
             lease = Lease(platform.tables, LEASE_NAME, owner)
-            orders = EngineOrders(
-                platform.tables, lease, engines, self.membership.is_gone, metrics
+            orders = EngineReconciler(
+                platform.tables, lease, engines, self.membership.is_terminated, metrics
+            )
+            self.engine_controller = EngineController(
+                lease, orders, self.membership, self._version
             )
-            self.keeper = EngineKeeper(lease, orders, self.membership, self._version)
 
     @property
     def version(self) -> Version | None:
@@ -141,19 +143,19 @@
             caller_address=caller_address,
             operator_address=operator_address,
         )
-        self.membership.rename(own)
+        self.membership.update_own(own)
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the others that this router takes no new work."""
-        self.membership.leave()
+        self.membership.announce_leaving()
 
-    def hand_back(self, fault: Fault) -> None:
+    def reject_waiting(self, fault: Fault) -> None:
         """Give a final answer to requests that wait and have not begun."""
-        self.ingress.hand_back(fault)
+        self.ingress.reject_waiting(fault)
 
-    def elsewhere(self) -> str:
+    def alternative_address(self) -> str:
         """Return the caller address of another router, or nothing."""
-        return self.addresses.elsewhere(self.membership.own.vm)
+        return self.addresses.alternative_address(self.membership.own.vm)
 
     async def start(self) -> None:
         """Read the configuration once and start the tasks."""
@@ -170,8 +172,8 @@
             self._tasks.append(asyncio.create_task(part.run()))
         if self.feed is not None:
             self._tasks.append(asyncio.create_task(self.feed.run()))
-        if self.keeper is not None:
-            self._tasks.append(asyncio.create_task(self.keeper.run()))
+        if self.engine_controller is not None:
+            self._tasks.append(asyncio.create_task(self.engine_controller.run()))
 
     async def stop(self) -> None:
         """Stop at once."""
@@ -180,20 +182,20 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _notice(self, address: str, reason: Reason) -> None:
+    def _notice(self, address: str, reason: EndpointStatus) -> None:
         """Tell the fleet what was noticed about the endpoint at an address."""
         version = self.version
         if version is None:
             return
-        blocked = self.membership.leaving_endpoints()
-        if reason is Reason.BACK and not blocked:
+        blocked = self.membership.blocked_endpoints()
+        if reason is EndpointStatus.BACK and not blocked:
             return
         for name, service in version.document.services.items():
             for endpoint, entry in service.endpoints.items():
                 if entry.address != address:
                     continue
                 known = blocked.get((name, endpoint))
-                if reason is not Reason.BACK or known is Reason.REFUSED:
+                if reason is not EndpointStatus.BACK or known is EndpointStatus.REFUSED:
                     self.membership.report_endpoint(name, endpoint, reason)
 
     def _version(self) -> Version | None:
@@ -214,7 +216,7 @@
         return min(staying, default="") == self.membership.own.vm
 
     def _usable(self) -> Iterable[Member]:
-        return self.membership.usable()
+        return self.membership.reachable_members()
 
     def _use(self, version: Version) -> None:
-        self.dispatchers.use(version)
+        self.dispatchers.apply_version(version)
--- a/packages/router/src/teaselledge/process/objectives.py
+++ b/packages/router/src/teaselledge/process/objectives.py
@@ -16,7 +16,7 @@
 from teaselledge.process.sketches import add_seconds, encode_sketch, new_sketch
 from teaselledge.version.document import Document, Objective, Version
 
-__all__ = ["LEVELS", "MAX_SERIES", "WINDOWS", "Objectives"]
+__all__ = ["LEVELS", "MAX_SERIES", "WINDOWS", "ObjectiveTracker"]
 
 WINDOWS: tuple[int, ...] = (300, 1800, 3600, 7200, 21_600, 86_400, 259_200)
 """Seconds of the windows that routers report."""
@@ -123,7 +123,7 @@
         self._hour = hour
 
 
-class Objectives:
+class ObjectiveTracker:
     """Counts the requests of one router.
 
     Parameters
--- a/packages/router/src/teaselledge/process/placement.py
+++ b/packages/router/src/teaselledge/process/placement.py
@@ -9,17 +9,17 @@
 from teaselledge.version.document import Document
 
 __all__ = [
-    "Peer",
+    "PeerDispatcher",
     "Placement",
     "Shard",
-    "dispatcher_of",
+    "select_dispatcher",
     "distance",
     "home_shard",
     "representative_zone",
-    "zones_of",
+    "service_zones",
 ]
 
-ACROSS = 2
+CROSS_REGION = 2
 """Distance between zones of different regions."""
 
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Peer:
+class PeerDispatcher:
     """The dispatcher of another shard of the service.
 
     Attributes
@@ -53,8 +53,8 @@
         return 0
     here, there = document.zones.get(zone), document.zones.get(other)
     if here is None or there is None:
-        return ACROSS
-    return 1 if here.region == there.region else ACROSS
+        return CROSS_REGION
+    return 1 if here.region == there.region else CROSS_REGION
 
 
 def _score(member: Member, shard: Shard) -> int:
@@ -62,7 +62,7 @@
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-def dispatcher_of(
+def select_dispatcher(
     document: Document, shard: Shard, members: Iterable[Member]
 ) -> Member | None:
     """Return the VM that dispatches for a shard.
@@ -81,7 +81,7 @@
     )
 
 
-def zones_of(document: Document, service: str) -> set[str]:
+def service_zones(document: Document, service: str) -> set[str]:
     """Return the zones in which a service has endpoints that take work."""
     endpoints = document.services[service].endpoints.values()
     staying = {endpoint.zone for endpoint in endpoints if not endpoint.leaving}
@@ -111,7 +111,7 @@
     """Return the zone whose dispatcher speaks for a region to the others."""
     zones = [
         zone
-        for zone in zones_of(document, service)
+        for zone in service_zones(document, service)
         if zone in document.zones and document.zones[zone].region == region
     ]
     if not zones:
@@ -147,7 +147,7 @@
         self._suspects.add(vm)
         self._seen = frozenset()
 
-    def trust(self, vm: str) -> None:
+    def clear_suspect(self, vm: str) -> None:
         """End the suspicion against a VM."""
         if vm in self._suspects:
             self._suspects.discard(vm)
@@ -173,7 +173,7 @@
         return any(name == vm for name, _, _ in self._seen)
 
     def dispatcher(self, document: Document, shard: Shard) -> Member | None:
-        """Return the VM that dispatches for a shard, see `dispatcher_of`."""
+        """Return the VM that dispatches for a shard, see `select_dispatcher`."""
         if not self._seen:
             self.refresh()
         if document is not self._document:
@@ -183,5 +183,5 @@
             candidates = self._by_zone.get(shard.zone)
             if not candidates:
                 candidates = [m for zone in self._by_zone.values() for m in zone]
-            self._found[shard] = dispatcher_of(document, shard, candidates)
+            self._found[shard] = select_dispatcher(document, shard, candidates)
         return self._found[shard]
--- a/packages/router/src/teaselledge/process/pool.py
+++ b/packages/router/src/teaselledge/process/pool.py
@@ -10,12 +10,12 @@
 from teaselledge.log import get_log
 from teaselledge.process.affinity import CacheEvent, PrefixCaches
 from teaselledge.process.concurrency import ConcurrencyLimit
-from teaselledge.process.health import Health
-from teaselledge.process.loadreport import LoadReport, ReportedLoad
+from teaselledge.process.health import OutlierDetector
+from teaselledge.process.loadreport import ExternalLoad, LoadReport
 from teaselledge.process.placement import Shard
 from teaselledge.version.document import Document, Endpoint
 
-__all__ = ["Pool"]
+__all__ = ["EndpointPool"]
 
 _log = get_log("endpoints")
 
@@ -25,7 +25,7 @@
 SLOWEST = 0.25
 """Least weight of a slow endpoint beside the fastest."""
 
-HINT_SECONDS = 30.0
+BLOCKED_TTL_SECONDS = 30.0
 """Time after which a hint that is not repeated is forgotten."""
 
 
@@ -39,10 +39,10 @@
 
     entry: Endpoint
     concurrency: ConcurrencyLimit
-    reported: ReportedLoad = field(default_factory=ReportedLoad)
+    reported: ExternalLoad = field(default_factory=ExternalLoad)
 
 
-class Pool:
+class EndpointPool:
     """Counts what runs on each endpoint of a shard and chooses among them.
 
     Parameters
@@ -62,15 +62,15 @@
         self._used: dict[str, int] = {}
         self._slots: dict[str, _Slots] = {}
         self._leaving: dict[str, float] = {}
-        self._health = Health()
+        self._health = OutlierDetector()
         self._prefixes = PrefixCaches()
         self._service_names: frozenset[str] = frozenset()
         self._others_sick: dict[str, bool] = {}
         self._zones: frozenset[str] = frozenset()
-        self.use(document)
+        self.apply_document(document)
 
     @property
-    def free(self) -> int:
+    def free_slots(self) -> int:
         """Slots that are free now, over all endpoints."""
         now = self._clock()
         return sum(max(0, self._room(name, now)) for name in self._usable(now))
@@ -81,14 +81,14 @@
         return sum(known.entry.slots for known in self._slots.values())
 
     @property
-    def sick(self) -> bool:
+    def all_ejected(self) -> bool:
         """Whether every endpoint of the shard is ejected."""
-        if self._health.quiet or not self._slots:
+        if self._health.all_healthy or not self._slots:
             return False
         now = self._clock()
-        return all(self._health.part(name, now) <= 0 for name in self._slots)
+        return all(self._health.slot_fraction(name, now) <= 0 for name in self._slots)
 
-    def use(self, document: Document) -> None:
+    def apply_document(self, document: Document) -> None:
         """Take a new version of the document."""
         staying = {
             name: endpoint
@@ -110,8 +110,8 @@
             known.entry = endpoint
             known.concurrency.resize(endpoint.slots)
             self._slots[name] = known
-        self._health.keep(self._slots)
-        self._prefixes.keep(set(self._slots))
+        self._health.retain_endpoints(self._slots)
+        self._prefixes.retain_endpoints(set(self._slots))
 
     def choose(self, entry: Register) -> str | None:
         """Return the endpoint that should run a request, None where none may."""
@@ -134,7 +134,7 @@
                 best, best_score = name, score
         return best
 
-    def choose_above(self, entry: Register) -> str | None:
+    def choose_over_limit(self, entry: Register) -> str | None:
         """Return the endpoint for a request above the slots, None if none may.
 
         A full endpoint may be ejected or leaving as well as one with room; it
@@ -146,20 +146,20 @@
             name
             for name in self._usable(now)
             if name not in excluded
-            and (self._health.quiet or self._health.part(name, now) > 0)
+            and (self._health.all_healthy or self._health.slot_fraction(name, now) > 0)
         ]
         return min(names, key=self._load, default=None)
 
-    def take(self, endpoint: str, prefix: int | None = None) -> None:
+    def acquire(self, endpoint: str, prefix: int | None = None) -> None:
         """Note a request that starts."""
         used = self._used[endpoint] = self._used.get(endpoint, 0) + 1
         known = self._slots.get(endpoint)
         if known is not None:
-            known.reported.note_own(used, self._clock())
+            known.reported.record_own(used, self._clock())
         if prefix is not None and known is not None:
-            self._prefixes.sent(endpoint, prefix)
+            self._prefixes.record_sent(endpoint, prefix)
 
-    def give_back(
+    def release(
         self, endpoint: str, failed: bool, seconds: float, cost: float = 0.0
     ) -> None:
         """Note a request that ended.
@@ -179,15 +179,15 @@
         if known is None:
             return
         now = self._clock()
-        known.reported.note_own(self._used[endpoint], now)
+        known.reported.record_own(self._used[endpoint], now)
         if not failed:
             known.concurrency.observe(running, seconds, cost, now)
-        if self._health.note(endpoint, failed, now):
+        if self._health.record_result(endpoint, failed, now):
             _log.warning(f"Endpoint {endpoint} fails and is ejected.")
 
-    def hint(self, endpoint: str, leaving: bool) -> None:
+    def set_blocked(self, endpoint: str, blocked: bool) -> None:
         """Take a hint that an endpoint is leaving, or that it is not."""
-        if not leaving:
+        if not blocked:
             self._leaving.pop(endpoint, None)
         elif endpoint in self._slots:
             self._leaving[endpoint] = self._clock()
@@ -203,29 +203,29 @@
         if known is not None and report.running >= 0 and report.queued >= 0:
             known.reported.observe(report, self._clock())
 
-    def observe_zone(self, zone: str, sick: bool) -> None:
+    def set_zone_ejected(self, zone: str, ejected: bool) -> None:
         """Learn whether every endpoint of another zone is ejected there."""
-        self._others_sick[zone] = sick
+        self._others_sick[zone] = ejected
 
     def _usable(self, now: float) -> list[str]:
         if not self._leaving:
             return list(self._slots)
         for name, told in list(self._leaving.items()):
-            if now - told > HINT_SECONDS:
+            if now - told > BLOCKED_TTL_SECONDS:
                 del self._leaving[name]
         return [name for name in self._slots if name not in self._leaving]
 
     def _room(self, name: str, now: float) -> int:
         known = self._slots[name]
         limit = known.concurrency.limit
-        if not self._health.quiet:
+        if not self._health.all_healthy:
             limit = min(limit, self._healthy_slots(name, now))
-        return limit - self._used.get(name, 0) - known.reported.others(now)
+        return limit - self._used.get(name, 0) - known.reported.external_requests(now)
 
     def _healthy_slots(self, name: str, now: float) -> int:
         slots = self._slots[name].entry.slots
-        part = self._health.part(name, now)
-        if part > 0 or not self.sick:
+        part = self._health.slot_fraction(name, now)
+        if part > 0 or not self.all_ejected:
             return ceil(slots * part)
         # the whole shard is ejected: with nothing better in another zone its
         # endpoints are used as ever, else one request at a time tries them
@@ -238,15 +238,15 @@
         return self._used.get(name, 0) / self._slots[name].entry.slots
 
     def _fastest(self) -> float:
-        paces = [known.concurrency.pace for known in self._slots.values()]
+        paces = [known.concurrency.seconds_per_unit for known in self._slots.values()]
         return min(filter(None, paces), default=0.0)
 
     def _score(self, name: str, room: int, fastest: float, prefix: int | None) -> float:
         known = self._slots[name]
         score = room / known.entry.slots
-        pace = known.concurrency.pace
+        pace = known.concurrency.seconds_per_unit
         if fastest > 0 and pace > 0:
             score *= max(SLOWEST, fastest / pace)
         if prefix is not None:
-            score += AFFINITY * self._prefixes.trust(name, prefix)
+            score += AFFINITY * self._prefixes.confidence(name, prefix)
         return score
--- a/packages/router/src/teaselledge/process/preset.py
+++ b/packages/router/src/teaselledge/process/preset.py
@@ -23,7 +23,7 @@
         within a region.
     region_interval : float
         Seconds between the sums that one region sends to another.
-    margin_hints : float
+    fetch_margin_hints : float
         Deficit, as a multiple of the largest cost hint, from which work of a
         needier organisation is fetched from another zone.
     report_bytes : float
@@ -35,16 +35,16 @@
     quantum_hints: float
     interval: float
     region_interval: float
-    margin_hints: float
+    fetch_margin_hints: float
     report_bytes: float
 
     def quantum(self, service: Service) -> float:
         """Return the quantum in the service's unit of cost."""
         return self.quantum_hints * largest_hint(service)
 
-    def margin(self, service: Service) -> float:
+    def fetch_margin(self, service: Service) -> float:
         """Return the margin in the service's unit of cost."""
-        return self.margin_hints * largest_hint(service)
+        return self.fetch_margin_hints * largest_hint(service)
 
 
 PRESETS: dict[str, Preset] = {
--- a/packages/router/src/teaselledge/process/queue.py
+++ b/packages/router/src/teaselledge/process/queue.py
@@ -8,10 +8,10 @@
 from sortedcontainers import SortedDict
 from teaselledge_wire.gen.router.ttypes import Register
 
-from teaselledge.process.placement import Peer
-from teaselledge.process.standing import Order, Standings
+from teaselledge.process.placement import PeerDispatcher
+from teaselledge.process.standing import SortedByValue, UsageAccounts
 
-__all__ = ["Entry", "RequestKey", "WaitingQueue"]
+__all__ = ["QueuedRequest", "RequestKey", "WaitingQueue"]
 
 MAX_PASSES = 8
 """Interactive requests that may pass an aged request of their organisation."""
@@ -46,44 +46,44 @@
 
 
 @dataclass(frozen=True)
-class Entry:
+class QueuedRequest:
     """A waiting request.
 
     Attributes
     ----------
     key : RequestKey
         Its name.
-    body : Register
+    registration : Register
         As the ingress told it.
     interactive : bool
         Goes before the other requests of its organisation.
     arrived, deadline : float
         Loop times.
-    lender : Peer or None
+    fetched_from : Peer or None
         Where it was fetched from.
-    until : float
+    return_at : float
         Loop time at which a fetched request goes back to its lender.
     """
 
     key: RequestKey
-    body: Register
+    registration: Register
     interactive: bool
     arrived: float
     deadline: float
-    lender: Peer | None = None
-    until: float = 0.0
+    fetched_from: PeerDispatcher | None = None
+    return_at: float = 0.0
 
     @property
-    def end(self) -> float:
+    def expires_at(self) -> float:
         """Loop time after which it no longer waits here."""
-        if self.lender is None:
+        if self.fetched_from is None:
             return self.deadline
-        return min(self.deadline, self.until)
+        return min(self.deadline, self.return_at)
 
     @property
     def organisation(self) -> str:
         """The organisation that asks."""
-        return self.body.organisation
+        return self.registration.organisation
 
 
 class _Line:
@@ -97,10 +97,10 @@
     def __len__(self) -> int:
         return len(self.interactive) + len(self.others)
 
-    def side(self, entry: Entry) -> SortedDict:
+    def side(self, entry: QueuedRequest) -> SortedDict:
         return self.interactive if entry.interactive else self.others
 
-    def candidates(self, now: float, only_interactive: bool) -> Iterator[Entry]:
+    def candidates(self, now: float, only_interactive: bool) -> Iterator[QueuedRequest]:
         """Yield the requests in the order in which they should start."""
         if only_interactive:
             yield from self.interactive.values()
@@ -124,12 +124,12 @@
     always run, one that has aged goes after `MAX_PASSES` interactive ones.
     """
 
-    def __init__(self, standings: Standings) -> None:
+    def __init__(self, standings: UsageAccounts) -> None:
         self._standings = standings
-        self._entries: dict[RequestKey, Entry] = {}
+        self._entries: dict[RequestKey, QueuedRequest] = {}
         self._lines: dict[str, _Line] = {}
-        self._ready = Order()
-        self._interactive = Order()
+        self._ready = SortedByValue()
+        self._interactive = SortedByValue()
         self._deadlines: list[tuple[float, int, RequestKey]] = []
         self._pushed = 0
         self._borrowed = 0
@@ -141,11 +141,11 @@
     def __contains__(self, key: object) -> bool:
         return key in self._entries
 
-    def __iter__(self) -> Iterator[Entry]:
+    def __iter__(self) -> Iterator[QueuedRequest]:
         return iter(self._entries.values())
 
     @property
-    def borrowed(self) -> int:
+    def fetched_count(self) -> int:
         """Requests that were fetched from another dispatcher."""
         return self._borrowed
 
@@ -155,20 +155,20 @@
         return len(self._interactive) > 0
 
     @property
-    def neediest(self) -> str | None:
+    def least_served(self) -> str | None:
         """The organisation that is next."""
         return next(iter(self._ready), None)
 
-    def get(self, key: RequestKey) -> Entry | None:
+    def get(self, key: RequestKey) -> QueuedRequest | None:
         """Return a waiting request."""
         return self._entries.get(key)
 
-    def waiting(self, organisation: str) -> int:
+    def count_of(self, organisation: str) -> int:
         """Return how many requests of an organisation wait here."""
         line = self._lines.get(organisation)
         return len(line) if line else 0
 
-    def add(self, entry: Entry) -> bool:
+    def add(self, entry: QueuedRequest) -> bool:
         """Add a request; False where it waits already."""
         if entry.key in self._entries:
             return False
@@ -177,17 +177,17 @@
         line = self._lines.setdefault(name, _Line())
         line.side(entry)[self._rank(entry)] = entry
         self._push_end(entry)
-        if entry.lender is None:
-            self._standings.add_waiting(name, 1)
+        if entry.fetched_from is None:
+            self._standings.add_local_waiting(name, 1)
         else:
             self._borrowed += 1
-        standing = self._standings.of(name)
+        standing = self._standings.normalised_usage(name)
         self._ready.put(name, standing)
         if entry.interactive:
             self._interactive.put(name, standing)
         return True
 
-    def remove(self, key: RequestKey) -> Entry | None:
+    def remove(self, key: RequestKey) -> QueuedRequest | None:
         """Take a request out, None where it does not wait."""
         entry = self._entries.pop(key, None)
         if entry is None:
@@ -200,13 +200,13 @@
         if not len(line):
             self._ready.drop(name)
             del self._lines[name]
-        if entry.lender is None:
-            self._standings.add_waiting(name, -1)
+        if entry.fetched_from is None:
+            self._standings.add_local_waiting(name, -1)
         else:
             self._borrowed -= 1
         return entry
 
-    def start(self, key: RequestKey) -> Entry | None:
+    def remove_started(self, key: RequestKey) -> QueuedRequest | None:
         """Take a request out because it starts, and count who was passed."""
         entry = self._entries.get(key)
         if entry is None:
@@ -218,22 +218,24 @@
             line.passes += 1
         return self.remove(key)
 
-    def candidates(self, now: float, only_interactive: bool = False) -> Iterator[Entry]:
+    def candidates(
+        self, now: float, only_interactive: bool = False
+    ) -> Iterator[QueuedRequest]:
         """Yield the requests that should start next, a bounded number."""
         order = self._interactive if only_interactive else self._ready
         for name in list(islice(order, LOOK_ORGANISATIONS)):
-            yield from self.of(name, now, only_interactive, LOOK_REQUESTS)
+            yield from self.candidates_of(name, now, only_interactive, LOOK_REQUESTS)
 
-    def of(
+    def candidates_of(
         self, name: str, now: float, only_interactive: bool = False, limit: int = 1
-    ) -> list[Entry]:
+    ) -> list[QueuedRequest]:
         """Return the next requests of one organisation."""
         line = self._lines.get(name)
         if line is None:
             return []
         return list(islice(line.candidates(now, only_interactive), limit))
 
-    def expire(self, now: float) -> list[Entry]:
+    def expire(self, now: float) -> list[QueuedRequest]:
         """Take out the requests whose time is over."""
         expired = []
         while self._deadlines and self._deadlines[0][0] <= now:
@@ -242,25 +244,25 @@
             if entry is None:
                 continue
             # the same key may have been added again with a later end
-            if entry.end <= now:
+            if entry.expires_at <= now:
                 self.remove(key)
                 expired.append(entry)
         return expired
 
-    def _push_end(self, entry: Entry) -> None:
+    def _push_end(self, entry: QueuedRequest) -> None:
         # requests that started long before a late deadline would fill the heap
         if len(self._deadlines) > HEAP_SLACK + 2 * len(self._entries):
             self._deadlines = [
-                (e.end, number, e.key)
+                (e.expires_at, number, e.key)
                 for number, e in enumerate(self._entries.values())
             ]
             heapq.heapify(self._deadlines)
             self._pushed = len(self._deadlines)
             return
         self._pushed += 1
-        heapq.heappush(self._deadlines, (entry.end, self._pushed, entry.key))
+        heapq.heappush(self._deadlines, (entry.expires_at, self._pushed, entry.key))
 
-    def _rank(self, entry: Entry) -> tuple[float, str, int, int]:
+    def _rank(self, entry: QueuedRequest) -> tuple[float, str, int, int]:
         key = entry.key
         return (entry.arrived, key.vm, key.incarnation, key.request)
 
--- a/packages/router/src/teaselledge/process/retrybudget.py
+++ b/packages/router/src/teaselledge/process/retrybudget.py
@@ -17,13 +17,13 @@
     per_second : float
         Retries a second that are allowed besides, so that a quiet service can
         retry at all.
-    most : float
+    max_balance : float
         Retries that can be saved up.
     """
 
     ratio: float = 0.1
     per_second: float = 0.5
-    most: float = 10.0
+    max_balance: float = 10.0
 
 
 class RetryBudget:
@@ -37,7 +37,7 @@
 
     def __init__(self, limits: RetryLimits) -> None:
         self._limits = limits
-        self._saved = limits.most
+        self._saved = limits.max_balance
         self._filled: float | None = None
 
     @classmethod
@@ -46,7 +46,7 @@
         return cls(limits or RetryLimits())
 
     @property
-    def saved(self) -> float:
+    def balance(self) -> float:
         """Retries that are allowed now."""
         self._fill()
         return self._saved
@@ -55,7 +55,7 @@
         """Note a first attempt."""
         self._add(self._limits.ratio)
 
-    def withdraw(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Take one retry; False where none is left, and the fault is final."""
         self._fill()
         if self._saved < 1:
@@ -70,4 +70,4 @@
         self._filled = now
 
     def _add(self, amount: float) -> None:
-        self._saved = min(self._limits.most, self._saved + amount)
+        self._saved = min(self._limits.max_balance, self._saved + amount)
--- a/packages/router/src/teaselledge/process/router.py
+++ b/packages/router/src/teaselledge/process/router.py
@@ -17,7 +17,7 @@
 from teaselledge.log import get_log
 from teaselledge.metrics import Metrics, NullMetrics, StatsdMetrics
 from teaselledge.platform import TableService
-from teaselledge.process.drain import Drain, Gate
+from teaselledge.process.drain import Drain, DrainGate
 from teaselledge.process.engineadmin import HttpEngineAdmin
 from teaselledge.process.enginefeed import HttpFeedSource
 from teaselledge.process.httpplatform import (
@@ -31,8 +31,8 @@
 from teaselledge.process.settings import Settings
 from teaselledge.process.shares import DispatcherShares
 from teaselledge.process.status import Status
-from teaselledge.process.tally import Tally
-from teaselledge.process.tls import client_context, server_context, warn_of_plain
+from teaselledge.process.tally import RecordingMetrics
+from teaselledge.process.tls import client_context, server_context, warn_if_plaintext
 from teaselledge.request.orderadmin import JournalAdmin
 from teaselledge.version.document import Version
 from teaselledge.version.publish import Publisher
@@ -62,7 +62,7 @@
         self._caller_address = ""
         self._peer_address = ""
         self._listening_peer_address = ""
-        self.metrics = self._tally = Tally(metrics)
+        self.metrics = self._tally = RecordingMetrics(metrics)
         self.authenticator = Authenticator()
         self.bodies = BodyBudget(settings.limits.waiting_bytes)
         origin = Origin(settings.vm, self._incarnation)
@@ -86,8 +86,8 @@
             engines=HttpEngineAdmin(),
             feed=HttpFeedSource(),
         )
-        self._mesh.on_refused = self.node.membership.refused
-        self._mesh.introduce = self.node.membership.introduction
+        self._mesh.on_refused = self.node.membership.report_connection_refused
+        self._mesh.introduce = self.node.membership.hello
         self._tables = platform.tables
         self._operators: OperatorServer | None = None
         self._operator_address = ""
@@ -123,9 +123,9 @@
         return self.node.drain
 
     @property
-    def forwarder(self) -> Gate:
+    def request_runner(self) -> DrainGate:
         """What runs the callers' requests."""
-        return self.node.forwarder
+        return self.node.request_runner
 
     @property
     def version(self) -> Version | None:
@@ -165,9 +165,9 @@
     def listen(self) -> None:
         """Open the listeners, so that the addresses are known."""
         settings = self._settings
-        warn_of_plain("callers'", settings.callers)
-        warn_of_plain("peers'", settings.peers)
-        warn_of_plain("operators'", settings.operators)
+        warn_if_plaintext("callers'", settings.callers)
+        warn_if_plaintext("peers'", settings.peers)
+        warn_if_plaintext("operators'", settings.operators)
         # the handlers refuse what is over the limits with an answer; tornado's
         # own limits close the connection and only stop what is far beyond
         self._server = CallerServer(
@@ -199,7 +199,7 @@
 
     async def stop(self) -> None:
         """Stop at once."""
-        self.node.membership.depart()
+        self.node.membership.announce_shutdown()
         await self.node.stop()
         if self._server is not None:
             self._server.stop()
@@ -210,7 +210,7 @@
 
     def addresses(self, zone: str | None = None) -> dict[str, Any]:
         """Return which routers a caller in a zone should use."""
-        return self.node.addresses.answer(zone).as_json()
+        return self.node.addresses.resolve(zone).as_json()
 
     def _site(self) -> Site:
         node = self.node
@@ -220,7 +220,7 @@
             lambda: node.follower.state.known,
         )
         shares = DispatcherShares(
-            lambda: node.dispatchers.running, lambda: node.version
+            lambda: node.dispatchers.dispatchers, lambda: node.version
         )
         status = Status(
             node.follower, node.membership, node.ingress, self._tally, shares
--- a/packages/router/src/teaselledge/process/shares.py
+++ b/packages/router/src/teaselledge/process/shares.py
@@ -8,17 +8,17 @@
 from teaselledge.process.dispatcher import Dispatcher
 from teaselledge.process.placement import Shard
 from teaselledge.process.preset import get_preset_by_name, largest_hint
-from teaselledge.process.standing import Standings
+from teaselledge.process.standing import UsageAccounts
 from teaselledge.version.document import Service, Version
 
-__all__ = ["DispatcherShares", "ShardFigure", "ShareFigure", "ShareSource"]
+__all__ = ["DispatcherShares", "ShardStats", "ShareStats", "ShareSource"]
 
-MAX_FIGURES = 1000
+MAX_SHARE_STATS = 1000
 """Organisations that one status tells of, those with most waiting first."""
 
 
 @dataclass(frozen=True)
-class ShardFigure:
+class ShardStats:
     """One shard, as its dispatcher sees it.
 
     Attributes
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class ShareFigure:
+class ShareStats:
     """What one organisation is due and gets, as one dispatcher sees it.
 
     Attributes
@@ -80,10 +80,10 @@
 class ShareSource(Protocol):
     """Where the figures of the dispatchers come from."""
 
-    def shards(self) -> Sequence[ShardFigure]:
+    def shards(self) -> Sequence[ShardStats]:
         """Return the figures of all shards that this router dispatches for."""
 
-    def shares(self) -> Sequence[ShareFigure]:
+    def shares(self) -> Sequence[ShareStats]:
         """Return the figures of their organisations."""
 
 
@@ -106,30 +106,30 @@
         self._running = running
         self._version = version
 
-    def shards(self) -> list[ShardFigure]:
+    def shards(self) -> list[ShardStats]:
         """Return the figures of all shards that this router dispatches for."""
         version = self._version()
         figures = []
         for dispatcher in self._running():
-            standings = dispatcher.standings
+            standings = dispatcher.usage
             name = dispatcher.shard.service
             service = version.document.services.get(name) if version else None
             if service is None:
                 continue
             figures.append(
-                ShardFigure(
+                ShardStats(
                     dispatcher.shard.service,
                     dispatcher.shard.zone,
                     dispatcher.waiting,
                     dispatcher.running,
-                    dispatcher.free,
+                    dispatcher.free_slots,
                     standings.rate,
                     _gap(standings, service),
                 )
             )
         return figures
 
-    def shares(self) -> list[ShareFigure]:
+    def shares(self) -> list[ShareStats]:
         """Return the figures of organisations that were served or wait."""
         version = self._version()
         if version is None:
@@ -138,13 +138,13 @@
             figure
             for dispatcher in self._running()
             for name in version.document.organisations
-            if (figure := _figure(dispatcher.shard, dispatcher.standings, name))
+            if (figure := _figure(dispatcher.shard, dispatcher.usage, name))
         ]
         figures.sort(key=lambda f: (-f.waiting, f.service, f.zone, f.organisation))
-        return figures[:MAX_FIGURES]
+        return figures[:MAX_SHARE_STATS]
 
 
-def _gap(standings: Standings, service: Service) -> float:
+def _gap(standings: UsageAccounts, service: Service) -> float:
     names = list(standings.backlogged)
     if not names:
         return 0.0
@@ -155,23 +155,23 @@
         preset.quantum(service),
         preset.interval + preset.region_interval,
         standings.rate,
-        min(standings.share_of(name) for name in names),
+        min(standings.share(name) for name in names),
         len({endpoint.zone for endpoint in service.endpoints.values()}),
     )
     return max(standings.lead(name) for name in names) / bound
 
 
-def _figure(shard: Shard, standings: Standings, name: str) -> ShareFigure | None:
+def _figure(shard: Shard, standings: UsageAccounts, name: str) -> ShareStats | None:
     if name not in standings:
         return None
-    served, waiting = standings.own(name), standings.waiting(name)
+    served, waiting = standings.local_usage(name), standings.local_waiting(name)
     if not served and not waiting:
         return None
-    return ShareFigure(
+    return ShareStats(
         shard.service,
         shard.zone,
         name,
-        standings.share_of(name),
+        standings.share(name),
         served,
         waiting,
         standings.lead(name),
