--- a/packages/router/src/teaselledge/process/standing.py
+++ b/packages/router/src/teaselledge/process/standing.py
@@ -8,19 +8,19 @@
 
 from teaselledge.version.document import Organisation
 
-__all__ = ["Order", "Standings"]
+__all__ = ["SortedByValue", "UsageAccounts"]
 
-DEBT_SECONDS = 3.0
+MAX_LEAD_SECONDS = 3.0
 """Longest time for which an organisation may be kept waiting to pay back."""
 
-MOST_DEBTS = 1.5
+MAX_LEAD_FACTOR = 1.5
 """Debts that reports may add up to."""
 
 RATE_SECONDS = 5.0
 """Time constant of the measured service rate."""
 
 
-class Order:
+class SortedByValue:
     """Names ordered by a value; each step is logarithmic in their number."""
 
     def __init__(self) -> None:
@@ -72,7 +72,7 @@
     remote: int = 0
 
 
-class Standings:
+class UsageAccounts:
     """Normalised service, cost divided by share, of each organisation.
 
     Only differences between standings matter. An organisation that is not in
@@ -80,14 +80,14 @@
 
     Parameters
     ----------
-    debt_floor : float
+    max_lead_floor : float
         Smallest debt that is remembered, in cost per share.
     """
 
-    def __init__(self, debt_floor: float) -> None:
-        self.debt_floor = debt_floor
+    def __init__(self, max_lead_floor: float) -> None:
+        self.max_lead_floor = max_lead_floor
         self._accounts: dict[str, _Account] = {}
-        self._backlogged = Order()
+        self._backlogged = SortedByValue()
         self._shares = 0.0
         self._last_start = 0.0
         self._rate = 0.0
@@ -98,7 +98,7 @@
         return name in self._accounts
 
     @property
-    def backlogged(self) -> Order:
+    def backlogged(self) -> SortedByValue:
         """Organisations with waiting requests anywhere, neediest first."""
         return self._backlogged
 
@@ -108,15 +108,17 @@
         return self._rate
 
     @property
-    def debt(self) -> float:
+    def max_lead(self) -> float:
         """Largest lead over the neediest that is remembered."""
-        return max(self.debt_floor, DEBT_SECONDS * self._rate / max(self._shares, 1e-9))
+        return max(
+            self.max_lead_floor, MAX_LEAD_SECONDS * self._rate / max(self._shares, 1e-9)
+        )
 
     def subscribe(self, listener: Callable[[str, float], None]) -> None:
         """Call a listener with name and standing whenever one changes."""
         self._listeners.append(listener)
 
-    def use(self, organisations: Mapping[str, Organisation]) -> None:
+    def set_organisations(self, organisations: Mapping[str, Organisation]) -> None:
         """Take the organisations and shares of a new document."""
         for name in [n for n in self._accounts if n not in organisations]:
             self._backlogged.drop(name)
@@ -129,23 +131,23 @@
             account.share = entry.share
         self._shares = sum(self._accounts[name].share for name in self._backlogged)
 
-    def of(self, name: str) -> float:
+    def normalised_usage(self, name: str) -> float:
         """Return an organisation's standing."""
         return self._accounts[name].standing
 
-    def share_of(self, name: str) -> float:
+    def share(self, name: str) -> float:
         """Return an organisation's share."""
         return self._accounts[name].share
 
-    def own(self, name: str) -> float:
+    def local_usage(self, name: str) -> float:
         """Return the cost that this dispatcher counted."""
         return self._accounts[name].own
 
-    def waiting(self, name: str) -> int:
+    def local_waiting(self, name: str) -> int:
         """Return how many requests wait here."""
         return self._accounts[name].local
 
-    def waits_elsewhere(self, name: str) -> bool:
+    def has_remote_waiting(self, name: str) -> bool:
         """Return whether another dispatcher has requests of it waiting."""
         return self._accounts[name].remote > 0
 
@@ -169,7 +171,7 @@
         self._growth += cost
         self._set(name, account, account.standing + cost / account.share)
 
-    def started(self, name: str) -> None:
+    def record_start(self, name: str) -> None:
         """Note the standing at which a request starts, before its charge.
 
         While nobody is backlogged this is the level to which an organisation
@@ -179,13 +181,13 @@
         if account is not None:
             self._last_start = account.standing
 
-    def grow(self, name: str, cost: float) -> None:
+    def add_remote_usage(self, name: str, cost: float) -> None:
         """Count service that another dispatcher reported.
 
         After a split or from an old counter the growth of an hour may arrive
         at once; without a limit the organisation would wait until all others
         had caught up. One report adds a debt at most, and several together
-        lift the standing to `MOST_DEBTS` above the neediest at most. In daily
+        lift the standing to `MAX_LEAD_FACTOR` above the neediest at most. In daily
         use neither limit is reached, so no service is forgotten.
         """
         account = self._accounts.get(name)
@@ -193,29 +195,29 @@
             return
         self._growth += cost
         self._last_start = account.standing
-        target = account.standing + min(cost / account.share, self.debt)
+        target = account.standing + min(cost / account.share, self.max_lead)
         lowest = self._backlogged.lowest
         if cost > 0 and lowest is not None:
-            limit = lowest + MOST_DEBTS * self.debt
+            limit = lowest + MAX_LEAD_FACTOR * self.max_lead
             target = min(target, max(account.standing, limit))
         self._set(name, account, target)
 
-    def move(self, name: str, standing: float, weight: float) -> None:
+    def blend_usage(self, name: str, standing: float, weight: float) -> None:
         """Move a standing towards another dispatcher's view of it."""
         account = self._accounts.get(name)
         if account is None:
             return
         step = (standing - account.standing) * weight
-        limit = self.debt
+        limit = self.max_lead
         self._set(name, account, account.standing + max(-limit, min(limit, step)))
 
-    def adopt(self, name: str, standing: float) -> None:
+    def set_usage(self, name: str, standing: float) -> None:
         """Take a standing as another dispatcher has it."""
         account = self._accounts.get(name)
         if account is not None:
             self._set(name, account, standing)
 
-    def add_waiting(self, name: str, change: int) -> None:
+    def add_local_waiting(self, name: str, change: int) -> None:
         """Note that requests began or ceased to wait here."""
         account = self._accounts.get(name)
         if account is None:
@@ -223,7 +225,7 @@
         account.local = max(0, account.local + change)
         self._update(name, account)
 
-    def add_elsewhere(self, name: str, change: int) -> None:
+    def add_remote_backlog(self, name: str, change: int) -> None:
         """Note that a dispatcher began or ceased to have requests waiting."""
         account = self._accounts.get(name)
         if account is None:
@@ -252,7 +254,7 @@
         if lowest is None:
             standing = max(account.standing, self._last_start)
         else:
-            standing = min(max(account.standing, lowest), lowest + self.debt)
+            standing = min(max(account.standing, lowest), lowest + self.max_lead)
         self._shares += account.share
         self._backlogged.put(name, standing)
         self._set(name, account, standing)
--- a/packages/router/src/teaselledge/process/status.py
+++ b/packages/router/src/teaselledge/process/status.py
@@ -8,16 +8,16 @@
 from teaselledge.process.ingress import Ingress
 from teaselledge.process.membership import Membership
 from teaselledge.process.shares import ShareSource
-from teaselledge.process.tally import Tally
+from teaselledge.process.tally import RecordingMetrics
 from teaselledge.version.follow import Follower
 
 __all__ = [
-    "HEALTH",
-    "Facts",
-    "HealthCheck",
+    "HEALTH_INDICATORS",
+    "IndicatorInputs",
+    "HealthIndicator",
     "Status",
     "fleet_health",
-    "health_of",
+    "evaluate_indicators",
 ]
 
 CONTROL_BYTES = 7000.0
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Facts:
+class IndicatorInputs:
     """What the health checks of one router read.
 
     Attributes
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True)
-class HealthCheck:
+class HealthIndicator:
     """One figure of the status page.
 
     Attributes
@@ -78,65 +78,65 @@
     unit: str
     limit: float
     meaning: str
-    read: Callable[[Facts], float | None]
+    read: Callable[[IndicatorInputs], float | None]
 
 
-HEALTH: dict[str, HealthCheck] = {
-    "version-lag": HealthCheck(
+HEALTH_INDICATORS: dict[str, HealthIndicator] = {
+    "version-lag": HealthIndicator(
         "versions",
         0,
         "Versions by which this router is behind the highest it heard of.",
         lambda f: float(max(0, f.highest - f.in_force)),
     ),
-    "unreadable-version": HealthCheck(
+    "unreadable-version": HealthIndicator(
         "version",
         0,
         "A version that this release can't read; the older one serves.",
         lambda f: float(f.unreadable),
     ),
-    "store-age": HealthCheck(
+    "store-age": HealthIndicator(
         "s",
         15,
         "Time since the store was last known to answer.",
         lambda f: f.store_age,
     ),
-    "store-behind": HealthCheck(
+    "store-behind": HealthIndicator(
         "",
         0,
         "The store shows an older version than the fleet has.",
         lambda f: float(f.store_behind),
     ),
-    "store-errors": HealthCheck(
+    "store-errors": HealthIndicator(
         "calls/s",
         0.1,
         "Failed calls to the platform.",
         lambda f: f.rates.get("store.errors"),
     ),
-    "control-traffic": HealthCheck(
+    "control-traffic": HealthIndicator(
         "B/s",
         CONTROL_BYTES,
         "Bytes sent to other routers.",
         lambda f: f.rates.get("peer.sent_bytes"),
     ),
-    "silent-routers": HealthCheck(
+    "silent-routers": HealthIndicator(
         "routers",
         0,
         "Routers of the platform's list that were not heard lately.",
         lambda f: float(f.silent),
     ),
-    "fairness-gap": HealthCheck(
+    "fairness-gap": HealthIndicator(
         "of the bound",
         1,
         "Largest service gap of backlogged organisations, over its bound.",
         lambda f: f.gap,
     ),
-    "idle-slots": HealthCheck(
+    "idle-slots": HealthIndicator(
         "slots",
         0,
         "Free slots for which requests wait at a dispatcher here.",
         lambda f: float(f.idle),
     ),
-    "journal-unknowns": HealthCheck(
+    "journal-unknowns": HealthIndicator(
         "orders/s",
         0,
         "Orders of which it is not known whether they ran.",
@@ -151,10 +151,10 @@
 RATES: tuple[str, ...] = ("store.errors", "peer.sent_bytes", "order.unknown")
 
 
-def health_of(facts: Facts) -> list[dict[str, Any]]:
+def evaluate_indicators(facts: IndicatorInputs) -> list[dict[str, Any]]:
     """Return each check with its value and whether it is well."""
     entries = []
-    for name, check in HEALTH.items():
+    for name, check in HEALTH_INDICATORS.items():
         value = check.read(facts)
         state = "not measured"
         if value is not None:
@@ -180,7 +180,7 @@
         follower: Follower,
         membership: Membership,
         ingress: Ingress,
-        tally: Tally,
+        tally: RecordingMetrics,
         shares: ShareSource,
     ) -> None:
         self._follower = follower
@@ -220,16 +220,16 @@
             "services": self._services(),
             "shards": [asdict(figure) for figure in self._shares.shards()],
             "shares": [asdict(figure) for figure in self._shares.shares()],
-            "health": health_of(self._facts()),
+            "health": evaluate_indicators(self._facts()),
             "totals": self._tally.totals,
             "gauges": self._tally.gauges,
         }
 
-    def _facts(self) -> Facts:
+    def _facts(self) -> IndicatorInputs:
         state = self._follower.state
         members = list(self._membership.live())
         shards = self._shares.shards()
-        return Facts(
+        return IndicatorInputs(
             state.in_force,
             max((m.version for m in members), default=0),
             state.unreadable,
@@ -245,7 +245,7 @@
         live = {member.vm for member in self._membership.live()}
         # a router that started after the list was read and died before it is
         # read again stands in neither; reports would pass over its losses
-        lost = self._membership.lost(LOST_SECONDS)
+        lost = self._membership.recently_dead(LOST_SECONDS)
         return sorted((set(self._membership.listed()) | set(lost)) - live)
 
     def _services(self) -> list[dict[str, Any]]:
--- a/packages/router/src/teaselledge/process/tally.py
+++ b/packages/router/src/teaselledge/process/tally.py
@@ -4,14 +4,14 @@
 
 from teaselledge.metrics import Metrics
 
-__all__ = ["Tally"]
+__all__ = ["RecordingMetrics"]
 
 WINDOW_SECONDS = 60.0
 MAX_LABELS = 1000
 """Names that are kept; labels come from requests and must not fill the memory."""
 
 
-class Tally:
+class RecordingMetrics:
     """Passes metrics on, and keeps totals and the last minute.
 
     Parameters
--- a/packages/router/src/teaselledge/process/tls.py
+++ b/packages/router/src/teaselledge/process/tls.py
@@ -8,7 +8,12 @@
 from teaselledge.log import get_log
 from teaselledge.process.settings import Listener, Tls
 
-__all__ = ["client_context", "names_of", "server_context", "warn_of_plain"]
+__all__ = [
+    "client_context",
+    "certificate_dns_names",
+    "server_context",
+    "warn_if_plaintext",
+]
 
 _log = get_log("tls")
 
@@ -36,7 +41,7 @@
     """Return the context for connecting to other routers, None without TLS.
 
     The routers are reached by IP number, so the name in the certificate is
-    compared with the VM's by `names_of` instead.
+    compared with the VM's by `certificate_dns_names` instead.
 
     Raises
     ------
@@ -51,7 +56,7 @@
     return context
 
 
-def names_of(certificate: dict[str, Any] | None) -> frozenset[str]:
+def certificate_dns_names(certificate: dict[str, Any] | None) -> frozenset[str]:
     """Return the DNS names that a verified certificate is for."""
     if not certificate:
         return frozenset()
@@ -59,7 +64,7 @@
     return frozenset(value for kind, value in pairs if kind == "DNS")
 
 
-def warn_of_plain(part: str, listener: Listener) -> bool:
+def warn_if_plaintext(part: str, listener: Listener) -> bool:
     """Warn where a listener is open to others without TLS; tell whether it is."""
     if listener.tls is not None or ip_address(listener.host).is_loopback:
         return False
--- a/packages/router/src/teaselledge/request/forward.py
+++ b/packages/router/src/teaselledge/request/forward.py
@@ -13,7 +13,7 @@
 )
 from teaselledge.errors import ErrorKind, Fault, Ran
 from teaselledge.metrics import Metrics, NullMetrics
-from teaselledge.process.ingress import Granted, Ingress, Ticket
+from teaselledge.process.ingress import Ingress, SlotGrant, SlotRequest
 from teaselledge.process.retrybudget import RetryBudget
 from teaselledge.request.context import CallerRequest, Sink
 from teaselledge.request.cost import Meter, get_meter_by_name
@@ -68,11 +68,11 @@
         """Whether the service's endpoints resume a broken stream."""
         return self.request.service_entry.resumes
 
-    def ticket(self) -> Ticket:
+    def ticket(self) -> SlotRequest:
         """Return the wish for a slot."""
         request = self.request
         kind = request.kind_entry
-        return Ticket(
+        return SlotRequest(
             request.organisation,
             request.service,
             request.kind,
@@ -82,7 +82,7 @@
             kind.repeatable,
             self.prefix,
             self.excluded,
-            begun=self.sink.started,
+            response_started=self.sink.started,
         )
 
     def give_up(self, fault: Fault) -> Result[None, Fault]:
@@ -165,9 +165,9 @@
         if end is End.UNSENT:
             # the endpoint got nothing, so that this is no load on it
             return True
-        return self._budget(journey.request.service).withdraw()
+        return self._budget(journey.request.service).try_withdraw()
 
-    async def _attempt(self, journey: _Journey, granted: Granted) -> Ended:
+    async def _attempt(self, journey: _Journey, granted: SlotGrant) -> Ended:
         meter = get_meter_by_name(journey.request.service_entry.cost)
         failed = True
         try:
@@ -178,7 +178,7 @@
             self._ingress.release(granted, meter.cost, failed)
 
     async def _exchange(
-        self, journey: _Journey, granted: Granted, meter: Meter
+        self, journey: _Journey, granted: SlotGrant, meter: Meter
     ) -> Ended:
         request = journey.request
         headers = asking_from(request.headers, journey.position)
@@ -211,7 +211,7 @@
     async def _relay(
         self,
         journey: _Journey,
-        granted: Granted,
+        granted: SlotGrant,
         meter: Meter,
         outbound: Outbound,
         answer: EndpointAnswer,
@@ -234,7 +234,7 @@
                 if not sink.started:
                     await sink.start(answer.status, answer.headers)
                 meter.see(chunk)
-                self._ingress.progress(granted, meter.cost)
+                self._ingress.report_cost(granted, meter.cost)
                 await sink.write(chunk)
                 journey.position += len(chunk)
         except BrokenAnswerError:
--- a/packages/router/src/teaselledge/request/orderrun.py
+++ b/packages/router/src/teaselledge/request/orderrun.py
@@ -14,7 +14,7 @@
 from teaselledge.log import get_log
 from teaselledge.metrics import Metrics
 from teaselledge.platform import ABSENT
-from teaselledge.process.ingress import Granted, Ingress, Ticket
+from teaselledge.process.ingress import Ingress, SlotGrant, SlotRequest
 from teaselledge.request.context import CallerRequest, Sink
 from teaselledge.request.cost import get_meter_by_name
 from teaselledge.request.exchange import Ended, exchange_order
@@ -167,7 +167,7 @@
 
     # before the request is sent
 
-    async def _prepare(self) -> Granted | None:
+    async def _prepare(self) -> SlotGrant | None:
         """Return a slot once the claim is in the journal, None where refused."""
         hold = asyncio.create_task(self._hold())
         slot: SlotWait | None = None
@@ -202,7 +202,7 @@
             if slot is not None:
                 slot.drop()
 
-    async def _taken(self, slot: SlotWait) -> Granted | None:
+    async def _taken(self, slot: SlotWait) -> SlotGrant | None:
         acquired = await slot.take()
         if acquired.is_error():
             await self._refuse(acquired.error)
@@ -231,7 +231,7 @@
     def _ask(self, excluded: tuple[str, ...]) -> SlotWait:
         request = self._request
         kind = request.kind_entry
-        ticket = Ticket(
+        ticket = SlotRequest(
             request.organisation,
             request.service,
             request.kind,
@@ -403,7 +403,7 @@
 
     # once the record is claimed and a slot is there
 
-    async def _carry_out(self, granted: Granted) -> None:
+    async def _carry_out(self, granted: SlotGrant) -> None:
         excluded: tuple[str, ...] = ()
         while True:
             if self._lapsed():
@@ -438,7 +438,7 @@
         late = asyncio.get_running_loop().time() >= self._request.deadline
         return late or self._tools.journal.now() >= self._attempt.record.until
 
-    async def _send(self, granted: Granted) -> Ended:
+    async def _send(self, granted: SlotGrant) -> Ended:
         """Exchange with the endpoint and answer the caller."""
         request = self._request
         loop = asyncio.get_running_loop()
--- a/packages/router/src/teaselledge/request/retry.py
+++ b/packages/router/src/teaselledge/request/retry.py
@@ -22,7 +22,7 @@
     def deposit(self) -> None:
         """Note a first attempt."""
 
-    def withdraw(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Take one retry; False where none is left."""
 
 
--- a/packages/router/src/teaselledge/request/slot.py
+++ b/packages/router/src/teaselledge/request/slot.py
@@ -5,7 +5,7 @@
 from expression import Result
 
 from teaselledge.errors import Fault
-from teaselledge.process.ingress import Granted, Ingress, Ticket
+from teaselledge.process.ingress import Ingress, SlotGrant, SlotRequest
 
 __all__ = ["SlotWait"]
 
@@ -23,7 +23,7 @@
         Seconds that the wait took, once it is over.
     """
 
-    def __init__(self, ingress: Ingress, ticket: Ticket) -> None:
+    def __init__(self, ingress: Ingress, ticket: SlotRequest) -> None:
         self._ingress = ingress
         self._used = False
         self.dropped = False
@@ -32,7 +32,7 @@
         self.task = asyncio.create_task(ingress.acquire(ticket))
         self.task.add_done_callback(self._note)
 
-    async def take(self) -> Result[Granted, Fault]:
+    async def take(self) -> Result[SlotGrant, Fault]:
         """Wait for the slot and use it."""
         result = await self.task
         self._used = True
@@ -48,5 +48,5 @@
             self._used = True
             self._ingress.release(result.ok, 0.0, False)
 
-    def _note(self, task: "asyncio.Task[Result[Granted, Fault]]") -> None:
+    def _note(self, task: "asyncio.Task[Result[SlotGrant, Fault]]") -> None:
         self.waited = asyncio.get_running_loop().time() - self._since
--- a/packages/router/src/teaselledge/version/follow.py
+++ b/packages/router/src/teaselledge/version/follow.py
@@ -16,7 +16,7 @@
 from teaselledge.metrics import Metrics, NullMetrics
 from teaselledge.platform import TableService
 from teaselledge.process.member import Member
-from teaselledge.process.mesh import Mesh, Origin, message
+from teaselledge.process.mesh import Mesh, Origin, make_message
 from teaselledge.version.assemble import Assembler
 from teaselledge.version.document import Version
 from teaselledge.version.head import (
@@ -292,7 +292,7 @@
     async def _ask_head(self, vm: str) -> bytes | None:
         answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self._head_asked = (vm, answer)
-        self._mesh.send(vm, message("section_request", SectionRequest([])))
+        self._mesh.send(vm, make_message("section_request", SectionRequest([])))
         try:
             async with asyncio.timeout(ASK_SECONDS):
                 return await answer
@@ -305,7 +305,7 @@
         loop = asyncio.get_running_loop()
         answer: asyncio.Future[dict[str, bytes]] = loop.create_future()
         self._chunks_asked = (vm, answer)
-        self._mesh.send(vm, message("section_request", SectionRequest(digests)))
+        self._mesh.send(vm, make_message("section_request", SectionRequest(digests)))
         try:
             async with asyncio.timeout(ASK_SECONDS):
                 given = await answer
@@ -402,7 +402,7 @@
         now = asyncio.get_running_loop().time()
         age = None if self._confirmed is None else int((now - self._confirmed) * 1000)
         self._mesh.send(
-            vm, message("head_notice", HeadNotice(self._number(), head, age))
+            vm, make_message("head_notice", HeadNotice(self._number(), head, age))
         )
 
     def _on_notice(self, origin: Origin, _s: str, _z: str, body: HeadNotice) -> None:
@@ -439,7 +439,7 @@
                 continue
             given[digest] = chunk
             size += len(chunk)
-        self._mesh.send(origin.vm, message("section_answer", SectionAnswer(given)))
+        self._mesh.send(origin.vm, make_message("section_answer", SectionAnswer(given)))
 
     def _on_answer(self, origin: Origin, _s: str, _z: str, body: SectionAnswer) -> None:
         asked = self._chunks_asked
--- a/packages/router/tests/test_affinity.py
+++ b/packages/router/tests/test_affinity.py
@@ -1,16 +1,16 @@
 """Tests of the guesses about prefix caches and of lagging load reports."""
 
 from teaselledge.process.affinity import MAX_PREFIXES, CacheEvent, PrefixCaches
-from teaselledge.process.loadreport import LoadReport, ReportedLoad
+from teaselledge.process.loadreport import ExternalLoad, LoadReport
 
 
 def test_events_tell_what_is_stored_and_evicted():
     caches = PrefixCaches()
     caches.observe(CacheEvent("e", 1, stored=(7, 8)))
     caches.observe(CacheEvent("e", 2, evicted=(7,)))
-    assert caches.trust("e", 7) == 0.0
-    assert caches.trust("e", 8) == 1.0
-    assert caches.trust("other", 8) == 0.0
+    assert caches.confidence("e", 7) == 0.0
+    assert caches.confidence("e", 8) == 1.0
+    assert caches.confidence("other", 8) == 0.0
 
 
 def test_lost_events_make_doubtful():
@@ -18,46 +18,46 @@
     caches = PrefixCaches()
     caches.observe(CacheEvent("e", 1, stored=(7,)))
     assert not caches.observe(CacheEvent("e", 5, stored=(9,)))
-    assert 0 < caches.trust("e", 7) < caches.trust("e", 9)
+    assert 0 < caches.confidence("e", 7) < caches.confidence("e", 9)
 
 
 def test_old_event_changes_nothing():
     caches = PrefixCaches()
     caches.observe(CacheEvent("e", 3, evicted=(7,)))
     caches.observe(CacheEvent("e", 2, stored=(7,)))
-    assert caches.trust("e", 7) == 0.0
+    assert caches.confidence("e", 7) == 0.0
 
 
 def test_restarted_engine_is_empty():
     caches = PrefixCaches()
     caches.observe(CacheEvent("e", 90, stored=(7,)))
     caches.observe(CacheEvent("e", 1, cleared=True))
-    assert caches.trust("e", 7) == 0.0
+    assert caches.confidence("e", 7) == 0.0
     caches.observe(CacheEvent("e", 2, stored=(8,)))
-    assert caches.trust("e", 8) == 1.0
+    assert caches.confidence("e", 8) == 1.0
 
 
 def test_memory_is_bounded():
     caches = PrefixCaches()
     for prefix in range(MAX_PREFIXES + 10):
-        caches.sent("e", prefix)
-    assert caches.trust("e", 0) == 0.0
-    assert caches.trust("e", MAX_PREFIXES) > 0
+        caches.record_sent("e", prefix)
+    assert caches.confidence("e", 0) == 0.0
+    assert caches.confidence("e", MAX_PREFIXES) > 0
 
 
 def test_own_requests_are_not_taken_for_others():
     """A report shows requests that have ended here since."""
-    load = ReportedLoad()
-    load.note_own(8, 0.0)
-    load.note_own(2, 1.0)
+    load = ExternalLoad()
+    load.record_own(8, 0.0)
+    load.record_own(2, 1.0)
     load.observe(LoadReport("e", 8), 2.0)
-    assert load.others(2.0) == 0
+    assert load.external_requests(2.0) == 0
 
 
 def test_requests_of_others_are_seen_and_forgotten():
     """A second dispatcher of the shard sends requests during a split."""
-    load = ReportedLoad()
-    load.note_own(2, 0.0)
+    load = ExternalLoad()
+    load.record_own(2, 0.0)
     load.observe(LoadReport("e", 5, 1), 10.0)
-    assert load.others(10.0) == 4
-    assert load.others(30.0) == 0
+    assert load.external_requests(10.0) == 4
+    assert load.external_requests(30.0) == 0
--- a/packages/router/tests/test_concurrency.py
+++ b/packages/router/tests/test_concurrency.py
@@ -20,7 +20,7 @@
         now, _, seconds, work = heapq.heappop(heap)
         limit.observe(running, seconds, work, now)
         running -= 1
-        limits.append(limit.settled)
+        limits.append(limit.stable_limit)
     return limits, now
 
 
@@ -75,4 +75,4 @@
     limit = ConcurrencyLimit(SLOTS)
     limit.observe(SLOTS, 0.0, 10.0, 1.0)
     limit.observe(SLOTS, 1.0, 0.0, 1.0)
-    assert limit.pace == 0.0
+    assert limit.seconds_per_unit == 0.0
--- a/packages/router/tests/test_dispatcher.py
+++ b/packages/router/tests/test_dispatcher.py
@@ -9,11 +9,11 @@
 from teaselledge.process import dispatcher as dispatcher_module
 from teaselledge.process.dispatcher import (
     ACCEPT_SECONDS,
-    SILENT_SECONDS,
+    INGRESS_TIMEOUT_SECONDS,
     Dispatcher,
 )
-from teaselledge.process.estimate import LARGEST_COST_RATIO, bounded_cost
-from teaselledge.process.holding import digest_of
+from teaselledge.process.estimate import LARGEST_COST_RATIO, clamp_cost
+from teaselledge.process.holding import digest_of_requests
 from teaselledge.process.latency import LATENCY_POLICIES, get_latency_policy_by_name
 from teaselledge.process.member import Member
 from teaselledge.process.mesh import Origin
@@ -82,26 +82,26 @@
 
 async def test_neediest_goes_first():
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1, "amber"))
-    dispatcher.register(INGRESS, register(2, "amber"))
-    dispatcher.register(INGRESS, register(3, "birch"))
-    dispatcher.standings.charge("amber", 1.0)
+    dispatcher.handle_register(INGRESS, register(1, "amber"))
+    dispatcher.handle_register(INGRESS, register(2, "amber"))
+    dispatcher.handle_register(INGRESS, register(3, "birch"))
+    dispatcher.usage.charge("amber", 1.0)
     first = grants(mesh)
     assert list(first) == [1]
-    dispatcher.accept(INGRESS, Accept(first[1].grant))
-    dispatcher.done(INGRESS, Done(first[1].grant, 400.0, False, 1.0, 1))
+    dispatcher.handle_accept(INGRESS, Accept(first[1].grant))
+    dispatcher.handle_done(INGRESS, Done(first[1].grant, 400.0, False, 1.0, 1))
     assert list(grants(mesh)) == [3]
 
 
 async def test_unanswered_grant_returns_to_the_pool():
     """A grant is lost on its way. Its slot would stay empty for ever."""
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1))
+    dispatcher.handle_register(INGRESS, register(1))
     assert list(grants(mesh)) == [1]
-    dispatcher.register(INGRESS, register(2))
+    dispatcher.handle_register(INGRESS, register(2))
     await pass_time(dispatcher, ACCEPT_SECONDS + 0.1)
     assert list(grants(mesh)) == [2]
-    assert dispatcher.standings.own("amber") == 400
+    assert dispatcher.usage.local_usage("amber") == 400
 
 
 async def test_late_accept_is_counted_again():
@@ -109,25 +109,25 @@
     The dispatcher must learn of it, or the endpoint gets one too many.
     """
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1))
+    dispatcher.handle_register(INGRESS, register(1))
     granted = grants(mesh)[1]
     await pass_time(dispatcher, ACCEPT_SECONDS + 0.1)
-    assert dispatcher.free == 1
-    dispatcher.accept(INGRESS, Accept(granted.grant))
+    assert dispatcher.free_slots == 1
+    dispatcher.handle_accept(INGRESS, Accept(granted.grant))
     assert mesh.take("snapshot_reply")[-1].body.wanted
     running = Running(1, granted.grant, "amber", "e-0", 400.0, 0.0, "summary")
-    dispatcher.snapshot(INGRESS, Snapshot([], [running], None, None, True))
-    assert (dispatcher.free, dispatcher.running) == (0, 1)
-    dispatcher.done(INGRESS, Done(granted.grant, 500.0, False, 1.0, 1))
-    assert (dispatcher.free, dispatcher.running) == (1, 0)
+    dispatcher.handle_snapshot(INGRESS, Snapshot([], [running], None, None, True))
+    assert (dispatcher.free_slots, dispatcher.running) == (0, 1)
+    dispatcher.handle_done(INGRESS, Done(granted.grant, 500.0, False, 1.0, 1))
+    assert (dispatcher.free_slots, dispatcher.running) == (1, 0)
 
 
 async def test_declined_grant_is_not_charged():
     """The caller left while the grant was on its way."""
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1))
-    dispatcher.decline(INGRESS, Decline(grants(mesh)[1].grant))
-    assert (dispatcher.free, dispatcher.standings.own("amber")) == (1, 0)
+    dispatcher.handle_register(INGRESS, register(1))
+    dispatcher.handle_decline(INGRESS, Decline(grants(mesh)[1].grant))
+    assert (dispatcher.free_slots, dispatcher.usage.local_usage("amber")) == (1, 0)
 
 
 async def test_messages_about_unknown_grants_change_nothing():
@@ -135,32 +135,32 @@
     numbers the new one may use for others.
     """
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1))
+    dispatcher.handle_register(INGRESS, register(1))
     number = grants(mesh)[1].grant
     stranger = Origin("vm-2", 5)
-    dispatcher.decline(stranger, Decline(number))
-    dispatcher.done(stranger, Done(number, 1e6, False, 1.0, 1))
-    dispatcher.done(INGRESS, Done(number + 7, 1e6, False, 1.0, None))
-    assert (dispatcher.free, dispatcher.running) == (0, 1)
-    assert dispatcher.standings.own("amber") == 400
+    dispatcher.handle_decline(stranger, Decline(number))
+    dispatcher.handle_done(stranger, Done(number, 1e6, False, 1.0, 1))
+    dispatcher.handle_done(INGRESS, Done(number + 7, 1e6, False, 1.0, None))
+    assert (dispatcher.free_slots, dispatcher.running) == (0, 1)
+    assert dispatcher.usage.local_usage("amber") == 400
 
 
 async def test_silent_ingress_frees_its_slots():
     """A router dies with requests that wait and run. Nobody tells their end."""
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1))
-    dispatcher.accept(INGRESS, Accept(grants(mesh)[1].grant))
-    dispatcher.register(INGRESS, register(2))
-    await pass_time(dispatcher, SILENT_SECONDS + 0.1)
-    assert (dispatcher.free, dispatcher.running, dispatcher.waiting) == (1, 0, 0)
+    dispatcher.handle_register(INGRESS, register(1))
+    dispatcher.handle_accept(INGRESS, Accept(grants(mesh)[1].grant))
+    dispatcher.handle_register(INGRESS, register(2))
+    await pass_time(dispatcher, INGRESS_TIMEOUT_SECONDS + 0.1)
+    assert (dispatcher.free_slots, dispatcher.running, dispatcher.waiting) == (1, 0, 0)
 
 
 async def test_new_life_of_an_ingress_frees_the_slots_of_the_old():
     """A router restarts empty within a second; its requests are gone."""
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1))
-    dispatcher.accept(INGRESS, Accept(grants(mesh)[1].grant))
-    dispatcher.register(Origin("vm-1", 12), register(1, "birch"))
+    dispatcher.handle_register(INGRESS, register(1))
+    dispatcher.handle_accept(INGRESS, Accept(grants(mesh)[1].grant))
+    dispatcher.handle_register(Origin("vm-1", 12), register(1, "birch"))
     (granted,) = grants(mesh).values()
     assert granted.incarnation == 12
 
@@ -170,38 +170,38 @@
     nothing. Waiting requests must not be forgotten nor slots given twice.
     """
     dispatcher, mesh = make(slots=1)
-    digest = digest_of([1, 2])
-    dispatcher.snapshot(INGRESS, Snapshot([], [], 2, digest.value, False))
+    digest = digest_of_requests([1, 2])
+    dispatcher.handle_snapshot(INGRESS, Snapshot([], [], 2, digest.value, False))
     assert mesh.take("snapshot_reply")[-1].body.wanted
     running = Running(1, 99, "amber", "e-0", 400.0, 0.0, "summary")
     full = Snapshot([register(2)], [running], None, None, True)
-    dispatcher.snapshot(INGRESS, full)
+    dispatcher.handle_snapshot(INGRESS, full)
     assert grants(mesh) == {}
-    dispatcher.snapshot(INGRESS, Snapshot([], [], 2, digest.value, False))
+    dispatcher.handle_snapshot(INGRESS, Snapshot([], [], 2, digest.value, False))
     assert not mesh.take("snapshot_reply")[-1].body.wanted
-    dispatcher.done(INGRESS, Done(99, 450.0, False, 1.0, 1))
+    dispatcher.handle_done(INGRESS, Done(99, 450.0, False, 1.0, 1))
     (granted,) = grants(mesh).values()
     assert granted.request == 2
     # what the earlier dispatcher charged is in its counter, not in this one
-    assert dispatcher.standings.own("amber") == 50 + granted.charged
+    assert dispatcher.usage.local_usage("amber") == 50 + granted.charged
 
 
 async def test_snapshot_ends_what_is_gone():
     """The end of a request or a withdrawal is lost."""
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1))
-    dispatcher.accept(INGRESS, Accept(grants(mesh)[1].grant))
-    dispatcher.register(INGRESS, register(2))
-    dispatcher.snapshot(INGRESS, Snapshot([], [], None, None, True))
-    assert (dispatcher.free, dispatcher.waiting) == (1, 0)
+    dispatcher.handle_register(INGRESS, register(1))
+    dispatcher.handle_accept(INGRESS, Accept(grants(mesh)[1].grant))
+    dispatcher.handle_register(INGRESS, register(2))
+    dispatcher.handle_snapshot(INGRESS, Snapshot([], [], None, None, True))
+    assert (dispatcher.free_slots, dispatcher.waiting) == (1, 0)
 
 
 async def test_moved_request_leaves_its_charge():
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1))
+    dispatcher.handle_register(INGRESS, register(1))
     number = grants(mesh)[1].grant
-    dispatcher.done(INGRESS, Done(number, 0.0, False, 0.0, 1, True))
-    assert (dispatcher.free, dispatcher.standings.own("amber")) == (1, 400)
+    dispatcher.handle_done(INGRESS, Done(number, 0.0, False, 0.0, 1, True))
+    assert (dispatcher.free_slots, dispatcher.usage.local_usage("amber")) == (1, 400)
 
 
 async def test_bad_costs_do_not_distort_the_shares():
@@ -214,17 +214,17 @@
         (1e300, 400 * LARGEST_COST_RATIO),
     ):
         dispatcher, mesh = make(slots=1)
-        dispatcher.register(INGRESS, register(1))
+        dispatcher.handle_register(INGRESS, register(1))
         number = grants(mesh)[1].grant
-        dispatcher.progress(INGRESS, Progress(number, 1, math.nan))
-        dispatcher.done(INGRESS, Done(number, cost, False, 1.0, 1))
-        assert dispatcher.standings.own("amber") == counted
-        assert dispatcher.free == 1
+        dispatcher.handle_progress(INGRESS, Progress(number, 1, math.nan))
+        dispatcher.handle_done(INGRESS, Done(number, cost, False, 1.0, 1))
+        assert dispatcher.usage.local_usage("amber") == counted
+        assert dispatcher.free_slots == 1
 
 
 @given(st.floats(), st.floats(0, 1e6), st.floats(0.001, 1e4))
 def test_bounded_cost_is_always_sane(cost, charged, hint):
-    bounded = bounded_cost(cost, charged, hint)
+    bounded = clamp_cost(cost, charged, hint)
     assert bounded == charged or 0 <= bounded <= LARGEST_COST_RATIO * hint
 
 
@@ -241,7 +241,7 @@
         body = register(1)
         for name, value in change.items():
             setattr(body, name, value)
-        dispatcher.register(INGRESS, body)
+        dispatcher.handle_register(INGRESS, body)
     assert (dispatcher.waiting, grants(mesh)) == (0, {})
 
 
@@ -250,23 +250,23 @@
     look as needy as if it had got a tenth.
     """
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1))
+    dispatcher.handle_register(INGRESS, register(1))
     number = grants(mesh)[1].grant
-    dispatcher.progress(INGRESS, Progress(number, 1, 3000.0))
-    assert dispatcher.standings.own("amber") == 3000
-    dispatcher.progress(INGRESS, Progress(number, 1, 100.0))
-    dispatcher.done(INGRESS, Done(number, 4000.0, False, 1.0, 1))
-    assert dispatcher.standings.own("amber") == 4000
+    dispatcher.handle_progress(INGRESS, Progress(number, 1, 3000.0))
+    assert dispatcher.usage.local_usage("amber") == 3000
+    dispatcher.handle_progress(INGRESS, Progress(number, 1, 100.0))
+    dispatcher.handle_done(INGRESS, Done(number, 4000.0, False, 1.0, 1))
+    assert dispatcher.usage.local_usage("amber") == 4000
 
 
 async def test_wrong_hints_are_learnt():
     dispatcher, mesh = make(slots=1)
     charged = []
     for number in range(1, 80):
-        dispatcher.register(INGRESS, register(number))
+        dispatcher.handle_register(INGRESS, register(number))
         granted = grants(mesh)[number]
         charged.append(granted.charged)
-        dispatcher.done(INGRESS, Done(granted.grant, 4000.0, False, 1.0, number))
+        dispatcher.handle_done(INGRESS, Done(granted.grant, 4000.0, False, 1.0, number))
     assert charged[0] == 400
     assert 3900 < charged[-1] <= 4000
 
@@ -276,11 +276,11 @@
     slots, and the endpoints would get twice what they can run.
     """
     dispatcher, mesh = make(slots=16)
-    dispatcher.set_regular(False)
+    dispatcher.set_assigned(False)
     for number in range(1, 17):
-        dispatcher.register(INGRESS, register(number))
+        dispatcher.handle_register(INGRESS, register(number))
     assert len(grants(mesh)) == 2
-    dispatcher.set_regular(True)
+    dispatcher.set_assigned(True)
     assert len(grants(mesh)) == 14
 
 
@@ -288,11 +288,11 @@
     """Summaries hold every slot of an engine; a lookup arrives."""
     dispatcher, mesh = make(slots=2, cost="tokens")
     for number in (1, 2, 3):
-        dispatcher.register(INGRESS, register(number))
+        dispatcher.handle_register(INGRESS, register(number))
     assert list(grants(mesh)) == [1, 2]
-    dispatcher.register(INGRESS, register(4, "birch", "lookup"))
+    dispatcher.handle_register(INGRESS, register(4, "birch", "lookup"))
     assert list(grants(mesh)) == [4]
-    dispatcher.register(INGRESS, register(5, "birch", "lookup"))
+    dispatcher.handle_register(INGRESS, register(5, "birch", "lookup"))
     assert grants(mesh) == {}
 
 
@@ -300,12 +300,12 @@
     """An organisation that is far ahead calls all its requests lookups."""
     dispatcher, mesh = make(slots=2, cost="tokens")
     for number in (1, 2, 3):
-        dispatcher.register(INGRESS, register(number, "birch"))
+        dispatcher.handle_register(INGRESS, register(number, "birch"))
     grants(mesh)
-    dispatcher.standings.charge("amber", 1e5)
-    dispatcher.register(INGRESS, register(4, "amber", "summary"))
-    dispatcher.standings.charge("amber", 1e5)
-    dispatcher.register(INGRESS, register(5, "amber", "lookup"))
+    dispatcher.usage.charge("amber", 1e5)
+    dispatcher.handle_register(INGRESS, register(4, "amber", "summary"))
+    dispatcher.usage.charge("amber", 1e5)
+    dispatcher.handle_register(INGRESS, register(5, "amber", "lookup"))
     assert grants(mesh) == {}
 
 
@@ -316,31 +316,31 @@
         dispatcher, mesh = make(slots=2, cost="tokens")
     finally:
         dispatcher_module.LATENCY_POLICY = policy
-    dispatcher.register(INGRESS, register(1, "amber"))
-    dispatcher.register(INGRESS, register(2, "birch"))
+    dispatcher.handle_register(INGRESS, register(1, "amber"))
+    dispatcher.handle_register(INGRESS, register(2, "birch"))
     granted = grants(mesh)
     for grant in granted.values():
-        dispatcher.accept(INGRESS, Accept(grant.grant))
-    dispatcher.standings.charge("birch", 1000)
-    dispatcher.register(INGRESS, register(3, "amber", "lookup"))
+        dispatcher.handle_accept(INGRESS, Accept(grant.grant))
+    dispatcher.usage.charge("birch", 1000)
+    dispatcher.handle_register(INGRESS, register(3, "amber", "lookup"))
     (asked,) = mesh.take("preempt")
     assert asked.body.grant == granted[2].grant
-    dispatcher.done(INGRESS, Done(granted[2].grant, 100.0, False, 1.0, 2))
+    dispatcher.handle_done(INGRESS, Done(granted[2].grant, 100.0, False, 1.0, 2))
     assert list(grants(mesh)) == [3]
 
 
 def test_every_latency_policy_is_found_and_grants_when_free():
     for name in LATENCY_POLICIES:
         policy = get_latency_policy_by_name(name)
-        assert policy.room(free=8, slots=8, above=0).value == "any"
-        assert policy.room(free=0, slots=8, above=8).value == "none"
+        assert policy.admission(free=8, slots=8, over_limit=0).value == "any"
+        assert policy.admission(free=0, slots=8, over_limit=8).value == "none"
 
 
 async def test_withdrawn_request_is_not_granted():
     dispatcher, mesh = make(slots=1)
-    dispatcher.register(INGRESS, register(1))
+    dispatcher.handle_register(INGRESS, register(1))
     number = grants(mesh)[1].grant
-    dispatcher.register(INGRESS, register(2))
-    dispatcher.withdraw(INGRESS, Withdraw(2))
-    dispatcher.done(INGRESS, Done(number, 1.0, False, 1.0, 1))
-    assert (dispatcher.free, dispatcher.waiting, grants(mesh)) == (1, 0, {})
+    dispatcher.handle_register(INGRESS, register(2))
+    dispatcher.handle_withdraw(INGRESS, Withdraw(2))
+    dispatcher.handle_done(INGRESS, Done(number, 1.0, False, 1.0, 1))
+    assert (dispatcher.free_slots, dispatcher.waiting, grants(mesh)) == (1, 0, {})
--- a/packages/router/tests/test_drain.py
+++ b/packages/router/tests/test_drain.py
@@ -92,7 +92,7 @@
     three.nodes["v1"].drain.start()
     await asyncio.sleep(0.5)
     for node in three.nodes.values():
-        listed = node.addresses.answer().as_json()["addresses"]
+        listed = node.addresses.resolve().as_json()["addresses"]
         assert [a["address"] for a in listed if a["address"] == "v1:2"] == []
         assert len(listed) == 2
 
@@ -172,12 +172,12 @@
 async def test_address_answers_spread_the_callers(three):
     """A fixed order would send every caller of a zone to the same router."""
     book = three.nodes["v1"].addresses
-    firsts = [book.answer("a").members[0].vm for _ in range(200)]
+    firsts = [book.resolve("a").members[0].vm for _ in range(200)]
     assert set(firsts) == {"v1", "v3"}
     assert 60 < firsts.count("v1") < 140
     # a caller of the other zone gets its own zone's router first
-    assert {book.answer("b").members[0].vm for _ in range(20)} == {"v2"}
-    assert {book.answer("nowhere").members[0].vm for _ in range(50)} == {"v1", "v3"}
+    assert {book.resolve("b").members[0].vm for _ in range(20)} == {"v2"}
+    assert {book.resolve("nowhere").members[0].vm for _ in range(50)} == {"v1", "v3"}
 
 
 async def test_loaded_router_is_named_first_less_often(three):
@@ -186,5 +186,5 @@
         replace(m, load=9.0 if m.vm == "v3" else 0.0) for m in node.membership.live()
     ]
     node.addresses._members = lambda: busy
-    firsts = [node.addresses.answer("a").members[0].vm for _ in range(200)]
+    firsts = [node.addresses.resolve("a").members[0].vm for _ in range(200)]
     assert firsts.count("v3") < 50
--- a/packages/router/tests/test_engineorders.py
+++ b/packages/router/tests/test_engineorders.py
@@ -9,12 +9,12 @@
 from teaselledge.process import engineorders
 from teaselledge.process.engineorders import (
     ENGINE_ORDERS_TABLE,
-    EngineOrders,
+    EngineOrderFailure,
+    EngineReconciler,
     EngineState,
-    OrderFailure,
     OrderRow,
     Target,
-    target_of,
+    desired_target,
 )
 from teaselledge.process.lease import LEASES_TABLE, Lease, LeaseRecord
 from teaselledge.version.document import Endpoint, Model, Service
@@ -57,7 +57,7 @@
     def land(self, number, target):
         """Carry an order out, as the engine of this deployment does."""
         if self.checks and number < self.highest:
-            return Error(OrderFailure.OLD_NUMBER)
+            return Error(EngineOrderFailure.OLD_NUMBER)
         undone = number < self.highest and target != self.target
         self.highest = max(self.highest, number)
         self.target = target
@@ -77,17 +77,19 @@
         outcomes = [Outcome("read", act)]
         return await self.engine.world.call(self.actor, "state", outcomes)
 
-    async def order(self, address, number, target):
+    async def set_target(self, address, number, target):
         """Give an order."""
         land = partial(self.engine.land, number, target)
 
         def lose():
             land()
-            return Error(OrderFailure.UNCERTAIN)
+            return Error(EngineOrderFailure.UNCERTAIN)
 
         outcomes = [
             Outcome("taken", land),
-            Outcome("no connection", lambda: Error(OrderFailure.REFUSED), REFUSED),
+            Outcome(
+                "no connection", lambda: Error(EngineOrderFailure.REFUSED), REFUSED
+            ),
             Outcome("answer lost", lose, "engine"),
         ]
         label = f"order {number} {target.models}"
@@ -105,7 +107,7 @@
     return not any(f.label.startswith(f"{holder} order") for f in world._floating)
 
 
-def holders(checks_fencing, orders_class=EngineOrders, wants=("1", "2")):
+def holders(checks_fencing, orders_class=EngineReconciler, wants=("1", "2")):
     def setup(world):
         engine = Engine(world, checks_fencing)
         world.engine = engine
@@ -121,8 +123,8 @@
         )
         wanted = service(version, checks_fencing)
         for _ in range(ROUNDS[actor]):
-            if await lease.step() is not None:
-                await orders.bring("s", wanted, "e")
+            if await lease.acquire_or_renew() is not None:
+                await orders.reconcile_engine("s", wanted, "e")
             await asyncio.sleep(LEASE_SECONDS)
 
     return setup
@@ -145,7 +147,7 @@
         assert not floating, f"closed, but still under way: {floating}"
 
 
-def explored(name, checks, budget, orders_class=EngineOrders):
+def explored(name, checks, budget, orders_class=EngineReconciler):
     found = explore(holders(checks, orders_class), check, budget)
     print(f"{name}: {found.states} states, {found.runs} runs, {found.ends} ends")
     return found
@@ -187,7 +189,7 @@
     raise AssertionError("the broken holder passed")
 
 
-class HastyOrders(EngineOrders):
+class HastyOrders(EngineReconciler):
     """Orders at once, though the engine ignores numbers."""
 
     def _must_wait(self, service, key, last, target):
@@ -201,18 +203,18 @@
     must_see(HastyOrders, "undid")
 
 
-class TrustingOrders(EngineOrders):
+class TrustingOrders(EngineReconciler):
     """Trusts its clock instead of the record's condition."""
 
     async def _order(self, service, key, address, row, target):
         held = self._lease.held
         if held is None:
-            return engineorders.Progress.FAILED
-        await self._admin.order(address, held.number + 1, target)
+            return engineorders.ReconcileResult.FAILED
+        await self._admin.set_target(address, held.number + 1, target)
         entry = OrderRow(self._lease.holder, held.number + 1, target, False)
         write = Write(ENGINE_ORDERS_TABLE, key, entry.encode(), ANY)
         await self._tables.commit([write])
-        return engineorders.Progress.LOADING
+        return engineorders.ReconcileResult.LOADING
 
 
 def test_holder_that_trusts_its_clock_is_caught():
@@ -229,4 +231,4 @@
         {},
         models={"a": Model("v1", ("french",)), "b": Model("v2")},
     )
-    assert target_of(wanted, "e") == Target("prefill", ("a@v1+french", "b@v2"))
+    assert desired_target(wanted, "e") == Target("prefill", ("a@v1+french", "b@v2"))
--- a/packages/router/tests/test_exchange.py
+++ b/packages/router/tests/test_exchange.py
@@ -9,13 +9,13 @@
     ADOPT_SECONDS,
     FIRST_SEQUENCES,
     VIEW_SECONDS,
-    Exchange,
+    UsageExchange,
 )
 from teaselledge.process.member import Member
-from teaselledge.process.mesh import Origin, message
+from teaselledge.process.mesh import Origin, make_message
 from teaselledge.process.placement import Placement, Shard
 from teaselledge.process.preset import get_preset_by_name
-from teaselledge.process.standing import Standings
+from teaselledge.process.standing import UsageAccounts
 from teaselledge.version.document import (
     Document,
     Endpoint,
@@ -46,14 +46,14 @@
 
 
 def make(zone="a", incarnation=100, debt=1e9):
-    standings = Standings(debt)
+    standings = UsageAccounts(debt)
     mesh = RecordingMesh(f"vm-{zone}")
     placement = Placement(lambda: MEMBERS)
     shard = Shard("service", zone)
-    made = Exchange(shard, mesh, standings, placement, NullMetrics(), incarnation)
+    made = UsageExchange(shard, mesh, standings, placement, NullMetrics(), incarnation)
     doc = document()
-    standings.use(doc.organisations)
-    made.use(doc)
+    standings.set_organisations(doc.organisations)
+    made.apply_document(doc)
     return made, standings, mesh
 
 
@@ -81,20 +81,20 @@
         random.shuffle(kept)
         last = 0.0
         for body in [*kept, told[-1]]:
-            exchange.receive(origin(), body)
+            exchange.handle_report(origin(), body)
             # what was counted once must not be taken back by an older report
-            assert standings.of("amber") >= last
-            last = standings.of("amber")
-        assert abs(standings.of("amber") - 490.0) < 1e-6
+            assert standings.normalised_usage("amber") >= last
+            last = standings.normalised_usage("amber")
+        assert abs(standings.normalised_usage("amber") - 490.0) < 1e-6
 
 
 async def test_restart_neither_loses_nor_doubles_service():
     """A dispatcher dies and comes back as a new incarnation that counts from 0."""
     exchange, standings, _ = make()
-    exchange.receive(origin(), report(1, {"amber": 500.0}))
-    exchange.receive(origin(), report(1, {"amber": 100.0}, incarnation=202))
-    exchange.receive(origin(), report(9, {"amber": 500.0}, standing=600.0))
-    assert abs(standings.of("amber") - 600.0) < 1e-6
+    exchange.handle_report(origin(), report(1, {"amber": 500.0}))
+    exchange.handle_report(origin(), report(1, {"amber": 100.0}, incarnation=202))
+    exchange.handle_report(origin(), report(9, {"amber": 500.0}, standing=600.0))
+    assert abs(standings.normalised_usage("amber") - 600.0) < 1e-6
 
 
 async def test_new_dispatcher_takes_standings_over():
@@ -103,25 +103,33 @@
     """
     exchange, standings, _ = make()
     late = FIRST_SEQUENCES + 1000
-    exchange.receive(origin(), report(late, {"amber": 9e6}, standing=5000.0))
-    assert standings.of("amber") == 5000.0
-    exchange.receive(origin(), report(late + 1, {"amber": 9e6 + 10}, standing=5010.0))
-    assert abs(standings.of("amber") - 5010.0) < 1e-6
+    exchange.handle_report(origin(), report(late, {"amber": 9e6}, standing=5000.0))
+    assert standings.normalised_usage("amber") == 5000.0
+    exchange.handle_report(
+        origin(), report(late + 1, {"amber": 9e6 + 10}, standing=5010.0)
+    )
+    assert abs(standings.normalised_usage("amber") - 5010.0) < 1e-6
 
 
 async def test_growth_of_an_hour_is_bounded_by_the_debt():
     """A split lasts an hour; afterwards one report tells all that was served."""
     exchange, standings, _ = make(debt=300.0)
-    exchange.receive(origin(), report(1, {"amber": 0.0, "birch": 0.0}))
-    exchange.receive(origin(), report(2, {"amber": 1e7, "birch": 0.0}, standing=0.0))
-    assert 0 < standings.of("amber") - standings.of("birch") <= 300.0
+    exchange.handle_report(origin(), report(1, {"amber": 0.0, "birch": 0.0}))
+    exchange.handle_report(
+        origin(), report(2, {"amber": 1e7, "birch": 0.0}, standing=0.0)
+    )
+    assert (
+        0
+        < standings.normalised_usage("amber") - standings.normalised_usage("birch")
+        <= 300.0
+    )
 
 
 async def test_bad_accounts_are_refused():
     """A peer of a broken release, or with another document, reports nonsense."""
     exchange, standings, _ = make(debt=300.0)
-    exchange.receive(origin(), report(1, {"amber": 50.0}))
-    before = standings.of("amber")
+    exchange.handle_report(origin(), report(1, {"amber": 50.0}))
+    before = standings.normalised_usage("amber")
     for sequence, bad in enumerate(
         [
             {"nobody": 10.0},
@@ -132,8 +140,8 @@
         ],
         start=2,
     ):
-        exchange.receive(origin(), report(sequence, bad))
-        assert standings.of("amber") == before
+        exchange.handle_report(origin(), report(sequence, bad))
+        assert standings.normalised_usage("amber") == before
     for body in (
         Report("b", None, 1, [], 0),
         Report("b", 200, None, [], 0),
@@ -141,17 +149,17 @@
         Report("b", 300, 1, None, None),
         report(90, {"amber": None}),
     ):
-        exchange.receive(origin(), body)
-    assert standings.of("amber") == before
+        exchange.handle_report(origin(), body)
+    assert standings.normalised_usage("amber") == before
 
 
 async def test_counter_that_ran_backwards_counts_on():
     exchange, standings, _ = make(debt=300.0)
-    exchange.receive(origin(), report(1, {"birch": 5000.0, "amber": 5000.0}))
-    exchange.receive(origin(), report(2, {"amber": 10.0}))
-    before = standings.of("amber")
-    exchange.receive(origin(), report(3, {"amber": 30.0}, standing=before + 20))
-    assert abs(standings.of("amber") - before - 20) < 1e-6
+    exchange.handle_report(origin(), report(1, {"birch": 5000.0, "amber": 5000.0}))
+    exchange.handle_report(origin(), report(2, {"amber": 10.0}))
+    before = standings.normalised_usage("amber")
+    exchange.handle_report(origin(), report(3, {"amber": 30.0}, standing=before + 20))
+    assert abs(standings.normalised_usage("amber") - before - 20) < 1e-6
 
 
 async def test_report_is_due_by_quantum_and_by_interval():
@@ -180,7 +188,7 @@
     exchange, standings, mesh = make()
     names = [f"org-{i}" for i in range(750)]
     organisations = {name: Organisation(1.0, (), ()) for name in names}
-    standings.use(organisations)
+    standings.set_organisations(organisations)
     loop = asyncio.get_running_loop()
     sent = 0
     for _ in range(200):
@@ -189,7 +197,7 @@
             exchange.charge(name, 50.0)
         exchange.tick(loop.time())
         near = [s for s in mesh.take("report") if s.body.region is None]
-        sent += sum(len(encode([message("report", s.body)], 1)) for s in near)
+        sent += sum(len(encode([make_message("report", s.body)], 1)) for s in near)
     limit = get_preset_by_name("fairness").report_bytes
     assert limit / 3 < sent / 10.0 < 1.1 * limit
 
@@ -199,7 +207,7 @@
     organisations would hold the lowest standing without being served.
     """
     exchange, standings, _ = make()
-    exchange.receive(origin(), report(1, {"amber": 0.0}, waiting=3))
+    exchange.handle_report(origin(), report(1, {"amber": 0.0}, waiting=3))
     assert list(standings.backlogged) == ["amber"]
     await asyncio.sleep(VIEW_SECONDS + 0.1)
     exchange.tick(asyncio.get_running_loop().time())
@@ -210,10 +218,10 @@
     speakers = []
     for zone in ("a", "b"):
         exchange, _, mesh = make(zone)
-        exchange.note_waiting("amber")
-        exchange._standings.add_waiting("amber", 1)
+        exchange.mark_waiting_changed("amber")
+        exchange._standings.add_local_waiting("amber", 1)
         exchange.charge("amber", 40.0)
-        exchange.receive(
+        exchange.handle_report(
             origin("b" if zone == "a" else "a"),
             report(1, {"amber": 60.0}, zone="b" if zone == "a" else "a"),
         )
@@ -227,7 +235,7 @@
         # the sum of the other region goes on to the zone that does not speak
         body = report(1, {"amber": 5.0}, zone="c", incarnation=301)
         body.region = "far"
-        exchange.receive(Origin("vm-c", 9), body)
+        exchange.handle_report(Origin("vm-c", 9), body)
         relayed = [s for s in mesh.take("report") if s.body.region == "far"]
         assert bool(relayed) == bool(far)
     assert len(speakers) == 1
@@ -242,6 +250,8 @@
     standings.charge("amber", 1000.0)
     for sequence in range(1, 60):
         await asyncio.sleep(0.2)
-        exchange.receive(origin(), report(sequence, {"amber": 0.0}, standing=200.0))
+        exchange.handle_report(
+            origin(), report(sequence, {"amber": 0.0}, standing=200.0)
+        )
     # its own service of 1000 was never reported here, so it is added on top
-    assert abs(standings.of("amber") - 1200.0) < 20
+    assert abs(standings.normalised_usage("amber") - 1200.0) < 20
--- a/packages/router/tests/test_follow.py
+++ b/packages/router/tests/test_follow.py
@@ -4,7 +4,7 @@
 from contextlib import asynccontextmanager
 
 from teaselledge.platform import ANY, Write
-from teaselledge.process.mesh import message
+from teaselledge.process.mesh import make_message
 from teaselledge.version.head import CONFIG_TABLE, HEAD_KEY
 from teaselledge.version.store import plain_writes
 from teaselledge_standins.tables import MemoryTables
@@ -161,7 +161,7 @@
     seen = watch(fleet)
     fleet.tables.apply([Write(CONFIG_TABLE, HEAD_KEY, old.value, ANY)])
     for vm in fleet.nodes:
-        stale = message("head_notice", HeadNotice(1, old.value, 0))
+        stale = make_message("head_notice", HeadNotice(1, old.value, 0))
         fleet.nodes["vm-0"].mesh.send(vm, stale)
     await asyncio.sleep(12)
     assert numbers(fleet) == {3}
--- a/packages/router/tests/test_ingress.py
+++ b/packages/router/tests/test_ingress.py
@@ -3,11 +3,16 @@
 import asyncio
 
 from teaselledge.errors import ErrorKind, Ran
-from teaselledge.process.holding import digest_of
-from teaselledge.process.ingress import SUSPECT_SECONDS, Ingress, IngressLimits, Ticket
+from teaselledge.process.holding import digest_of_requests
+from teaselledge.process.ingress import (
+    REPLY_TIMEOUT_SECONDS,
+    Ingress,
+    IngressLimits,
+    SlotRequest,
+)
 from teaselledge.process.member import Member
-from teaselledge.process.mesh import Origin, message
-from teaselledge.process.placement import Shard, dispatcher_of
+from teaselledge.process.mesh import Origin, make_message
+from teaselledge.process.placement import Shard, select_dispatcher
 from teaselledge.version.document import (
     Document,
     Endpoint,
@@ -53,13 +58,13 @@
     def ask(self, organisation="amber", seconds=60.0, **options):
         """Ask for a slot and return the task that waits for it."""
         deadline = asyncio.get_running_loop().time() + seconds
-        ticket = Ticket(organisation, "service", "work", 10.0, deadline, **options)
+        ticket = SlotRequest(organisation, "service", "work", 10.0, deadline, **options)
         return asyncio.create_task(self.ingress.acquire(ticket))
 
     def grant(self, request, number=1, origin=OTHER, incarnation=11, zone="here"):
         """Deliver a grant."""
         body = Grant(request, number, "e-0", 10.0, incarnation)
-        self.mesh.deliver(origin, message("grant", body, "service", zone))
+        self.mesh.deliver(origin, make_message("grant", body, "service", zone))
 
     def requests(self):
         """Return the numbers of the requests that were registered since."""
@@ -209,16 +214,16 @@
     both = [*bench.members, Member("vm-4", "here", "region", incarnation=44)]
     bench.members = both
     shard = Shard("service", "here")
-    deaf = dispatcher_of(DOCUMENT, shard, both).vm
+    deaf = select_dispatcher(DOCUMENT, shard, both).vm
     runner = asyncio.create_task(bench.ingress.run())
     task = bench.ask()
-    await asyncio.sleep(SUSPECT_SECONDS + 1.5)
+    await asyncio.sleep(REPLY_TIMEOUT_SECONDS + 1.5)
     full = [s for s in bench.mesh.take("snapshot") if s.body.full]
     assert [s.vm for s in full] == [({"vm-2", "vm-4"} - {deaf}).pop()]
     # the deaf one is probed, and used again when it answers
     await asyncio.sleep(1.1)
     assert deaf in {s.vm for s in bench.mesh.take("snapshot")}
-    reply = message("snapshot_reply", SnapshotReply(False), "service", "here")
+    reply = make_message("snapshot_reply", SnapshotReply(False), "service", "here")
     bench.mesh.deliver(Origin(deaf, 1), reply)
     await asyncio.sleep(0.25)
     full = [s for s in bench.mesh.take("snapshot") if s.body.full]
@@ -234,9 +239,9 @@
     first, second = bench.requests()
     bench.grant(first)
     await tasks[0]
-    bench.ingress.compare()
+    bench.ingress.send_digests()
     (sent,) = bench.mesh.take("snapshot")
-    digest = digest_of([first, second])
+    digest = digest_of_requests([first, second])
     assert (sent.body.count, sent.body.digest) == (2, digest.value)
     assert (sent.body.waiting, sent.body.running) == ([], [])
     tasks[1].cancel()
@@ -249,7 +254,7 @@
     bench.grant(bench.requests()[0])
     granted = (await task).ok
     for cost in range(0, 200, 5):
-        bench.ingress.progress(granted, float(cost))
+        bench.ingress.report_cost(granted, float(cost))
     assert [s.body.cost for s in bench.mesh.take("progress")] == [20, 35, 55, 85, 130]
 
 
@@ -259,7 +264,7 @@
     await asyncio.sleep(0)
     bench.grant(bench.requests()[0], 9)
     granted = (await task).ok
-    bench.mesh.deliver(OTHER, message("preempt", Preempt(8), "service", "here"))
+    bench.mesh.deliver(OTHER, make_message("preempt", Preempt(8), "service", "here"))
     assert not granted.preempted.is_set()
-    bench.mesh.deliver(OTHER, message("preempt", Preempt(9), "service", "here"))
+    bench.mesh.deliver(OTHER, make_message("preempt", Preempt(9), "service", "here"))
     assert granted.preempted.is_set()
--- a/packages/router/tests/test_lease.py
+++ b/packages/router/tests/test_lease.py
@@ -27,15 +27,15 @@
 
 async def test_one_of_two_racing_holders_gets_it(tables):
     a, b = lease(tables, "a"), lease(tables, "b")
-    held = await asyncio.gather(a.step(), b.step())
+    held = await asyncio.gather(a.acquire_or_renew(), b.acquire_or_renew())
     assert [h is not None for h in held].count(True) == 1
 
 
 async def test_renewed_lease_is_not_taken_over(tables):
     a, b = lease(tables, "a"), lease(tables, "b")
     for _ in range(20):
-        assert await a.step() is not None
-        assert await b.step() is None
+        assert await a.acquire_or_renew() is not None
+        assert await b.acquire_or_renew() is None
         await asyncio.sleep(3.0)
     assert record(tables).number == 1
 
@@ -45,10 +45,10 @@
     its writes must not land beside those of its successor.
     """
     a, b = lease(tables, "a"), lease(tables, "b")
-    first = await a.step()
-    await b.step()
+    first = await a.acquire_or_renew()
+    await b.acquire_or_renew()
     await asyncio.sleep(11.0)
-    second = await b.step()
+    second = await b.acquire_or_renew()
     assert second.number > first.number
     late = await a.commit([Write(*ROW, b"a", 0)], first.number + 1)
     assert late.is_error()
@@ -64,7 +64,7 @@
     """
     a = lease(tables, "a")
     tables.faults.lose_answers = 1
-    assert await a.step() is not None
+    assert await a.acquire_or_renew() is not None
     tables.faults.lose_answers = 1
     assert (await a.commit([Write(*ROW, b"a", 0)], 5)).is_ok()
     assert record(tables).number == 5
@@ -73,21 +73,21 @@
 
 async def test_released_lease_is_free_at_once_and_keeps_its_number(tables):
     a, b = lease(tables, "a"), lease(tables, "b")
-    first = await a.step()
+    first = await a.acquire_or_renew()
     await a.release()
-    second = await b.step()
+    second = await b.acquire_or_renew()
     assert second.number > first.number
 
 
 async def test_store_out_of_reach_ends_the_lease_on_the_holders_own_clock(tables):
     """The holder can't renew. It must stop before others may take over."""
     a = lease(tables, "a")
-    await a.step()
+    await a.acquire_or_renew()
     tables.faults.down = True
     await asyncio.sleep(9.0)
     assert a.held is not None
-    await a.step()
+    await a.acquire_or_renew()
     await asyncio.sleep(1.1)
     assert a.held is None
     tables.faults.down = False
-    assert await a.step() is not None
+    assert await a.acquire_or_renew() is not None
--- a/packages/router/tests/test_leaving.py
+++ b/packages/router/tests/test_leaving.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from teaselledge.errors import ErrorKind
-from teaselledge.process.leaving import Reason
+from teaselledge.process.endpointstatus import EndpointStatus
 from teaselledge_standins.virtual.fleet import (
     VirtualPlan,
     VirtualService,
@@ -30,8 +30,8 @@
         for i in range(4):
             assert (await fleet.call("v1", "org", "s", "work", f"x{i}", 0.1)).right
         await asyncio.sleep(1.0)
-        blocked = [n.membership.leaving_endpoints() for n in fleet.nodes.values()]
-        assert blocked == [{("s", "s-0"): Reason.REFUSED}] * 2
+        blocked = [n.membership.blocked_endpoints() for n in fleet.nodes.values()]
+        assert blocked == [{("s", "s-0"): EndpointStatus.REFUSED}] * 2
 
 
 async def test_requests_wait_while_the_model_loads_and_no_longer_than_they_may():
@@ -45,19 +45,19 @@
             for endpoint in ("s-0", "s-1"):
                 member.report_endpoint("s", endpoint, reason)
 
-        tell(Reason.LOADING)
+        tell(EndpointStatus.LOADING)
         await asyncio.sleep(1.0)
         call = fleet.call("v1", "org", "s", "work", "x", 0.1)
         waiting = asyncio.create_task(call)
         for _ in range(6):
             await asyncio.sleep(2.0)
-            tell(Reason.LOADING)
+            tell(EndpointStatus.LOADING)
         assert not waiting.done()
-        tell(Reason.BACK)
+        tell(EndpointStatus.BACK)
         outcome = await waiting
         assert outcome.right and 12.0 <= outcome.seconds < 15.0
         for _ in range(40):
-            tell(Reason.LOADING)
+            tell(EndpointStatus.LOADING)
             await asyncio.sleep(2.0)
             if not waiting.done():
                 continue
@@ -75,7 +75,7 @@
     """
     async with running_virtual_fleet(PLAN) as fleet:
         loop = asyncio.get_running_loop()
-        fleet.nodes["v1"].membership.report_endpoint("s", "s-0", Reason.LEAVING)
+        fleet.nodes["v1"].membership.report_endpoint("s", "s-0", EndpointStatus.LEAVING)
         told = loop.time()
         for i in range(40):
             vm = f"v{1 + i % 2}"
--- a/packages/router/tests/test_liveness.py
+++ b/packages/router/tests/test_liveness.py
@@ -2,7 +2,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from teaselledge.process.liveness import REVIVE_BEATS, Change, State, View
+from teaselledge.process.liveness import REFUTE_BEATS, Change, MembershipView, State
 from teaselledge_wire.gen.router.ttypes import Rumour
 
 
@@ -15,7 +15,7 @@
     under way in a paused router and arrives afterwards. Work given to the dead
     would wait until it is declared dead again.
     """
-    view = View()
+    view = MembershipView()
     view.merge(rumour(100, State.ALIVE), 0.0)
     view.merge(rumour(100, State.DEAD), 1.0)
     assert view.merge(rumour(101, State.ALIVE), 2.0) is Change.NONE
@@ -23,10 +23,10 @@
 
 
 def test_a_router_that_was_cut_off_is_revived_by_its_own_later_beat():
-    view = View()
+    view = MembershipView()
     view.merge(rumour(100, State.ALIVE), 0.0)
     view.merge(rumour(100, State.DEAD), 1.0)
-    assert view.merge(rumour(100 + REVIVE_BEATS, State.ALIVE), 9.0) is Change.NEWS
+    assert view.merge(rumour(100 + REFUTE_BEATS, State.ALIVE), 9.0) is Change.UPDATED
     assert view.current("a").state is State.ALIVE
 
 
@@ -34,7 +34,7 @@
     """The word that a router leaves overtakes its earlier beats, which still say
     that it stays. If they won, callers would be sent to it until it closes.
     """
-    view = View()
+    view = MembershipView()
     view.merge(rumour(5, State.ALIVE), 0.0)
     view.merge(rumour(6, State.ALIVE, leaving=True), 1.0)
     view.merge(rumour(7, State.ALIVE, leaving=False), 2.0)
@@ -45,7 +45,7 @@
     """A router restarts empty under its old name while the others still spread
     that its earlier process is dead or leaves.
     """
-    view = View()
+    view = MembershipView()
     view.merge(rumour(50, State.ALIVE, incarnation=1), 0.0)
     view.merge(rumour(1, State.ALIVE, incarnation=2), 1.0)
     view.merge(rumour(50, State.DEAD, incarnation=1), 2.0)
@@ -56,7 +56,7 @@
 
 def test_incarnations_kept_are_bounded():
     """A process that restarts in a loop would otherwise fill every router."""
-    view = View()
+    view = MembershipView()
     for incarnation in range(1, 100):
         view.merge(rumour(1, State.ALIVE, incarnation), 0.0)
     assert len(list(view.records())) <= 4
@@ -77,15 +77,15 @@
 
 @given(NEWS)
 def test_repeating_news_changes_nothing(news):
-    view = View()
+    view = MembershipView()
     for one in news:
         view.merge(one, 0.0)
-        assert view.merge(one, 0.0) is not Change.NEWS
+        assert view.merge(one, 0.0) is not Change.UPDATED
 
 
 @given(NEWS)
 def test_beats_never_fall_and_the_dead_need_a_far_higher_beat(news):
-    view = View()
+    view = MembershipView()
     for one in news:
         old = view.find("a", one.incarnation)
         view.merge(one, 0.0)
@@ -95,4 +95,4 @@
         assert new.beat >= old.beat
         assert new.member.leaving or not old.member.leaving
         if old.state is State.DEAD and new.state is not State.DEAD:
-            assert new.beat >= old.beat + REVIVE_BEATS
+            assert new.beat >= old.beat + REFUTE_BEATS
--- a/packages/router/tests/test_membership.py
+++ b/packages/router/tests/test_membership.py
@@ -4,7 +4,7 @@
 from contextlib import asynccontextmanager
 from itertools import pairwise
 
-from teaselledge.process.leaving import Reason
+from teaselledge.process.endpointstatus import EndpointStatus
 from teaselledge_standins.virtual.members import running_members
 
 VIRTUAL_CLOCK = True
@@ -34,7 +34,7 @@
 
 
 async def test_own_word_of_leaving_reaches_everyone(many):
-    many.members["vm-007"].leave()
+    many.members["vm-007"].announce_leaving()
     await until(lambda: many.staying("vm-007") == 0, NO_NEW_WORK_SECONDS)
 
 
@@ -94,7 +94,7 @@
     """A process restarts empty while the others still remember its predecessor,
     whose leaving was announced. The successor must be known as staying.
     """
-    eight.members["vm-003"].leave()
+    eight.members["vm-003"].announce_leaving()
     await asyncio.sleep(1.0)
     eight.kill("vm-003")
     eight.start("vm-003", "z0")
@@ -146,11 +146,11 @@
     for one, other in (("vm-001", "vm-002"), ("vm-002", "vm-001")):
         view = eight.members[one]
         assert other in {member.vm for member in view.live()}
-        assert other not in {member.vm for member in view.usable()}
+        assert other not in {member.vm for member in view.reachable_members()}
     assert all(len(member.live()) == 8 for member in eight.members.values())
     eight.network.heal()
     await asyncio.sleep(5.0)
-    assert all(len(member.usable()) == 8 for member in eight.members.values())
+    assert all(len(member.reachable_members()) == 8 for member in eight.members.values())
 
 
 async def test_paused_router_does_not_bury_the_others(eight):
@@ -193,11 +193,11 @@
     """
     calls = []
     many.members["vm-020"].on_change(lambda: calls.append(1))
-    many.members["vm-001"].report_endpoint("models", "e1", Reason.REFUSED)
+    many.members["vm-001"].report_endpoint("models", "e1", EndpointStatus.REFUSED)
 
     def blocked():
         return sum(
-            ("models", "e1") in m.leaving_endpoints() for m in many.members.values()
+            ("models", "e1") in m.blocked_endpoints() for m in many.members.values()
         )
 
     await until(lambda: blocked() == 24, NO_NEW_WORK_SECONDS)
@@ -207,9 +207,9 @@
 
 
 async def test_endpoint_that_leaves_by_its_own_word_stays_away(many):
-    many.members["vm-001"].report_endpoint("models", "e1", Reason.LEAVING)
+    many.members["vm-001"].report_endpoint("models", "e1", EndpointStatus.LEAVING)
     await asyncio.sleep(1.0)
-    many.members["vm-002"].report_endpoint("models", "e1", Reason.BACK)
+    many.members["vm-002"].report_endpoint("models", "e1", EndpointStatus.BACK)
     await asyncio.sleep(60.0)
-    views = [m.leaving_endpoints() for m in many.members.values()]
-    assert all(view == {("models", "e1"): Reason.LEAVING} for view in views)
+    views = [m.blocked_endpoints() for m in many.members.values()]
+    assert all(view == {("models", "e1"): EndpointStatus.LEAVING} for view in views)
--- a/packages/router/tests/test_objectives.py
+++ b/packages/router/tests/test_objectives.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from teaselledge.process import objectives as module
-from teaselledge.process.objectives import Objectives
+from teaselledge.process.objectives import ObjectiveTracker
 from teaselledge.process.sketches import (
     add_seconds,
     add_sketch,
@@ -48,7 +48,7 @@
 
 
 async def test_events_are_good_by_time_and_outcome(version):
-    counted = Objectives(lambda: version)
+    counted = ObjectiveTracker(lambda: version)
     for seconds, failed in ((0.2, False), (0.8, False), (1.2, False), (0.1, True)):
         counted.record("amber", "models", "work", seconds, failed)
         counted.record("birch", "models", "work", seconds, failed)
@@ -63,7 +63,7 @@
 
 async def test_windows_forget_what_is_older(version):
     """Failures of the morning must not burn the budget of the evening."""
-    counted = Objectives(lambda: version)
+    counted = ObjectiveTracker(lambda: version)
     for hour in range(100):
         counted.record("amber", "models", "work", 0.1, hour == 0)
         counts = entries(counted)["amber"]["counts"]
@@ -76,7 +76,7 @@
 
 async def test_windows_agree_with_a_plain_list(version):
     """Differential: the rings against a list of all events."""
-    counted = Objectives(lambda: version)
+    counted = ObjectiveTracker(lambda: version)
     random = Random(5)
     events = []
     loop = asyncio.get_running_loop()
@@ -100,13 +100,13 @@
 
     The report of the new one shows how little time it covers.
     """
-    counted = Objectives(lambda: version)
+    counted = ObjectiveTracker(lambda: version)
     counted.start()
     counted.record("amber", "models", "work", 0.1, True)
     await asyncio.sleep(DAY)
     assert counted.report()["uptime"] == DAY
     assert entries(counted)["amber"]["budget"] == (0, 1)
-    again = Objectives(lambda: version)
+    again = ObjectiveTracker(lambda: version)
     again.start()
     await asyncio.sleep(60)
     assert again.report() == {"uptime": 60.0, "evicted": 0, "series": []}
@@ -114,7 +114,7 @@
 
 async def test_many_organisations_are_bounded_and_the_loss_is_told(version):
     """Organisations come and go until the memory for counts is full."""
-    counted = Objectives(lambda: version)
+    counted = ObjectiveTracker(lambda: version)
     for i in range(module.MAX_SERIES + 30):
         counted.record(f"org-{i}", "models", "work", 0.1, False)
     report = counted.report()
@@ -124,7 +124,7 @@
 
 async def test_an_objective_that_is_removed_is_no_longer_reported(version):
     current = [version]
-    counted = Objectives(lambda: current[0])
+    counted = ObjectiveTracker(lambda: current[0])
     counted.record("amber", "models", "work", 0.1, False)
     document = version.document
     current[0] = Version(
--- a/packages/router/tests/test_peer.py
+++ b/packages/router/tests/test_peer.py
@@ -11,9 +11,9 @@
 from teaselledge.connection import peer
 from teaselledge.connection.peer import PeerMesh
 from teaselledge.metrics import NullMetrics
-from teaselledge.process.mesh import Origin, message
+from teaselledge.process.mesh import Origin, make_message
 from teaselledge.process.settings import Listener
-from teaselledge.process.tls import client_context, server_context, warn_of_plain
+from teaselledge.process.tls import client_context, server_context, warn_if_plaintext
 from teaselledge_standins.certificates import Authority
 from teaselledge_wire.codec import encode
 from teaselledge_wire.frame import MAX_FRAME, pack
@@ -57,7 +57,7 @@
 
 
 def beat(number):
-    return message("beat", Beat(number, 0, 1, 0.0, False, False))
+    return make_message("beat", Beat(number, 0, 1, 0.0, False, False))
 
 
 async def until(condition, seconds=3.0):
@@ -88,7 +88,7 @@
 
 def hello(vm, receiver=None, incarnation=1):
     body = Heartbeat(vm=vm, receiver=receiver)
-    return pack(encode([message("heartbeat", body)], incarnation))
+    return pack(encode([make_message("heartbeat", body)], incarnation))
 
 
 async def closes(reader):
@@ -254,7 +254,7 @@
     half = SectionAnswer({"x": b"0" * (MAX_FRAME // 2)})
     over = SectionAnswer({"x": b"0" * (MAX_FRAME + 1)})
     for body in (half, half, over, half):
-        a.mesh.send("b", message("section_answer", body))
+        a.mesh.send("b", make_message("section_answer", body))
     a.mesh.send("b", beat(1))
     await until(lambda: b.got == [("a", 1)], 10.0)
     assert a.metrics.counts["peer.dropped_messages"] == 1
@@ -334,8 +334,8 @@
 def test_listener_without_tls_beyond_loopback_is_told_loudly():
     lines = []
     sink = loguru.logger.add(lambda line: lines.append(str(line)), level="WARNING")
-    assert not warn_of_plain("peers'", Listener("127.0.0.1", 1))
+    assert not warn_if_plaintext("peers'", Listener("127.0.0.1", 1))
     assert not lines
-    assert warn_of_plain("peers'", Listener("0.0.0.0", 1))
+    assert warn_if_plaintext("peers'", Listener("0.0.0.0", 1))
     assert "has no TLS" in lines[0]
     loguru.logger.remove(sink)
--- a/packages/router/tests/test_pool.py
+++ b/packages/router/tests/test_pool.py
@@ -1,10 +1,10 @@
 """Tests of the choice among a shard's endpoints."""
 
 from teaselledge.process.affinity import CacheEvent
-from teaselledge.process.health import HealthLimits
+from teaselledge.process.health import OutlierDetectionConfig
 from teaselledge.process.loadreport import LoadReport
 from teaselledge.process.placement import Shard
-from teaselledge.process.pool import HINT_SECONDS, Pool
+from teaselledge.process.pool import BLOCKED_TTL_SECONDS, EndpointPool
 from teaselledge.version.document import Document, Endpoint, Kind, Service, Zone
 from teaselledge_wire.gen.router.ttypes import Register
 
@@ -34,7 +34,7 @@
 
 def make(zones=None, clock=None):
     zones = zones or {"a": "z", "b": "z", "c": "y"}
-    return Pool(Shard("s", "z"), document(zones), clock or Clock())
+    return EndpointPool(Shard("s", "z"), document(zones), clock or Clock())
 
 
 def request(prefix=None, excluded=()):
@@ -43,23 +43,23 @@
 
 def fail(pool, *endpoints):
     for endpoint in endpoints:
-        for _ in range(HealthLimits().failures):
-            pool.take(endpoint)
-            pool.give_back(endpoint, True, 0.0)
+        for _ in range(OutlierDetectionConfig().consecutive_failures):
+            pool.acquire(endpoint)
+            pool.release(endpoint, True, 0.0)
 
 
 def test_the_endpoint_with_most_room_is_chosen():
     pool = make()
-    pool.take("a")
+    pool.acquire("a")
     assert pool.choose(request()) == "b"
-    assert pool.free == 2 * SLOTS - 1
+    assert pool.free_slots == 2 * SLOTS - 1
 
 
 def test_none_is_chosen_without_room():
     pool = make()
     for _ in range(SLOTS):
-        pool.take("a")
-        pool.take("b")
+        pool.acquire("a")
+        pool.acquire("b")
     assert pool.choose(request()) is None
 
 
@@ -70,7 +70,7 @@
     chosen = []
     for _ in range(SLOTS):
         chosen.append(pool.choose(request()))
-        pool.take("b")
+        pool.acquire("b")
     assert chosen == ["b"] * SLOTS
     assert pool.choose(request()) is None
 
@@ -80,10 +80,10 @@
     pool = make(clock=clock)
     fail(pool, "a")
     for _ in range(SLOTS):
-        pool.take("b")
-    clock.now += HealthLimits().first_seconds + 1
+        pool.acquire("b")
+    clock.now += OutlierDetectionConfig().base_ejection_seconds + 1
     assert pool.choose(request()) == "a"
-    assert pool.free == 1
+    assert pool.free_slots == 1
 
 
 def test_a_service_whose_every_endpoint_is_bad_stays_in_use():
@@ -94,33 +94,33 @@
     """
     pool = make({"a": "z", "b": "z"})
     fail(pool, "a", "b")
-    assert pool.sick
-    assert pool.free == 2 * SLOTS
+    assert pool.all_ejected
+    assert pool.free_slots == 2 * SLOTS
 
 
 def test_a_bad_shard_is_tried_while_other_zones_serve():
     pool = make()
     fail(pool, "a", "b")
-    assert pool.free == 2
-    pool.observe_zone("y", sick=True)
-    assert pool.free == 2 * SLOTS
-    pool.observe_zone("y", sick=False)
-    assert pool.free == 2
+    assert pool.free_slots == 2
+    pool.set_zone_ejected("y", ejected=True)
+    assert pool.free_slots == 2 * SLOTS
+    pool.set_zone_ejected("y", ejected=False)
+    assert pool.free_slots == 2
 
 
 def test_a_leaving_endpoint_gets_no_work():
     clock = Clock()
     pool = make(clock=clock)
-    pool.hint("a", leaving=True)
+    pool.set_blocked("a", blocked=True)
     assert pool.choose(request()) == "b"
-    assert pool.free == SLOTS
-    clock.now += HINT_SECONDS + 1
-    assert pool.free == 2 * SLOTS
+    assert pool.free_slots == SLOTS
+    clock.now += BLOCKED_TTL_SECONDS + 1
+    assert pool.free_slots == 2 * SLOTS
 
 
 def test_a_leaving_endpoint_of_the_document_gets_no_work():
     pool = make()
-    pool.use(document({"a": "z", "b": "z"}, leaving=("a",)))
+    pool.apply_document(document({"a": "z", "b": "z"}, leaving=("a",)))
     assert pool.choose(request()) == "b"
 
 
@@ -129,9 +129,9 @@
     pool = make({"a": "z", "b": "z"})
     fail(pool, "a")
     moved = document({"b": "z"})
-    pool.use(moved)
-    pool.use(document({"a": "z", "b": "z"}))
-    assert pool.free == 2 * SLOTS
+    pool.apply_document(moved)
+    pool.apply_document(document({"a": "z", "b": "z"}))
+    assert pool.free_slots == 2 * SLOTS
 
 
 def test_a_request_that_failed_everywhere_is_not_held():
@@ -156,42 +156,42 @@
     """
     pool = make()
     for _ in range(SLOTS):
-        pool.take("a")
-        pool.take("b")
-    pool.take("b")
-    assert pool.choose_above(request()) == "a"
+        pool.acquire("a")
+        pool.acquire("b")
+    pool.acquire("b")
+    assert pool.choose_over_limit(request()) == "a"
     fail(pool, "a")
-    assert pool.choose_above(request()) == "b"
-    pool.hint("b", leaving=True)
-    assert pool.choose_above(request()) is None
+    assert pool.choose_over_limit(request()) == "b"
+    pool.set_blocked("b", blocked=True)
+    assert pool.choose_over_limit(request()) is None
 
 
 def test_the_cached_prefix_is_preferred_while_load_allows():
     pool = make()
     pool.observe_cache(CacheEvent("b", 1, stored=(7,)))
-    pool.take("b")
+    pool.acquire("b")
     assert pool.choose(request(prefix=7)) == "b"
     assert pool.choose(request(prefix=8)) == "a"
-    pool.take("b")
-    pool.take("b")
+    pool.acquire("b")
+    pool.acquire("b")
     assert pool.choose(request(prefix=7)) == "a"
 
 
 def test_requests_of_others_take_room():
     pool = make()
     pool.observe_load(LoadReport("a", 3, 0))
-    assert pool.free == 2 * SLOTS - 3
+    assert pool.free_slots == 2 * SLOTS - 3
     pool.observe_load(LoadReport("a", -5, 0))
     pool.observe_load(LoadReport("nobody", 5, 0))
-    assert pool.free == 2 * SLOTS - 3
+    assert pool.free_slots == 2 * SLOTS - 3
 
 
 def test_the_faster_endpoint_is_preferred():
     pool = make()
     for endpoint, seconds in (("a", 4.0), ("b", 1.0)):
         for _ in range(SLOTS):
-            pool.take(endpoint)
+            pool.acquire(endpoint)
         for _ in range(SLOTS):
-            pool.give_back(endpoint, False, seconds, 100.0)
-    pool.take("b")
+            pool.release(endpoint, False, seconds, 100.0)
+    pool.acquire("b")
     assert pool.choose(request()) == "b"
--- a/packages/router/tests/test_queue.py
+++ b/packages/router/tests/test_queue.py
@@ -2,15 +2,15 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from teaselledge.process.placement import Peer
+from teaselledge.process.placement import PeerDispatcher
 from teaselledge.process.queue import (
     AGEING_SECONDS,
     MAX_PASSES,
-    Entry,
+    QueuedRequest,
     RequestKey,
     WaitingQueue,
 )
-from teaselledge.process.standing import Order, Standings
+from teaselledge.process.standing import SortedByValue, UsageAccounts
 from teaselledge.version.document import Organisation
 from teaselledge_wire.gen.router.ttypes import Register
 
@@ -18,9 +18,11 @@
 
 
 def make(shares=(1.0, 1.0, 2.0, 4.0)):
-    standings = Standings(debt_floor=1e9)
+    standings = UsageAccounts(max_lead_floor=1e9)
     entries = zip(NAMES, shares, strict=True)
-    standings.use({name: Organisation(share, (), ()) for name, share in entries})
+    standings.set_organisations(
+        {name: Organisation(share, (), ()) for name, share in entries}
+    )
     return standings, WaitingQueue(standings)
 
 
@@ -28,7 +30,7 @@
     body = Register(number, name, "kind", 1.0, 0.0, deadline, 0, None, True, [])
     key = RequestKey("vm", 1, number)
     until = 1.0 if lender else 0.0
-    return Entry(key, body, interactive, arrived, deadline, lender, until)
+    return QueuedRequest(key, body, interactive, arrived, deadline, lender, until)
 
 
 class NaiveQueue:
@@ -44,7 +46,7 @@
         if not self.entries:
             return None
         names = {e.organisation for e in self.entries}
-        name = min(names, key=lambda n: (self.standings.of(n), n))
+        name = min(names, key=lambda n: (self.standings.normalised_usage(n), n))
         own = [e for e in self.entries if e.organisation == name]
         own.sort(key=lambda e: (e.arrived, e.key.request))
         others = [e for e in own if not e.interactive]
@@ -99,7 +101,7 @@
             assert first == naive.first(now)
             if first is None:
                 continue
-            assert queue.start(first.key) == first
+            assert queue.remove_started(first.key) == first
             naive.start(first)
             started.append(first.key)
             standings.charge(first.organisation, value)
@@ -108,13 +110,13 @@
     assert len(started) == len(set(started))
     assert len(waiting) + len(started) + len(withdrawn) == number
     for name in NAMES:
-        assert queue.waiting(name) == sum(e.organisation == name for e in queue)
-        assert standings.waiting(name) == queue.waiting(name)
+        assert queue.count_of(name) == sum(e.organisation == name for e in queue)
+        assert standings.local_waiting(name) == queue.count_of(name)
 
 
 @given(st.lists(st.tuples(st.sampled_from("abcdef"), st.none() | st.floats(-9, 9))))
 def test_order_agrees_with_sorting(steps):
-    order, naive = Order(), {}
+    order, naive = SortedByValue(), {}
     for name, value in steps:
         if value is None:
             order.drop(name)
@@ -137,7 +139,7 @@
     for number in range(2, 100):
         queue.add(entry(number, "amber", interactive=True, arrived=now))
         first = next(queue.candidates(now))
-        queue.start(first.key)
+        queue.remove_started(first.key)
         if first == summary:
             break
         passed += 1
@@ -150,13 +152,13 @@
     """
     standings, queue = make()
     queue.add(entry(1, "amber", deadline=5.0))
-    queue.add(entry(2, "amber", lender=Peer("other", "zone")))
+    queue.add(entry(2, "amber", lender=PeerDispatcher("other", "zone")))
     queue.add(entry(3, "amber"))
-    assert queue.borrowed == 1
+    assert queue.fetched_count == 1
     assert [e.key.request for e in queue.expire(1.0)] == [2]
     assert [e.key.request for e in queue.expire(5.0)] == [1]
     assert [e.key.request for e in queue] == [3]
-    assert (queue.borrowed, standings.waiting("amber")) == (0, 1)
+    assert (queue.fetched_count, standings.local_waiting("amber")) == (0, 1)
 
 
 def test_requests_that_started_do_not_fill_the_memory():
--- a/packages/router/tests/test_retrybudget.py
+++ b/packages/router/tests/test_retrybudget.py
@@ -5,7 +5,7 @@
 from teaselledge.process.retrybudget import RetryBudget, RetryLimits
 
 VIRTUAL_CLOCK = True
-LIMITS = RetryLimits(ratio=0.1, per_second=0.5, most=5.0)
+LIMITS = RetryLimits(ratio=0.1, per_second=0.5, max_balance=5.0)
 
 
 async def test_retries_stay_a_part_of_the_attempts():
@@ -17,17 +17,17 @@
     retries = 0
     for _ in range(1000):
         budget.deposit()
-        retries += budget.withdraw()
-    assert retries <= 1000 * LIMITS.ratio + LIMITS.most
+        retries += budget.try_withdraw()
+    assert retries <= 1000 * LIMITS.ratio + LIMITS.max_balance
 
 
 async def test_a_quiet_service_can_retry():
     budget = RetryBudget.from_config(LIMITS)
-    spent = sum(budget.withdraw() for _ in range(100))
-    assert spent == LIMITS.most
+    spent = sum(budget.try_withdraw() for _ in range(100))
+    assert spent == LIMITS.max_balance
     await asyncio.sleep(2.0)
-    assert budget.withdraw()
-    assert not budget.withdraw()
+    assert budget.try_withdraw()
+    assert not budget.try_withdraw()
 
 
 async def test_savings_are_bounded():
@@ -35,4 +35,4 @@
     for _ in range(1000):
         budget.deposit()
     await asyncio.sleep(3600)
-    assert budget.saved == LIMITS.most
+    assert budget.balance == LIMITS.max_balance
--- a/packages/router/tests/test_standing.py
+++ b/packages/router/tests/test_standing.py
@@ -2,14 +2,16 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from teaselledge.process.standing import MOST_DEBTS, Standings
+from teaselledge.process.standing import MAX_LEAD_FACTOR, UsageAccounts
 from teaselledge.version.document import Organisation
 
 
 def make(debt=100.0, **shares):
-    standings = Standings(debt_floor=debt)
+    standings = UsageAccounts(max_lead_floor=debt)
     named = shares or {"amber": 1.0, "birch": 1.0, "cedar": 2.0}
-    standings.use({n: Organisation(share, (), ()) for n, share in named.items()})
+    standings.set_organisations(
+        {n: Organisation(share, (), ()) for n, share in named.items()}
+    )
     return standings
 
 
@@ -17,7 +19,10 @@
     standings = make()
     standings.charge("amber", 10)
     standings.charge("cedar", 10)
-    assert (standings.of("amber"), standings.of("cedar")) == (10, 5)
+    assert (
+        standings.normalised_usage("amber"),
+        standings.normalised_usage("cedar"),
+    ) == (10, 5)
 
 
 def test_idleness_earns_no_credit():
@@ -25,10 +30,14 @@
     flood. With its old standing it would take every slot until it has caught up.
     """
     standings = make()
-    standings.add_waiting("amber", 1)
+    standings.add_local_waiting("amber", 1)
     standings.charge("amber", 1000)
-    standings.add_waiting("birch", 1)
-    assert standings.of("birch") == standings.of("amber") == 1000
+    standings.add_local_waiting("birch", 1)
+    assert (
+        standings.normalised_usage("birch")
+        == standings.normalised_usage("amber")
+        == 1000
+    )
 
 
 def test_use_of_idle_capacity_makes_no_debt():
@@ -37,13 +46,15 @@
     """
     standings = make()
     for _ in range(100):
-        standings.add_waiting("amber", 1)
-        standings.started("amber")
+        standings.add_local_waiting("amber", 1)
+        standings.record_start("amber")
         standings.charge("amber", 50)
-        standings.add_waiting("amber", -1)
-    standings.add_waiting("birch", 1)
-    standings.add_waiting("amber", 1)
-    assert standings.of("amber") - standings.of("birch") <= 50
+        standings.add_local_waiting("amber", -1)
+    standings.add_local_waiting("birch", 1)
+    standings.add_local_waiting("amber", 1)
+    assert (
+        standings.normalised_usage("amber") - standings.normalised_usage("birch") <= 50
+    )
 
 
 def test_debt_after_a_healed_split_is_bounded():
@@ -51,33 +62,40 @@
     it is reported at once. The organisation must not starve to pay it back.
     """
     standings = make(debt=100.0)
-    standings.add_waiting("amber", 1)
-    standings.add_waiting("birch", 1)
-    standings.grow("amber", 1e6)
-    assert standings.of("amber") - standings.of("birch") == 100
+    standings.add_local_waiting("amber", 1)
+    standings.add_local_waiting("birch", 1)
+    standings.add_remote_usage("amber", 1e6)
+    assert (
+        standings.normalised_usage("amber") - standings.normalised_usage("birch") == 100
+    )
     standings.charge("amber", 10)
-    assert standings.of("amber") - standings.of("birch") == 110
+    assert (
+        standings.normalised_usage("amber") - standings.normalised_usage("birch") == 110
+    )
     for _ in range(100):
-        standings.grow("amber", 1e6)
-    assert standings.of("amber") - standings.of("birch") == MOST_DEBTS * 100
+        standings.add_remote_usage("amber", 1e6)
+    assert (
+        standings.normalised_usage("amber") - standings.normalised_usage("birch")
+        == MAX_LEAD_FACTOR * 100
+    )
 
 
 def test_waiting_elsewhere_counts_as_backlogged():
     standings = make()
-    standings.add_elsewhere("amber", 1)
+    standings.add_remote_backlog("amber", 1)
     standings.charge("amber", 30)
-    standings.add_waiting("birch", 1)
-    assert standings.of("birch") == 30
+    standings.add_local_waiting("birch", 1)
+    assert standings.normalised_usage("birch") == 30
     assert list(standings.backlogged) == ["amber", "birch"]
 
 
 def test_organisation_that_left_the_document_has_no_account():
     standings = make()
-    standings.add_waiting("birch", 1)
-    standings.use({"amber": Organisation(2.0, (), ())})
+    standings.add_local_waiting("birch", 1)
+    standings.set_organisations({"amber": Organisation(2.0, (), ())})
     standings.charge("birch", 5)
-    standings.grow("birch", 5)
-    standings.add_waiting("birch", -1)
+    standings.add_remote_usage("birch", 5)
+    standings.add_local_waiting("birch", -1)
     assert "birch" not in standings
     assert list(standings.backlogged) == []
 
@@ -96,23 +114,25 @@
     standings = make(debt=100.0)
     charged = dict.fromkeys(["amber", "birch", "cedar"], 0.0)
     for name, what, value in moves:
-        before = standings.of(name)
+        before = standings.normalised_usage(name)
         if what == "charge":
             standings.charge(name, value)
             charged[name] += value
         elif what == "grow":
-            standings.grow(name, value)
+            standings.add_remote_usage(name, value)
         elif what == "move":
-            standings.move(name, value, 0.5)
+            standings.blend_usage(name, value, 0.5)
         else:
             change = 1 if what == "wait" else -1
-            standings.add_waiting(name, change)
+            standings.add_local_waiting(name, change)
         order = list(standings.backlogged)
-        assert order == sorted(order, key=lambda n: (standings.of(n), n))
+        assert order == sorted(order, key=lambda n: (standings.normalised_usage(n), n))
         if what == "grow" and order:
-            lowest = min(standings.of(n) for n in order)
-            most = lowest + MOST_DEBTS * standings.debt
-            assert standings.of(name) <= max(before, most) + 1e-6
-            assert standings.of(name) <= before + standings.debt + 1e-6
+            lowest = min(standings.normalised_usage(n) for n in order)
+            most = lowest + MAX_LEAD_FACTOR * standings.max_lead
+            assert standings.normalised_usage(name) <= max(before, most) + 1e-6
+            assert (
+                standings.normalised_usage(name) <= before + standings.max_lead + 1e-6
+            )
     for name, total in charged.items():
-        assert abs(standings.own(name) - total) < 1e-6
+        assert abs(standings.local_usage(name) - total) < 1e-6
--- a/packages/router/tests/test_status.py
+++ b/packages/router/tests/test_status.py
@@ -7,14 +7,20 @@
 from teaselledge.connection.statuspage import status_page
 from teaselledge.metrics import NullMetrics
 from teaselledge.process.shares import DispatcherShares
-from teaselledge.process.status import HEALTH, Facts, Status, fleet_health, health_of
-from teaselledge.process.tally import MAX_LABELS, Tally
+from teaselledge.process.status import (
+    HEALTH_INDICATORS,
+    IndicatorInputs,
+    Status,
+    evaluate_indicators,
+    fleet_health,
+)
+from teaselledge.process.tally import MAX_LABELS, RecordingMetrics
 from teaselledge_standins.virtual.fleet import running_virtual_fleet
 from teaselledge_standins.virtual.plans import get_plan_by_name
 
 VIRTUAL_CLOCK = True
 
-WELL = Facts(4, 4, 0, 1.0, False, 0, 0.1, 0, {"store.errors": 0.0})
+WELL = IndicatorInputs(4, 4, 0, 1.0, False, 0, 0.1, 0, {"store.errors": 0.0})
 
 
 @asynccontextmanager
@@ -24,13 +30,15 @@
 
 
 def status_of(node, tally=None):
-    shares = DispatcherShares(lambda: node.dispatchers.running, lambda: node.version)
-    tally = tally or Tally(NullMetrics())
+    shares = DispatcherShares(
+        lambda: node.dispatchers.dispatchers, lambda: node.version
+    )
+    tally = tally or RecordingMetrics(NullMetrics())
     return Status(node.follower, node.membership, node.ingress, tally, shares)
 
 
 def states(facts):
-    return {entry["name"]: entry["state"] for entry in health_of(facts)}
+    return {entry["name"]: entry["state"] for entry in evaluate_indicators(facts)}
 
 
 def test_each_check_tells_well_from_look_and_from_not_measured():
@@ -49,7 +57,7 @@
         "idle-slots": replace(WELL, idle=1),
         "journal-unknowns": replace(WELL, rates={"order.unknown": 0.1}),
     }
-    assert set(bad) == set(HEALTH)
+    assert set(bad) == set(HEALTH_INDICATORS)
     for name, facts in bad.items():
         assert [n for n, s in states(facts).items() if s == "look"] == [name]
 
@@ -105,7 +113,7 @@
 
 async def test_page_escapes_what_others_chose():
     async with running_virtual_fleet(get_plan_by_name("sudski-trag"), 3) as fleet:
-        tally = Tally(NullMetrics())
+        tally = RecordingMetrics(NullMetrics())
         tally.count("request.refused", 1, "<script>")
         page = status_page(status_of(fleet.nodes["vm-0"], tally).report())
         assert "<script>" not in page and "&lt;script&gt;" in page
@@ -113,7 +121,7 @@
 
 async def test_rates_are_those_of_the_last_minutes():
     """Errors of an hour ago must not keep the page red."""
-    tally = Tally(NullMetrics())
+    tally = RecordingMetrics(NullMetrics())
     await asyncio.sleep(1000.0)
     for _ in range(120):
         tally.count("store.errors", 1, "get")
@@ -128,7 +136,7 @@
 
 async def test_labels_are_bounded():
     """A caller invents labels by the thousand."""
-    tally = Tally(NullMetrics())
+    tally = RecordingMetrics(NullMetrics())
     for i in range(3 * MAX_LABELS):
         tally.count("request.refused", 1, f"label-{i}")
     assert len(tally.totals) == MAX_LABELS
--- a/packages/standins/src/teaselledge_standins/exploredorders.py
+++ b/packages/standins/src/teaselledge_standins/exploredorders.py
@@ -8,7 +8,7 @@
 from teaselledge.connection.endpoint import EndpointAnswer, Outbound, SendFailure
 from teaselledge.errors import ErrorKind, Fault, Ran
 from teaselledge.metrics import NullMetrics
-from teaselledge.process.ingress import Granted, Ingress, Ticket
+from teaselledge.process.ingress import Ingress, SlotGrant, SlotRequest
 from teaselledge.process.mesh import Origin
 from teaselledge.process.placement import Shard
 from teaselledge.request.context import CallerRequest
@@ -45,20 +45,22 @@
 class _FreeIngress:
     """Grants each first wish at once, and no second one."""
 
-    async def acquire(self, ticket: Ticket) -> Result[Granted, Fault]:
+    async def acquire(self, ticket: SlotRequest) -> Result[SlotGrant, Fault]:
         if ticket.excluded:
             await asyncio.sleep(ticket.deadline - asyncio.get_running_loop().time())
             return Error(Fault(ErrorKind.QUEUE_TIMEOUT))
-        return Ok(Granted("ledger-0", Origin("d", 1), Shard("ledger", "z"), 1, 1, 0.0))
+        return Ok(
+            SlotGrant("ledger-0", Origin("d", 1), Shard("ledger", "z"), 1, 1, 0.0)
+        )
 
-    def release(self, granted: Granted, cost: float, failed: bool) -> None:
+    def release(self, granted: SlotGrant, cost: float, failed: bool) -> None:
         pass
 
 
 class _FullIngress(_FreeIngress):
     """Refuses each wish."""
 
-    async def acquire(self, ticket: Ticket) -> Result[Granted, Fault]:
+    async def acquire(self, ticket: SlotRequest) -> Result[SlotGrant, Fault]:
         return Error(Fault(ErrorKind.QUEUE_TIMEOUT))
 
 
--- a/packages/standins/src/teaselledge_standins/fleet.py
+++ b/packages/standins/src/teaselledge_standins/fleet.py
@@ -193,7 +193,7 @@
     async def leave(self, vm: str) -> None:
         """Let a router finish what it has and stop, as a drain does."""
         router = self.routers[vm]
-        router.node.membership.leave()
+        router.node.membership.announce_leaving()
         await asyncio.sleep(2)
         while router.node.ingress.running or router.node.ingress.waiting:
             await asyncio.sleep(0.05)
--- a/packages/standins/src/teaselledge_standins/recorder.py
+++ b/packages/standins/src/teaselledge_standins/recorder.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from teaselledge.process.mesh import Handler, Origin, Registry, body_of
+from teaselledge.process.mesh import Handler, HandlerRegistry, Origin, unpack_body
 from teaselledge_wire.gen.router.ttypes import Message
 
 __all__ = ["RecordingMesh", "Sent"]
@@ -24,7 +24,7 @@
 
     def __init__(self, vm: str = "own", incarnation: int = 1) -> None:
         self._origin = Origin(vm, incarnation)
-        self._registry = Registry()
+        self._registry = HandlerRegistry()
         self.sent: list[Sent] = []
 
     @property
@@ -34,7 +34,7 @@
 
     def send(self, vm: str, message: Message) -> None:
         """Keep a message."""
-        found = body_of(message)
+        found = unpack_body(message)
         if found is not None:
             self.sent.append(Sent(vm, *found, message.zone_name or ""))
 
--- a/packages/standins/src/teaselledge_standins/virtual/fleet.py
+++ b/packages/standins/src/teaselledge_standins/virtual/fleet.py
@@ -348,7 +348,7 @@
         loop = asyncio.get_running_loop()
         started = loop.time()
         sink = MemorySink()
-        task = asyncio.ensure_future(node.forwarder.run(request, sink))
+        task = asyncio.ensure_future(node.request_runner.run(request, sink))
         calls = self._calls.setdefault(vm, set())
         calls.add(task)
         try:
--- a/packages/standins/src/teaselledge_standins/virtual/members.py
+++ b/packages/standins/src/teaselledge_standins/virtual/members.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from teaselledge.platform import VmEntry
-from teaselledge.process.liveness import Record, State
+from teaselledge.process.liveness import MemberRecord, State
 from teaselledge.process.member import Member, new_incarnation
 from teaselledge.process.membership import Membership
 from teaselledge.process.mesh import Origin
@@ -75,10 +75,11 @@
         """Let every router know every other, as after a long time together."""
         now = asyncio.get_running_loop().time()
         rumours = [
-            Record(m.own, 1, State.ALIVE, now).rumour() for m in self.members.values()
+            MemberRecord(m.own, 1, State.ALIVE, now).to_rumour()
+            for m in self.members.values()
         ]
         for vm, membership in self.members.items():
-            membership.learn([rumour for rumour in rumours if rumour.vm != vm])
+            membership.load_rumours([rumour for rumour in rumours if rumour.vm != vm])
 
     async def until_agreed(self, seconds: float = 60.0) -> None:
         """Wait until every router knows every other."""
--- a/packages/standins/src/teaselledge_standins/virtual/naive.py
+++ b/packages/standins/src/teaselledge_standins/virtual/naive.py
@@ -5,8 +5,8 @@
 from teaselledge.errors import ErrorKind, Fault
 from teaselledge.metrics import NullMetrics
 from teaselledge.platform import ANY, Write
-from teaselledge.process.drain import Gate
-from teaselledge.process.ingress import Ticket
+from teaselledge.process.drain import DrainGate
+from teaselledge.process.ingress import SlotRequest
 from teaselledge.process.node import Node
 from teaselledge.request.context import CallerRequest, Sink
 from teaselledge.request.order import OrderDesk
@@ -50,7 +50,7 @@
 
     async def _try_once(self, request: CallerRequest) -> bytes | None:
         tools = self.tools
-        ticket = Ticket(
+        ticket = SlotRequest(
             request.organisation,
             request.service,
             request.kind,
@@ -76,18 +76,18 @@
             tools.ingress.release(granted, 0.0, False)
 
 
-class NaiveGate(Gate):
+class NaiveGate(DrainGate):
     """Gives orders to a naive desk, and all else to the router's own runner."""
 
     def __init__(self, node: Node) -> None:
-        super().__init__(node.forwarder, node.orders)
+        super().__init__(node.request_runner, node.orders)
         self._desk = NaiveDesk(node)
 
     @classmethod
     def install(cls, node: Node) -> None:
         """Put a naive desk into a node, once."""
-        if not isinstance(node.forwarder, cls):
-            node.forwarder = cls(node)
+        if not isinstance(node.request_runner, cls):
+            node.request_runner = cls(node)
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
         """Answer a request."""
--- a/packages/standins/src/teaselledge_standins/virtual/network.py
+++ b/packages/standins/src/teaselledge_standins/virtual/network.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from teaselledge.process.mesh import Handler, Origin, Registry
+from teaselledge.process.mesh import Handler, HandlerRegistry, Origin
 from teaselledge_wire.codec import decode, encode
 from teaselledge_wire.frame import pack
 from teaselledge_wire.gen.router.ttypes import Message
@@ -162,7 +162,7 @@
     def __init__(self, network: VirtualNetwork, origin: Origin, zone: str) -> None:
         self._network = network
         self._origin = origin
-        self._registry = Registry()
+        self._registry = HandlerRegistry()
         self._batches: dict[str, list[Message]] = {}
         network.zones[origin.vm] = zone
         network.meshes[origin.vm] = self
