--- a/bench/config.py
+++ b/bench/config.py
@@ -15,13 +15,13 @@
 from teaselledge.process.member import Member
 from teaselledge.process.mesh import Origin
 from teaselledge.process.objectives import MAX_SERIES, ObjectiveTracker
-from teaselledge.version.assemble import Assembler
+from teaselledge.version.assemble import DocumentBuilder
 from teaselledge.version.document import Version
-from teaselledge.version.follow import Follower
-from teaselledge.version.head import HEAD_KEY, decode_head, encode_head
+from teaselledge.version.follow import ConfigWatcher
+from teaselledge.version.head import HEAD_KEY, decode_manifest, encode_manifest
 from teaselledge.version.publish import Change, Publisher
 from teaselledge.version.source import check_source
-from teaselledge.version.store import plain_writes
+from teaselledge.version.store import unchecked_writes
 from teaselledge_standins.tables import MemoryTables
 from teaselledge_standins.virtual.network import (
     NetworkPlan,
@@ -111,7 +111,7 @@
         places = {f"vm-{i:03d}": names[i % len(names)] for i in range(count)}
         members = [Member(vm, zone, zones[zone]) for vm, zone in places.items()]
         self.followers = [
-            Follower(
+            ConfigWatcher(
                 tables,
                 VirtualMesh(self.network, Origin(vm, random.getrandbits(40)), zone),
                 lambda: members,
@@ -147,7 +147,7 @@
     random = Random(seed)
     document = large_document(engines=engines)
     tables = MemoryTables()
-    tables.apply(plain_writes(document, 1))
+    tables.apply(unchecked_writes(document, 1))
     fleet = Followers(count, seed, tables)
     for follower in fleet.followers:
         await follower.refresh()
@@ -168,7 +168,7 @@
         await asyncio.sleep(random.uniform(3.0, 4.0))
         own = time.process_time()
         changed(document, random.randrange(ORGANISATIONS), 2.0 + number)
-        tables.apply(plain_writes(document, number))
+        tables.apply(unchecked_writes(document, number))
         own_cpu += time.process_time() - own
         published = loop.time()
         while not fleet.in_force(number):
@@ -209,20 +209,20 @@
 def parsing() -> Case:
     """Compare taking a change with taking the whole document."""
     document = large_document()
-    first = plain_writes(document, 1)
+    first = unchecked_writes(document, 1)
     changed(document, 17, 9.0)
-    second = plain_writes(document, 2)
+    second = unchecked_writes(document, 2)
     rows = {w.key.partition("/")[2]: w.value or b"" for w in [*first, *second]}
     raw = [next(w.value for w in ws if w.key == HEAD_KEY) for ws in (first, second)]
-    heads = [decode_head(value or b"") for value in raw]
+    heads = [decode_manifest(value or b"") for value in raw]
     old = set(heads[0].digests)
     new = [digest for digest in heads[1].digests if digest not in old]
-    assembler = Assembler()
+    assembler = DocumentBuilder()
     started = time.process_time()
     assembler.build(heads[0], rows)
     whole = time.process_time() - started
     started = time.process_time()
-    built = assembler.build(decode_head(raw[1] or b""), rows)
+    built = assembler.build(decode_manifest(raw[1] or b""), rows)
     change = time.process_time() - started
     text = yaml.dump(document, sort_keys=False, Dumper=yaml.CSafeDumper).encode()
     started = time.process_time()
@@ -235,7 +235,7 @@
         "change_over_whole": change / whole,
         "yaml_read_and_check_cpu_ms": 1000 * read,
         "yaml_bytes": float(len(text)),
-        "head_bytes": float(len(encode_head(heads[1]))),
+        "head_bytes": float(len(encode_manifest(heads[1]))),
         "chunks": float(len(heads[1].digests)),
         "stored_bytes": float(sum(len(rows[d]) for d in set(heads[1].digests))),
         "changed_chunks": float(len(new)),
@@ -254,11 +254,11 @@
 
 def memory_of(organisations: int, engines: int) -> int:
     """Return the bytes that a document and its chunks take in a router."""
-    writes = plain_writes(large_document(organisations, engines), 1)
+    writes = unchecked_writes(large_document(organisations, engines), 1)
     rows = {w.key.partition("/")[2]: w.value or b"" for w in writes}
-    head = decode_head(next(w.value for w in writes if w.key == HEAD_KEY) or b"")
+    head = decode_manifest(next(w.value for w in writes if w.key == HEAD_KEY) or b"")
     tracemalloc.start()
-    assembler = Assembler()
+    assembler = DocumentBuilder()
     built = assembler.build(head, rows)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -285,7 +285,7 @@
     """Measure what accepting a change costs the router that takes it."""
     document = large_document()
     tables = MemoryTables()
-    tables.apply(plain_writes(document, 1))
+    tables.apply(unchecked_writes(document, 1))
     publisher = Publisher(tables, lambda: datetime(2030, 1, 1, tzinfo=UTC))
     spent = []
     reads = writes = 0
@@ -326,10 +326,10 @@
             "seconds": 2.0,
         }
     }
-    rows = plain_writes(value, 1)
+    rows = unchecked_writes(value, 1)
     chunks = {w.key.partition("/")[2]: w.value or b"" for w in rows}
-    head = decode_head(next(w.value for w in rows if w.key == HEAD_KEY) or b"")
-    version = Version(1, Assembler().build(head, chunks).ok)
+    head = decode_manifest(next(w.value for w in rows if w.key == HEAD_KEY) or b"")
+    version = Version(1, DocumentBuilder().build(head, chunks).ok)
     objectives = ObjectiveTracker(lambda: version)
     random = Random(1)
     names = list(version.document.organisations)[:COUNTED]
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -8,8 +8,13 @@
 from expression import Result
 from teaselledge.metrics import NullMetrics
 from teaselledge.platform import StoreError
+from teaselledge.request.claimtiming import (
+    ClaimTiming,
+    ImmediateClaimTiming,
+    LateClaimTiming,
+    PredictiveClaimTiming,
+)
 from teaselledge.request.journal import Journal
-from teaselledge.request.pace import AheadPace, EarlyPace, LatePace, Pace
 from teaselledge.request.record import (
     ORDERS_TABLE,
     OrderRecord,
@@ -28,10 +33,10 @@
 
 __all__ = ["run"]
 
-PACES: Mapping[str, type[Pace]] = {
-    "late": LatePace,
-    "ahead": AheadPace,
-    "early": EarlyPace,
+PACES: Mapping[str, type[ClaimTiming]] = {
+    "late": LateClaimTiming,
+    "ahead": PredictiveClaimTiming,
+    "early": ImmediateClaimTiming,
 }
 STORE_SECONDS = (0.003, 0.05, 0.2)
 FULL_LOAD_SECONDS = 0.05
@@ -136,11 +141,11 @@
     return Case(f"orders-{pace}-store-{store * 1000:.0f}ms", 1, figures, bounds)
 
 
-def _equip(fleet: VirtualFleet, vm: str, pace: type[Pace]) -> CountingJournal:
+def _equip(fleet: VirtualFleet, vm: str, pace: type[ClaimTiming]) -> CountingJournal:
     orders = fleet.nodes[vm].orders
     old = orders.tools.journal
     journal = CountingJournal(old.tables, old.objects, NullMetrics(), old.now)
-    orders.tools = replace(orders.tools, journal=journal, pace=pace())
+    orders.tools = replace(orders.tools, journal=journal, claim_timing=pace())
     return journal
 
 
--- a/packages/ctl/src/teaselctl/commands/diff.py
+++ b/packages/ctl/src/teaselctl/commands/diff.py
@@ -2,7 +2,11 @@
 
 from typing import Any
 
-from teaselledge.version.difference import EntryChange, differences, field_lines
+from teaselledge.version.difference import (
+    EntryChange,
+    differences,
+    format_field_changes,
+)
 from teaselledge.version.sections import ENDPOINTS, Entries, flatten
 
 from teaselctl.client import Client
@@ -20,7 +24,10 @@
         kind = "new"
     elif change.new is None:
         kind = "removed"
-    return [f"{change.path} ({kind})", *(f"  {line}" for line in field_lines(change))]
+    return [
+        f"{change.path} ({kind})",
+        *(f"  {line}" for line in format_field_changes(change)),
+    ]
 
 
 async def run(args: list[str]) -> Output:
--- a/packages/ctl/src/teaselctl/files.py
+++ b/packages/ctl/src/teaselctl/files.py
@@ -5,16 +5,16 @@
 from pathlib import Path
 from typing import Any
 
-from teaselledge.version.check import OWNED_SECTIONS
+from teaselledge.version.check import EDITABLE_SECTIONS
 from teaselledge.version.source import load_source
-from teaselledge.yamlsource import Mistake, Source, joined, mistake_at
+from teaselledge.yamlsource import ConfigIssue, Source, format_path, issue_at
 
 from teaselctl.output import FAULTY, USAGE, CommandError
 
 __all__ = ["as_errors", "located", "open_source", "sections_of"]
 
 
-def as_errors(mistakes: list[Mistake]) -> CommandError:
+def as_errors(mistakes: list[ConfigIssue]) -> CommandError:
     """Return the error that lists all faults."""
     lines = [str(mistake) for mistake in mistakes]
     noun = "fault" if len(lines) == 1 else "faults"
@@ -50,9 +50,9 @@
     CommandError
         If one is not known or not in the files.
     """
-    known = ", ".join(OWNED_SECTIONS)
+    known = ", ".join(EDITABLE_SECTIONS)
     for name in [*wanted, *source.value]:
-        if name not in OWNED_SECTIONS:
+        if name not in EDITABLE_SECTIONS:
             raise CommandError(f"no section {name!r}; there are {known}", FAULTY)
     for name in wanted:
         if name not in source.value:
@@ -60,15 +60,15 @@
     return {name: source.value[name] for name in wanted or source.value}
 
 
-def located(source: Source, entries: list[Mapping[str, Any]]) -> list[Mistake]:
+def located(source: Source, entries: list[Mapping[str, Any]]) -> list[ConfigIssue]:
     """Return a router's faults with the places in the operator's files."""
-    paths = {joined(path): path for path in source.lines}
+    paths = {format_path(path): path for path in source.lines}
     mistakes = []
     for entry in entries:
         path, found, allowed = entry["path"], entry["found"], entry["allowed"]
         known = paths.get(path)
         if known is None:
-            mistakes.append(Mistake("fleet", 1, path, found, allowed))
+            mistakes.append(ConfigIssue("fleet", 1, path, found, allowed))
             continue
-        mistakes.append(mistake_at(source, known, found, allowed))
+        mistakes.append(issue_at(source, known, found, allowed))
     return mistakes
--- a/packages/router/src/teaselledge/connection/admission.py
+++ b/packages/router/src/teaselledge/connection/bodybudget.py
@@ -16,14 +16,14 @@
 
     def grow(self, size: int) -> Result[None, Fault]:
         """Reserve so many more bytes."""
-        result = self._budget.take(size)
+        result = self._budget.acquire(size)
         if result.is_ok():
             self._bytes += size
         return result
 
     def release(self) -> None:
         """Give all bytes back."""
-        self._budget.give_back(self._bytes)
+        self._budget.release(self._bytes)
         self._bytes = 0
 
 
@@ -39,7 +39,7 @@
         self._held = 0
 
     @property
-    def held(self) -> int:
+    def reserved_bytes(self) -> int:
         """Bytes held now."""
         return self._held
 
@@ -47,13 +47,13 @@
         """Return a reservation of no bytes yet."""
         return BodyReservation(self)
 
-    def take(self, size: int) -> Result[None, Fault]:
+    def acquire(self, size: int) -> Result[None, Fault]:
         """Take bytes, or tell that the router is full."""
         if self._held + size > self._limit:
             return Error(Fault(ErrorKind.ROUTER_FULL, detail="bodies fill the memory"))
         self._held += size
         return Ok(None)
 
-    def give_back(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Return bytes."""
         self._held -= size
--- a/packages/router/src/teaselledge/connection/bodyclock.py
+++ b/packages/router/src/teaselledge/connection/bodyclock.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-__all__ = ["BodyClock"]
+__all__ = ["BodyTimeout"]
 
 PAUSE_SECONDS = 20.0
 """Longest pause between two parts of a body."""
@@ -12,7 +12,7 @@
 """Longest time that the router waits for one body in all."""
 
 
-class BodyClock:
+class BodyTimeout:
     """Runs while the router waits for a part of a body.
 
     Without it, callers that send a byte now and then hold their connections
@@ -20,13 +20,13 @@
     Time in which the router makes the caller wait does not count.
     """
 
-    def __init__(self, cut_off: Callable[[], None]) -> None:
-        self._cut_off = cut_off
+    def __init__(self, on_timeout: Callable[[], None]) -> None:
+        self._cut_off = on_timeout
         self._left = TOTAL_SECONDS
         self._since = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
-    def wait(self) -> None:
+    def start(self) -> None:
         """Start to wait for the next part."""
         self.stop()
         loop = asyncio.get_running_loop()
--- a/packages/router/src/teaselledge/connection/endpoint.py
+++ b/packages/router/src/teaselledge/connection/endpoint.py
@@ -21,11 +21,11 @@
 from teaselledge.request.upload import Upload
 
 __all__ = [
-    "BrokenAnswerError",
-    "EndpointAnswer",
+    "IncompleteResponseError",
+    "EndpointResponse",
     "EndpointClient",
     "HttpEndpointClient",
-    "Outbound",
+    "OutboundRequest",
     "SendFailure",
 ]
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Outbound:
+class OutboundRequest:
     """A request as it goes to an endpoint.
 
     Attributes
@@ -64,27 +64,27 @@
 
     Attributes
     ----------
-    sent : bool
+    maybe_sent : bool
         Whether the endpoint may have received anything.
     detail : str
         What happened.
-    garbage : bool
+    malformed : bool
         The endpoint sent something that is no HTTP.
     refused : bool
         Its host refused the connection: nothing listens there.
     """
 
-    sent: bool
+    maybe_sent: bool
     detail: str
-    garbage: bool = False
+    malformed: bool = False
     refused: bool = False
 
 
-class BrokenAnswerError(Exception):
+class IncompleteResponseError(Exception):
     """The endpoint stopped in the middle of its answer."""
 
 
-class EndpointAnswer(Protocol):
+class EndpointResponse(Protocol):
     """An answer that has begun."""
 
     @property
@@ -96,7 +96,10 @@
         """Headers as received."""
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Iterate over the body; raises `BrokenAnswerError` where it stops short."""
+        """Iterate over the body.
+
+        Raises `IncompleteResponseError` where it stops short.
+        """
 
     def close(self) -> None:
         """Drop the exchange; an engine takes that as a cancellation."""
@@ -106,8 +109,8 @@
     """Sends requests to endpoints."""
 
     async def send(
-        self, address: str, request: Outbound
-    ) -> Result[EndpointAnswer, SendFailure]:
+        self, address: str, request: OutboundRequest
+    ) -> Result[EndpointResponse, SendFailure]:
         """Send a request and wait for the head of its answer."""
 
 
@@ -201,7 +204,7 @@
                 break
             yield chunk
         if not self._delegate.finished:
-            raise BrokenAnswerError
+            raise IncompleteResponseError
 
     def close(self) -> None:
         self._task.cancel()
@@ -226,8 +229,8 @@
         self._client = TCPClient()
 
     async def send(
-        self, address: str, request: Outbound
-    ) -> Result[EndpointAnswer, SendFailure]:
+        self, address: str, request: OutboundRequest
+    ) -> Result[EndpointResponse, SendFailure]:
         """Send a request and wait for the head of its answer."""
         host, port = address.rsplit(":", 1)
         try:
--- a/packages/router/src/teaselledge/connection/headers.py
+++ b/packages/router/src/teaselledge/connection/headers.py
@@ -3,7 +3,7 @@
 from teaselledge_fleet.request.headers import passed_on as without_hop
 from tornado.httputil import HTTPHeaders
 
-__all__ = ["header_size", "passed_on"]
+__all__ = ["header_size", "forwardable_headers"]
 
 OWN = frozenset(
     {
@@ -22,7 +22,7 @@
 SEPARATORS_BYTES = 4
 
 
-def passed_on(headers: HTTPHeaders) -> HTTPHeaders:
+def forwardable_headers(headers: HTTPHeaders) -> HTTPHeaders:
     """Return the headers without those of one hop and the router's own."""
     return without_hop(headers, OWN)
 
--- a/packages/router/src/teaselledge/connection/operator.py
+++ b/packages/router/src/teaselledge/connection/operator.py
@@ -18,24 +18,24 @@
     DRAIN,
     ORDERS,
     READ,
-    Permit,
-    permit_of,
+    Permissions,
+    permissions_of,
 )
 from teaselledge.connection.statuspage import status_page
 from teaselledge.errors import ErrorKind, Fault, problem
 from teaselledge.log import get_log
 from teaselledge.process.objectives import ObjectiveTracker
-from teaselledge.version.check import OWNED_SECTIONS
+from teaselledge.version.check import EDITABLE_SECTIONS
 from teaselledge.version.document import Version
 from teaselledge.version.publish import (
-    Applied,
     ApplyError,
     ApplyErrorKind,
+    ApplyResult,
     Change,
     Publisher,
 )
 
-__all__ = ["Drainer", "OperatorServer", "OrderAdmin", "Site"]
+__all__ = ["Drainer", "OperatorServer", "OrderAdmin", "OperatorContext"]
 
 _log = get_log("operator")
 
@@ -87,14 +87,14 @@
 
 
 @dataclass(frozen=True)
-class Site:
+class OperatorContext:
     """What the operators' interface works on.
 
     Attributes
     ----------
     version : callable
         The configuration in force.
-    known : callable
+    highest_known_version : callable
         Highest version known to the fleet.
     publisher : Publisher
         Accepts changes.
@@ -111,7 +111,7 @@
     """
 
     version: Callable[[], Version | None]
-    known: Callable[[], int]
+    highest_known_version: Callable[[], int]
     publisher: Publisher
     status: StatusSource
     objectives: ObjectiveTracker
@@ -155,11 +155,11 @@
 class _Handler(RequestHandler):
     """What the operators' handlers share."""
 
-    site: Site
-    permit: Permit
+    site: OperatorContext
+    permit: Permissions
     needs: dict[str, str] = {"GET": READ, "POST": CHANGE}  # noqa: RUF012
 
-    def initialize(self, site: Site) -> None:
+    def initialize(self, site: OperatorContext) -> None:
         """Take what the interface works on."""
         self.site = site
 
@@ -172,14 +172,14 @@
         authorization = self.request.headers.get("Authorization", "")
         # while nothing is known of any version, the first key may make one
         version = self.site.version()
-        first = None if self.site.known() else self.site.first_key
-        permit = permit_of(version, authorization, first)
+        first = None if self.site.highest_known_version() else self.site.first_key
+        permit = permissions_of(version, authorization, first)
         if permit is None:
             self.set_header("WWW-Authenticate", 'Basic realm="teaselledge"')
             self.refuse(Fault(ErrorKind.UNAUTHENTICATED))
             return
         act = self.needs.get(self.request.method or "", CHANGE)
-        if not permit.may(act):
+        if not permit.allows(act):
             detail = f"role {permit.role} does not include {act}"
             self.refuse(Fault(ErrorKind.FORBIDDEN, detail=detail))
             return
@@ -233,7 +233,7 @@
         value = {
             "kind": error.kind.value,
             "detail": error.detail,
-            "mistakes": [asdict(mistake) for mistake in error.mistakes],
+            "mistakes": [asdict(mistake) for mistake in error.issues],
             "conflicts": [asdict(conflict) for conflict in error.conflicts],
         }
         self.answer(value, APPLY_STATUS[error.kind])
@@ -280,7 +280,7 @@
         body = self.body_as(_apply_body)
         if body is None:
             return
-        unknown = sorted(set(body.sections) - set(OWNED_SECTIONS))
+        unknown = sorted(set(body.sections) - set(EDITABLE_SECTIONS))
         if unknown:
             detail = f"section {unknown[0][:40]!r} is not known"
             self.refuse(Fault(ErrorKind.BAD_REQUEST, detail=detail))
@@ -291,7 +291,7 @@
             body.base,
             body.sections,
             body.note[:MAX_NOTE],
-            self.permit.first_only,
+            self.permit.bootstrap_only,
         )
         await self.apply(change)
 
@@ -302,7 +302,7 @@
             _log.warning(f"Apply by {change.author}: {result.error.kind.value}.")
             self.fail(result.error)
             return
-        applied: Applied = result.ok
+        applied: ApplyResult = result.ok
         self.answer(asdict(applied))
 
 
@@ -362,7 +362,7 @@
             self.refuse(Fault(ErrorKind.NOT_FOUND, detail=detail))
             return
         vm = self.site.status.report()["vm"]
-        await self.site.publisher.audit(self.permit.name, "drain", vm, vm)
+        await self.site.publisher.write_audit_row(self.permit.name, "drain", vm, vm)
         drainer.start()
         self.answer({"draining": vm})
 
@@ -414,7 +414,7 @@
             return
         what = f"{organisation}/{key} {body.outcome}"
         name = hashlib.sha256(what.encode()).hexdigest()[:16]
-        audited = await self.site.publisher.audit(
+        audited = await self.site.publisher.write_audit_row(
             self.permit.name, "settle", what, name
         )
         if not audited:
@@ -435,7 +435,9 @@
 class OperatorServer:
     """The operators' HTTP server of one router."""
 
-    def __init__(self, site: Site, tls: ssl.SSLContext | None = None) -> None:
+    def __init__(
+        self, site: OperatorContext, tls: ssl.SSLContext | None = None
+    ) -> None:
         options = {"site": site}
         application = Application(
             [
--- a/packages/router/src/teaselledge/connection/operatorauth.py
+++ b/packages/router/src/teaselledge/connection/operatorauth.py
@@ -8,7 +8,7 @@
 
 from teaselledge.version.document import Version
 
-__all__ = ["ROLES", "Permit", "permit_of"]
+__all__ = ["ROLES", "Permissions", "permissions_of"]
 
 READ = "read"
 CHANGE = "change"
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class Permit:
+class Permissions:
     """What the bearer of a key may do.
 
     Attributes
@@ -38,29 +38,29 @@
         The role.
     sections : tuple of str
         Sections or entries that an editor may change.
-    first_only : bool
+    bootstrap_only : bool
         It may only make the first version.
     """
 
     name: str
     role: str
     sections: tuple[str, ...] = ()
-    first_only: bool = False
+    bootstrap_only: bool = False
 
-    def may(self, act: str) -> bool:
+    def allows(self, act: str) -> bool:
         """Return whether the role includes an act."""
         return act in ROLES[self.role]
 
     def may_change(self, section: str, name: str) -> bool:
         """Return whether it may change an entry."""
-        if not self.may(CHANGE):
+        if not self.allows(CHANGE):
             return False
         if self.role == "admin":
             return True
         return section in self.sections or f"{section}/{name}" in self.sections
 
 
-def key_in(authorization: str) -> str:
+def extract_key(authorization: str) -> str:
     """Return the key of a header: a bearer key, or a browser's password."""
     scheme, _, value = authorization.partition(" ")
     if scheme.lower() == "bearer":
@@ -74,9 +74,9 @@
     return text.partition(":")[2]
 
 
-def permit_of(
+def permissions_of(
     version: Version | None, authorization: str, first_key: str | None
-) -> Permit | None:
+) -> Permissions | None:
     """Return the permit of a key, None where nobody has it.
 
     Parameters
@@ -88,18 +88,18 @@
     first_key : str or None
         Hash of the key that may make the first version, while there is none.
     """
-    key = key_in(authorization)
+    key = extract_key(authorization)
     if not key:
         return None
     digest = hashlib.sha256(key.encode()).hexdigest()
     if version is None:
         known = first_key or NO_DIGEST
         same = hmac.compare_digest(known, digest)
-        return Permit("first", "admin", (), True) if same and first_key else None
+        return Permissions("first", "admin", (), True) if same and first_key else None
     found = None
     # every key is compared, so that the time tells nothing about which matched
     for name, operator in version.document.operators.items():
         for known in operator.keys:
             if hmac.compare_digest(known, digest):
-                found = Permit(name, operator.role, operator.sections)
+                found = Permissions(name, operator.role, operator.sections)
     return found
--- a/packages/router/src/teaselledge/connection/orders.py
+++ b/packages/router/src/teaselledge/connection/orders.py
@@ -4,7 +4,7 @@
 
 from teaselledge.connection.web import BaseHandler
 from teaselledge.errors import ErrorKind, Fault, Ran
-from teaselledge.request.orderbook import Order, get_order
+from teaselledge.request.orderqueries import Order, get_order
 
 __all__ = ["OrdersHandler"]
 
--- a/packages/router/src/teaselledge/connection/peer.py
+++ b/packages/router/src/teaselledge/connection/peer.py
@@ -79,7 +79,7 @@
         # a peer that is cut off must not fill the memory; what is dropped here
         # is repeated by the next snapshot, report or beat
         if len(self._queue) >= MAX_QUEUED:
-            self._mesh.drop(len(self._queue))
+            self._mesh.count_dropped(len(self._queue))
             self._queue.clear()
         self._queue.append(sent)
         self._wake.set()
@@ -91,7 +91,7 @@
             stream = await self._mesh.connect(self._vm)
             if stream is None:
                 # old messages are worthless to a router that comes back later
-                self._mesh.drop(len(self._queue))
+                self._mesh.count_dropped(len(self._queue))
                 self._queue.clear()
                 self._wake.clear()
                 await self._back_off()
@@ -135,7 +135,7 @@
             while self._queue:
                 count = min(len(self._queue), MAX_MESSAGES)
                 batch = [self._queue.popleft() for _ in range(count)]
-                for frame in self._mesh.pack(batch):
+                for frame in self._mesh.encode_batch(batch):
                     await stream.write(frame)
 
 
@@ -164,9 +164,9 @@
 
     Attributes
     ----------
-    introduce : callable
+    make_hello : callable
         What is said first on each connection.
-    on_refused : callable
+    on_connection_refused : callable
         Called with a VM whose host refuses connections.
     """
 
@@ -182,8 +182,8 @@
         self._address_of = address_of
         self._metrics = metrics
         self._registry = HandlerRegistry()
-        self.introduce: Callable[[], Heartbeat] = lambda: Heartbeat(vm=origin.vm)
-        self.on_refused: Callable[[str], None] = lambda vm: None
+        self.make_hello: Callable[[], Heartbeat] = lambda: Heartbeat(vm=origin.vm)
+        self.on_connection_refused: Callable[[str], None] = lambda vm: None
         self._links: dict[str, _Link] = {}
         self._client = TCPClient()
         self._client_tls = client_tls
@@ -223,22 +223,22 @@
             link = self._links[vm] = _Link(self, vm)
         link.push(sent)
 
-    def drop(self, count: int) -> None:
+    def count_dropped(self, count: int) -> None:
         """Count messages that are given up."""
         if count:
             self._metrics.count("peer.dropped_messages", count)
 
-    def pack(self, batch: list[Message]) -> list[bytes]:
+    def encode_batch(self, batch: list[Message]) -> list[bytes]:
         """Encode a batch as a frame, or as several where it is too large."""
         try:
             frame = pack(encode(batch, self._origin.incarnation))
         except FrameError:
             if len(batch) == 1:
                 # one message over the limit would block the link for ever
-                self.drop(1)
+                self.count_dropped(1)
                 return []
             half = len(batch) // 2
-            return [*self.pack(batch[:half]), *self.pack(batch[half:])]
+            return [*self.encode_batch(batch[:half]), *self.encode_batch(batch[half:])]
         self._metrics.count("peer.sent_bytes", len(frame))
         return [frame]
 
@@ -260,7 +260,7 @@
             # StreamClosedError and ssl.SSLError are kinds of OSError
             cause = getattr(error, "real_error", None) or error
             if isinstance(cause, ConnectionRefusedError):
-                self.on_refused(vm)
+                self.on_connection_refused(vm)
             self._note(f"No connection to {vm}: {error}.")
         else:
             return stream
@@ -314,10 +314,10 @@
             raise _RefusedPeerError(f"its certificate is for {sorted(names)}")
 
     async def _say_hello(self, stream: IOStream, vm: str) -> None:
-        hello = self.introduce()
+        hello = self.make_hello()
         # an address may have passed to another VM since it was learnt
         hello.receiver = None if vm.startswith("@") else vm
-        for frame in self.pack([make_message("heartbeat", hello)]):
+        for frame in self.encode_batch([make_message("heartbeat", hello)]):
             await stream.write(frame)
 
     async def _read_hello(self, stream: IOStream) -> Origin:
--- a/packages/router/src/teaselledge/connection/service.py
+++ b/packages/router/src/teaselledge/connection/service.py
@@ -8,14 +8,14 @@
 from tornado.iostream import StreamClosedError
 from tornado.web import stream_request_body
 
-from teaselledge.connection.admission import BodyReservation
-from teaselledge.connection.bodyclock import BodyClock
-from teaselledge.connection.headers import header_size, passed_on
+from teaselledge.connection.bodybudget import BodyReservation
+from teaselledge.connection.bodyclock import BodyTimeout
+from teaselledge.connection.headers import forwardable_headers, header_size
 from teaselledge.connection.sink import HandlerSink
 from teaselledge.connection.web import BaseHandler
-from teaselledge.errors import ANSWERS, ErrorKind, Fault, Ran
+from teaselledge.errors import FAULT_RESPONSES, ErrorKind, Fault, Ran
 from teaselledge.request.context import CallerRequest
-from teaselledge.request.upload import MAX_HELD_BYTES, Upload
+from teaselledge.request.upload import MAX_BUFFERED_BYTES, Upload
 from teaselledge.version.document import Service, Version
 
 __all__ = ["ServiceHandler", "kind_of"]
@@ -64,7 +64,7 @@
         self._parts: list[bytes] = []
         self._size = 0
         self._reservation = self.router.bodies.reserve()
-        self._clock = BodyClock(self._cut_off)
+        self._clock = BodyTimeout(self._cut_off)
         service, path = self.path_args
         result = self._check(service, path).bind(self._reserve)
         if result.is_error():
@@ -73,7 +73,7 @@
         self._checked = result.ok
         if (self._announced or 0) > self.router.settings.limits.body_bytes:
             self._begin_upload()
-        self._clock.wait()
+        self._clock.start()
 
     async def data_received(self, chunk: bytes) -> None:
         """Keep a part of the body, or pass it on."""
@@ -87,12 +87,12 @@
             return
         if self._upload is not None:
             await self._upload.put(chunk)
-            self._clock.wait()
+            self._clock.start()
             return
         self._parts.append(chunk)
         if self._announced is None:
             self._keep_unannounced(len(chunk))
-        self._clock.wait()
+        self._clock.start()
 
     async def handle(self, service: str, path: str) -> None:
         """Run a request whose body is complete, and answer."""
@@ -141,7 +141,7 @@
             return
         finally:
             if self._upload is not None:
-                self._upload.drop()
+                self._upload.discard()
         self._record(request, sink, result)
         if result.is_error():
             self._end(result.error, proven=True)
@@ -204,7 +204,7 @@
             return
         self._lingering = True
         self.set_header("Connection", "close")
-        self.refuse(fault, proven, hold=True)
+        self.refuse(fault, proven, keep_open=True)
         asyncio.get_running_loop().call_later(LINGER_SECONDS, self._cut_unread)
 
     @property
@@ -225,7 +225,7 @@
     ) -> None:
         failed = sink.aborted
         if result.is_error():
-            failed = ANSWERS[result.error.kind].status >= SERVER_ERROR
+            failed = FAULT_RESPONSES[result.error.kind].status >= SERVER_ERROR
         seconds = asyncio.get_running_loop().time() - self._arrived
         self.router.node.objectives.record(
             request.organisation, request.service, request.kind, seconds, failed
@@ -264,7 +264,7 @@
         assert self._reservation is not None
         size = self._announced or 0
         if size > self.router.settings.limits.body_bytes:
-            size = MAX_HELD_BYTES
+            size = MAX_BUFFERED_BYTES
         return self._reservation.grow(size).map(lambda _: request)
 
     def _request(
@@ -279,7 +279,7 @@
             return Error(Fault(ErrorKind.BODY_TOO_LARGE))
         key = self.request.headers.get("Idempotency-Key")
         query = f"?{self.request.query}" if self.request.query else ""
-        headers = passed_on(self.request.headers)
+        headers = forwardable_headers(self.request.headers)
         headers["Host"] = service
         headers["X-Request-Id"] = self.request_id
         now = asyncio.get_running_loop().time()
--- a/packages/router/src/teaselledge/connection/sink.py
+++ b/packages/router/src/teaselledge/connection/sink.py
@@ -6,7 +6,7 @@
 from tornado.iostream import StreamClosedError
 from tornado.web import RequestHandler
 
-from teaselledge.connection.headers import passed_on
+from teaselledge.connection.headers import forwardable_headers
 
 __all__ = ["STREAM_BUFFER_BYTES", "HandlerSink"]
 
@@ -58,7 +58,7 @@
         self._started = True
         handler = self._handler
         handler.set_status(status)
-        for name, value in passed_on(headers).get_all():
+        for name, value in forwardable_headers(headers).get_all():
             handler.add_header(name, value)
         if "Content-Length" in headers:
             handler.set_header("Content-Length", headers["Content-Length"])
--- a/packages/router/src/teaselledge/connection/web.py
+++ b/packages/router/src/teaselledge/connection/web.py
@@ -7,7 +7,7 @@
 
 from teaselledge.errors import ErrorKind, Fault, problem
 from teaselledge.log import get_log
-from teaselledge.request.order import unproven
+from teaselledge.request.order import as_unverified
 
 if TYPE_CHECKING:
     from teaselledge.process.router import Router
@@ -41,29 +41,31 @@
         self.clear_header("Server")
         self.clear_header("Content-Type")
 
-    def refuse(self, fault: Fault, proven: bool = False, hold: bool = False) -> None:
+    def refuse(
+        self, fault: Fault, verified: bool = False, keep_open: bool = False
+    ) -> None:
         """Answer with a problem object.
 
         Parameters
         ----------
         fault : Fault
             What to tell.
-        proven : bool
+        verified : bool
             Whether the fault speaks for all attempts under the request's
             idempotency key; otherwise "not run" is not told for a keyed one.
-        hold : bool
+        keep_open : bool
             Send the whole answer, and leave it to the caller to finish.
         """
-        if not proven:
+        if not verified:
             key = self.request.headers.get("Idempotency-Key")
-            fault = unproven(fault, key)
+            fault = as_unverified(fault, key)
         answer = problem(fault, self.request_id)
         self.router.metrics.count("request.refused", 1, fault.kind.value)
         self.set_status(answer.status)
         for name, value in answer.headers.items():
             self.set_header(name, value)
         body = json.dumps(answer.body)
-        if not hold:
+        if not keep_open:
             self.finish(body)
             return
         self.set_header("Content-Length", str(len(body)))
--- a/packages/router/src/teaselledge/errors.py
+++ b/packages/router/src/teaselledge/errors.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-__all__ = ["ANSWERS", "Answer", "ErrorKind", "Fault", "Ran", "problem"]
+__all__ = ["FAULT_RESPONSES", "FaultResponse", "ErrorKind", "Fault", "Ran", "problem"]
 
 PROBLEM_TYPE = "application/problem+json"
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class FaultResponse:
     """How an error kind is told to the caller.
 
     Attributes
@@ -63,30 +63,42 @@
     retry_after: int | None = None
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.UNAUTHENTICATED: Answer(401, "The key is missing or unknown"),
-    ErrorKind.FORBIDDEN: Answer(403, "The organisation may not reach this"),
-    ErrorKind.NOT_FOUND: Answer(404, "There is nothing at this path"),
-    ErrorKind.METHOD_NOT_ALLOWED: Answer(405, "No kind of request has this method"),
-    ErrorKind.BAD_REQUEST: Answer(400, "The request is malformed"),
-    ErrorKind.KEY_REQUIRED: Answer(400, "An order needs an Idempotency-Key"),
-    ErrorKind.KEY_MISMATCH: Answer(422, "The key belongs to another request"),
-    ErrorKind.BODY_TOO_LARGE: Answer(413, "The body is over the limit"),
-    ErrorKind.HEADERS_TOO_LARGE: Answer(431, "The headers are over the limit"),
-    ErrorKind.ORGANISATION_LIMIT: Answer(429, "The organisation's limit is reached", 2),
-    ErrorKind.ROUTER_FULL: Answer(503, "The router's limit is reached", 1),
-    ErrorKind.QUEUE_TIMEOUT: Answer(503, "No endpoint was free in time", 5),
-    ErrorKind.NO_ENDPOINT: Answer(503, "No endpoint can be reached", 5),
-    ErrorKind.ENDPOINT_FAILED: Answer(502, "The endpoint failed"),
-    ErrorKind.ENDPOINT_TIMEOUT: Answer(504, "The endpoint took too long"),
-    ErrorKind.ENDPOINT_GARBAGE: Answer(502, "The endpoint's answer is malformed"),
-    ErrorKind.ORDER_IN_PROGRESS: Answer(409, "The order is in progress", 2),
-    ErrorKind.ORDER_UNKNOWN: Answer(504, "It is not known whether the order ran"),
-    ErrorKind.ANSWER_LOST: Answer(502, "The order ran; its answer was not kept"),
-    ErrorKind.JOURNAL_UNAVAILABLE: Answer(503, "The order journal is out of reach", 5),
-    ErrorKind.LEAVING: Answer(503, "This router is leaving", 0),
-    ErrorKind.NOT_CONFIGURED: Answer(503, "The router has no configuration yet", 2),
-    ErrorKind.INTERNAL: Answer(500, "The router failed"),
+FAULT_RESPONSES: dict[ErrorKind, FaultResponse] = {
+    ErrorKind.UNAUTHENTICATED: FaultResponse(401, "The key is missing or unknown"),
+    ErrorKind.FORBIDDEN: FaultResponse(403, "The organisation may not reach this"),
+    ErrorKind.NOT_FOUND: FaultResponse(404, "There is nothing at this path"),
+    ErrorKind.METHOD_NOT_ALLOWED: FaultResponse(
+        405, "No kind of request has this method"
+    ),
+    ErrorKind.BAD_REQUEST: FaultResponse(400, "The request is malformed"),
+    ErrorKind.KEY_REQUIRED: FaultResponse(400, "An order needs an Idempotency-Key"),
+    ErrorKind.KEY_MISMATCH: FaultResponse(422, "The key belongs to another request"),
+    ErrorKind.BODY_TOO_LARGE: FaultResponse(413, "The body is over the limit"),
+    ErrorKind.HEADERS_TOO_LARGE: FaultResponse(431, "The headers are over the limit"),
+    ErrorKind.ORGANISATION_LIMIT: FaultResponse(
+        429, "The organisation's limit is reached", 2
+    ),
+    ErrorKind.ROUTER_FULL: FaultResponse(503, "The router's limit is reached", 1),
+    ErrorKind.QUEUE_TIMEOUT: FaultResponse(503, "No endpoint was free in time", 5),
+    ErrorKind.NO_ENDPOINT: FaultResponse(503, "No endpoint can be reached", 5),
+    ErrorKind.ENDPOINT_FAILED: FaultResponse(502, "The endpoint failed"),
+    ErrorKind.ENDPOINT_TIMEOUT: FaultResponse(504, "The endpoint took too long"),
+    ErrorKind.ENDPOINT_GARBAGE: FaultResponse(
+        502, "The endpoint's answer is malformed"
+    ),
+    ErrorKind.ORDER_IN_PROGRESS: FaultResponse(409, "The order is in progress", 2),
+    ErrorKind.ORDER_UNKNOWN: FaultResponse(
+        504, "It is not known whether the order ran"
+    ),
+    ErrorKind.ANSWER_LOST: FaultResponse(502, "The order ran; its answer was not kept"),
+    ErrorKind.JOURNAL_UNAVAILABLE: FaultResponse(
+        503, "The order journal is out of reach", 5
+    ),
+    ErrorKind.LEAVING: FaultResponse(503, "This router is leaving", 0),
+    ErrorKind.NOT_CONFIGURED: FaultResponse(
+        503, "The router has no configuration yet", 2
+    ),
+    ErrorKind.INTERNAL: FaultResponse(500, "The router failed"),
 }
 
 
@@ -134,7 +146,7 @@
 
 def problem(fault: Fault, request_id: str) -> Problem:
     """Return the answer for a fault, as the table has it."""
-    answer = ANSWERS[fault.kind]
+    answer = FAULT_RESPONSES[fault.kind]
     headers = {"Content-Type": PROBLEM_TYPE}
     retry_after = answer.retry_after
     if fault.retry_after is not None:
--- a/packages/router/src/teaselledge/process/drain.py
+++ b/packages/router/src/teaselledge/process/drain.py
@@ -10,7 +10,7 @@
 from teaselledge.errors import ErrorKind, Fault, Ran
 from teaselledge.log import get_log
 from teaselledge.request.context import CallerRequest, Sink
-from teaselledge.request.order import OrderDesk, unproven
+from teaselledge.request.order import OrderExecutor, as_unverified
 
 __all__ = ["Drain", "DrainExit", "DrainGate", "Phase"]
 
@@ -157,7 +157,7 @@
 class DrainGate:
     """Counts the requests in progress and refuses new ones while leaving."""
 
-    def __init__(self, runner: Runner, orders: OrderDesk) -> None:
+    def __init__(self, runner: Runner, orders: OrderExecutor) -> None:
         self._runner = runner
         self._orders = orders
         self._running = 0
@@ -172,7 +172,7 @@
         """Answer a request."""
         fault = self.rejection()
         if fault is not None and request.kind_entry.repeatable:
-            return Error(unproven(fault, request.key))
+            return Error(as_unverified(fault, request.key))
         if fault is not None:
             # an earlier attempt on another router may have run the order
             return await self._orders.refuse(request, fault, sink)
--- a/packages/router/src/teaselledge/process/endpointobserver.py
+++ b/packages/router/src/teaselledge/process/endpointobserver.py
@@ -5,9 +5,9 @@
 from expression import Result
 
 from teaselledge.connection.endpoint import (
-    EndpointAnswer,
     EndpointClient,
-    Outbound,
+    EndpointResponse,
+    OutboundRequest,
     SendFailure,
 )
 from teaselledge.process.endpointstatus import EndpointStatus
@@ -36,8 +36,8 @@
         self._notice = on_status
 
     async def send(
-        self, address: str, request: Outbound
-    ) -> Result[EndpointAnswer, SendFailure]:
+        self, address: str, request: OutboundRequest
+    ) -> Result[EndpointResponse, SendFailure]:
         """Send a request and wait for the head of its answer."""
         result = await self._client.send(address, request)
         if result.is_error():
--- a/packages/router/src/teaselledge/process/node.py
+++ b/packages/router/src/teaselledge/process/node.py
@@ -26,10 +26,10 @@
 from teaselledge.process.settings import Settings
 from teaselledge.request.forward import Forwarder
 from teaselledge.request.journal import Journal
-from teaselledge.request.order import OrderDesk
+from teaselledge.request.order import OrderExecutor
 from teaselledge.request.sweep import Sweeper
 from teaselledge.version.document import Version
-from teaselledge.version.follow import Follower
+from teaselledge.version.follow import ConfigWatcher
 
 __all__ = ["Node", "PlatformClients"]
 
@@ -66,7 +66,9 @@
         self.metrics = metrics
         self.mesh = mesh
         self._tasks: list[asyncio.Task[None]] = []
-        self.follower = Follower(platform.tables, mesh, self._live, self._use, metrics)
+        self.config_watcher = ConfigWatcher(
+            platform.tables, mesh, self._live, self._use, metrics
+        )
         self.objectives = ObjectiveTracker(self._version)
         self.membership = Membership(
             own,
@@ -96,7 +98,7 @@
         client = ObservingEndpointClient(client, self._notice)
         journal = Journal(platform.tables, platform.objects, metrics, clock)
         owner = f"{own.vm}/{own.incarnation:x}"
-        self.orders = OrderDesk(self.ingress, client, journal, metrics, owner)
+        self.orders = OrderExecutor(self.ingress, client, journal, metrics, owner)
         self.sweeper = Sweeper(journal, self._sweeps)
         self.runner = Forwarder(self.ingress, client, self.orders, metrics)
         self.request_runner = DrainGate(self.runner, self.orders)
@@ -126,7 +128,7 @@
     @property
     def version(self) -> Version | None:
         """The configuration in force."""
-        return self.follower.current
+        return self.config_watcher.current
 
     @property
     def ready(self) -> bool:
@@ -160,10 +162,10 @@
     async def start(self) -> None:
         """Read the configuration once and start the tasks."""
         self.objectives.start()
-        await self.follower.start()
+        await self.config_watcher.start()
         parts = (
             self.membership,
-            self.follower,
+            self.config_watcher,
             self.ingress,
             self.dispatchers,
             self.sweeper,
@@ -199,10 +201,10 @@
                     self.membership.report_endpoint(name, endpoint, reason)
 
     def _version(self) -> Version | None:
-        return self.follower.current
+        return self.config_watcher.current
 
     def _version_number(self) -> int:
-        current = self.follower.current
+        current = self.config_watcher.current
         return current.number if current else 0
 
     def _load(self) -> float:
--- a/packages/router/src/teaselledge/process/router.py
+++ b/packages/router/src/teaselledge/process/router.py
@@ -7,11 +7,11 @@
 
 from tornado.netutil import bind_sockets
 
-from teaselledge.connection.admission import BodyBudget
 from teaselledge.connection.auth import Authenticator
+from teaselledge.connection.bodybudget import BodyBudget
 from teaselledge.connection.caller import make_application
 from teaselledge.connection.endpoint import EndpointClient, HttpEndpointClient
-from teaselledge.connection.operator import OperatorServer, Site
+from teaselledge.connection.operator import OperatorContext, OperatorServer
 from teaselledge.connection.peer import PeerMesh
 from teaselledge.connection.server import CallerServer
 from teaselledge.log import get_log
@@ -86,8 +86,10 @@
             engines=HttpEngineAdmin(),
             feed=HttpFeedSource(),
         )
-        self._mesh.on_refused = self.node.membership.report_connection_refused
-        self._mesh.introduce = self.node.membership.hello
+        self._mesh.on_connection_refused = (
+            self.node.membership.report_connection_refused
+        )
+        self._mesh.make_hello = self.node.membership.hello
         self._tables = platform.tables
         self._operators: OperatorServer | None = None
         self._operator_address = ""
@@ -212,22 +214,22 @@
         """Return which routers a caller in a zone should use."""
         return self.node.addresses.resolve(zone).as_json()
 
-    def _site(self) -> Site:
+    def _site(self) -> OperatorContext:
         node = self.node
         publisher = Publisher(
             self._tables,
             lambda: datetime.now(UTC),
-            lambda: node.follower.state.known,
+            lambda: node.config_watcher.state.known,
         )
         shares = DispatcherShares(
             lambda: node.dispatchers.dispatchers, lambda: node.version
         )
         status = Status(
-            node.follower, node.membership, node.ingress, self._tally, shares
+            node.config_watcher, node.membership, node.ingress, self._tally, shares
         )
-        return Site(
+        return OperatorContext(
             lambda: node.version,
-            lambda: node.follower.state.known,
+            lambda: node.config_watcher.state.known,
             publisher,
             status,
             node.objectives,
--- a/packages/router/src/teaselledge/process/settings.py
+++ b/packages/router/src/teaselledge/process/settings.py
@@ -166,14 +166,14 @@
     first_key: Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")] | None = None
 
 
-def load(path: Path) -> Result[Settings, list[yamlsource.Mistake]]:
+def load(path: Path) -> Result[Settings, list[yamlsource.ConfigIssue]]:
     """Read the settings file.
 
     Returns
     -------
-    Result of Settings or list of Mistake
+    Result of Settings or list of ConfigIssue
         The settings, or every fault in the file.
     """
     return yamlsource.read(path).bind(
-        lambda source: yamlsource.read_as(Settings, source)
+        lambda source: yamlsource.validate_as(Settings, source)
     )
--- a/packages/router/src/teaselledge/process/status.py
+++ b/packages/router/src/teaselledge/process/status.py
@@ -9,7 +9,7 @@
 from teaselledge.process.membership import Membership
 from teaselledge.process.shares import ShareSource
 from teaselledge.process.tally import RecordingMetrics
-from teaselledge.version.follow import Follower
+from teaselledge.version.follow import ConfigWatcher
 
 __all__ = [
     "HEALTH_INDICATORS",
@@ -177,7 +177,7 @@
 
     def __init__(
         self,
-        follower: Follower,
+        follower: ConfigWatcher,
         membership: Membership,
         ingress: Ingress,
         tally: RecordingMetrics,
--- a/packages/router/src/teaselledge/request/pace.py
+++ b/packages/router/src/teaselledge/request/claimtiming.py
@@ -2,7 +2,12 @@
 
 from typing import Protocol
 
-__all__ = ["AheadPace", "EarlyPace", "LatePace", "Pace"]
+__all__ = [
+    "PredictiveClaimTiming",
+    "ImmediateClaimTiming",
+    "LateClaimTiming",
+    "ClaimTiming",
+]
 
 WEIGHT = 0.2
 """Weight of the newest value in a moving average."""
@@ -22,7 +27,7 @@
 """Duration of a claim that is assumed before the first one."""
 
 
-class Pace(Protocol):
+class ClaimTiming(Protocol):
     """Chooses how long after its arrival an order is claimed.
 
     A claim that comes early lies in the journal while the order waits: a router
@@ -31,23 +36,23 @@
     """
 
     @property
-    def failing(self) -> bool:
+    def journal_failing(self) -> bool:
         """Whether the journal is out of reach, as far as is known."""
 
-    def due(self, service: str) -> float:
+    def claim_delay(self, service: str) -> float:
         """Return seconds from arrival to claim; infinite for "with the slot"."""
 
-    def waited(self, service: str, seconds: float) -> None:
+    def record_slot_wait(self, service: str, seconds: float) -> None:
         """Learn how long an order waited for its slot."""
 
-    def claimed(self, seconds: float) -> None:
+    def record_claim_time(self, seconds: float) -> None:
         """Learn how long a claim took."""
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Learn that the journal is out of reach."""
 
 
-class AheadPace:
+class PredictiveClaimTiming:
     """Claims shortly before the slot is expected, from recent waits.
 
     While the journal fails, orders claim on arrival: no slot is asked for by
@@ -60,17 +65,17 @@
         self._failing = False
 
     @property
-    def failing(self) -> bool:
+    def journal_failing(self) -> bool:
         """Whether the last call to the journal failed."""
         return self._failing
 
-    def due(self, service: str) -> float:
+    def claim_delay(self, service: str) -> float:
         """Return seconds from arrival to claim."""
         if self._failing:
             return 0.0
         return max(0.0, self._waits.get(service, 0.0) - MARGIN * self._claim)
 
-    def waited(self, service: str, seconds: float) -> None:
+    def record_slot_wait(self, service: str, seconds: float) -> None:
         """Learn how long an order waited for its slot."""
         before = self._waits.get(service, seconds)
         # the shortest waits count: a claim that is late costs a slot's time now,
@@ -78,38 +83,38 @@
         weight = RISE if seconds > before else 1.0
         self._waits[service] = before + weight * (seconds - before)
 
-    def claimed(self, seconds: float) -> None:
+    def record_claim_time(self, seconds: float) -> None:
         """Learn how long a claim took."""
         self._claim += WEIGHT * (seconds - self._claim)
         self._failing = False
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Learn that the journal is out of reach."""
         self._failing = True
 
 
-class EarlyPace:
+class ImmediateClaimTiming:
     """Claims on arrival."""
 
-    failing = False
+    journal_failing = False
 
-    def due(self, service: str) -> float:
+    def claim_delay(self, service: str) -> float:
         """Return seconds from arrival to claim."""
         return 0.0
 
-    def waited(self, service: str, seconds: float) -> None:
+    def record_slot_wait(self, service: str, seconds: float) -> None:
         """Learn nothing."""
 
-    def claimed(self, seconds: float) -> None:
+    def record_claim_time(self, seconds: float) -> None:
         """Learn nothing."""
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Learn nothing."""
 
 
-class LatePace(EarlyPace):
+class LateClaimTiming(ImmediateClaimTiming):
     """Claims when the slot is there."""
 
-    def due(self, service: str) -> float:
+    def claim_delay(self, service: str) -> float:
         """Return seconds from arrival to claim."""
         return float("inf")
--- a/packages/router/src/teaselledge/request/cost.py
+++ b/packages/router/src/teaselledge/request/cost.py
@@ -13,7 +13,7 @@
     def cost(self) -> float:
         """Cost so far, in the service's unit."""
 
-    def see(self, chunk: bytes) -> None:
+    def observe(self, chunk: bytes) -> None:
         """Count a part of the answer."""
 
 
@@ -32,7 +32,7 @@
         """Seconds so far."""
         return asyncio.get_running_loop().time() - self._start
 
-    def see(self, chunk: bytes) -> None:
+    def observe(self, chunk: bytes) -> None:
         """Count nothing; time is enough."""
 
 
@@ -50,7 +50,7 @@
         """Tokens so far."""
         return float(self._events)
 
-    def see(self, chunk: bytes) -> None:
+    def observe(self, chunk: bytes) -> None:
         """Count events, also those split between two chunks."""
         text = self._tail + chunk
         self._events += text.count(self.MARK)
--- a/packages/router/src/teaselledge/request/exchange.py
+++ b/packages/router/src/teaselledge/request/exchange.py
@@ -6,29 +6,29 @@
 from tornado.httputil import HTTPHeaders
 
 from teaselledge.connection.endpoint import (
-    BrokenAnswerError,
     EndpointClient,
-    Outbound,
+    IncompleteResponseError,
+    OutboundRequest,
 )
 from teaselledge.errors import ErrorKind
 from teaselledge.request.context import CallerRequest
-from teaselledge.request.record import StoredAnswer
-from teaselledge.request.relay import Relay
+from teaselledge.request.record import StoredResponse
+from teaselledge.request.relay import RecordingSink
 
-__all__ = ["Ended", "exchange_order", "is_crossed"]
+__all__ = ["ExchangeResult", "exchange_order", "is_mismatched_response"]
 
 ID_HEADER = "X-Request-Id"
 
 
 @dataclass(frozen=True)
-class Ended:
+class ExchangeResult:
     """How an exchange with an endpoint ended.
 
     Attributes
     ----------
-    sent : bool
+    maybe_sent : bool
         Whether the endpoint may have received anything.
-    answer : StoredAnswer or None
+    response : StoredResponse or None
         The whole answer, if it came.
     kind : ErrorKind
         What to tell the caller where it did not.
@@ -36,13 +36,13 @@
         What happened.
     """
 
-    sent: bool
-    answer: StoredAnswer | None = None
+    maybe_sent: bool
+    response: StoredResponse | None = None
     kind: ErrorKind = ErrorKind.ENDPOINT_FAILED
     reason: str = ""
 
 
-def is_crossed(sent: HTTPHeaders, received: HTTPHeaders) -> bool:
+def is_mismatched_response(sent: HTTPHeaders, received: HTTPHeaders) -> bool:
     """Return whether an answer names another request than the one sent.
 
     An endpoint behind a broken pool of its own may give a caller another
@@ -56,30 +56,34 @@
     client: EndpointClient,
     address: str,
     request: CallerRequest,
-    relay: Relay,
-    see: Callable[[bytes], None],
-) -> Ended:
+    relay: RecordingSink,
+    on_chunk: Callable[[bytes], None],
+) -> ExchangeResult:
     """Send an order and pass its answer on, to the answer's end."""
-    outbound = Outbound(request.method, request.path, request.headers, request.body)
+    outbound = OutboundRequest(
+        request.method, request.path, request.headers, request.body
+    )
     sent = await client.send(address, outbound)
     if sent.is_error():
         failure = sent.error
         kind = ErrorKind.ENDPOINT_FAILED
-        if failure.garbage:
+        if failure.malformed:
             kind = ErrorKind.ENDPOINT_GARBAGE
-        return Ended(failure.sent, None, kind, failure.detail)
+        return ExchangeResult(failure.maybe_sent, None, kind, failure.detail)
     answer = sent.ok
     try:
-        if is_crossed(outbound.headers, answer.headers):
+        if is_mismatched_response(outbound.headers, answer.headers):
             detail = "the endpoint answered another request"
-            return Ended(True, None, ErrorKind.ENDPOINT_GARBAGE, detail)
+            return ExchangeResult(True, None, ErrorKind.ENDPOINT_GARBAGE, detail)
         await relay.start(answer.status, answer.headers)
         async for chunk in answer.chunks():
-            see(chunk)
+            on_chunk(chunk)
             await relay.write(chunk)
-    except BrokenAnswerError:
-        return Ended(True, None, ErrorKind.ENDPOINT_FAILED, "the answer broke off")
+    except IncompleteResponseError:
+        return ExchangeResult(
+            True, None, ErrorKind.ENDPOINT_FAILED, "the answer broke off"
+        )
     finally:
         answer.close()
     await relay.finish()
-    return Ended(True, relay.answer)
+    return ExchangeResult(True, relay.response)
--- a/packages/router/src/teaselledge/request/forward.py
+++ b/packages/router/src/teaselledge/request/forward.py
@@ -6,10 +6,10 @@
 from expression import Error, Ok, Result
 
 from teaselledge.connection.endpoint import (
-    BrokenAnswerError,
-    EndpointAnswer,
     EndpointClient,
-    Outbound,
+    EndpointResponse,
+    IncompleteResponseError,
+    OutboundRequest,
 )
 from teaselledge.errors import ErrorKind, Fault, Ran
 from teaselledge.metrics import Metrics, NullMetrics
@@ -17,19 +17,19 @@
 from teaselledge.process.retrybudget import RetryBudget
 from teaselledge.request.context import CallerRequest, Sink
 from teaselledge.request.cost import Meter, get_meter_by_name
-from teaselledge.request.exchange import is_crossed
-from teaselledge.request.order import OrderDesk, unproven
+from teaselledge.request.exchange import is_mismatched_response
+from teaselledge.request.order import OrderExecutor, as_unverified
 from teaselledge.request.prefix import PREFIX_HEADER, prefix_of
-from teaselledge.request.resume import asking_from, resumes_at
+from teaselledge.request.resume import resumes_at, with_resume_header
 from teaselledge.request.retry import (
     MAX_ATTEMPTS,
+    AttemptOutcome,
+    AttemptResult,
     Budget,
-    End,
-    Ended,
     is_refusal,
-    worse,
+    merge_ran,
 )
-from teaselledge.request.watch import StreamWatch
+from teaselledge.request.watch import StreamWatchdog
 
 __all__ = ["Forwarder"]
 
@@ -90,8 +90,8 @@
         if self.sink.started:
             self.sink.abort()
             return Ok(None)
-        told = replace(fault, ran=worse(fault.ran, self.ran))
-        return Error(unproven(told, self.request.key))
+        told = replace(fault, ran=merge_ran(fault.ran, self.ran))
+        return Error(as_unverified(told, self.request.key))
 
 
 class Forwarder:
@@ -99,7 +99,7 @@
 
     Attributes
     ----------
-    orders : OrderDesk
+    orders : OrderExecutor
         Runs those that may not be repeated.
     """
 
@@ -107,7 +107,7 @@
         self,
         ingress: Ingress,
         client: EndpointClient,
-        orders: OrderDesk,
+        orders: OrderExecutor,
         metrics: Metrics | None = None,
     ) -> None:
         self._ingress = ingress
@@ -135,18 +135,18 @@
                 return journey.give_up(journey.fault or acquired.error)
             granted = acquired.ok
             ended = await self._attempt(journey, granted)
-            if ended.end is End.WHOLE:
+            if ended.outcome is AttemptOutcome.WHOLE:
                 return Ok(None)
-            if ended.end is End.PREEMPTED:
+            if ended.outcome is AttemptOutcome.PREEMPTED:
                 continue
             journey.attempts += 1
             journey.fault = ended.fault
             journey.excluded = (*journey.excluded, granted.endpoint)
-            if ended.end is not End.UNSENT:
-                journey.ran = worse(journey.ran, Ran.UNKNOWN)
-            if not self._may_retry(journey, ended.end):
+            if ended.outcome is not AttemptOutcome.UNSENT:
+                journey.ran = merge_ran(journey.ran, Ran.UNKNOWN)
+            if not self._may_retry(journey, ended.outcome):
                 return journey.give_up(ended.fault)
-            self._metrics.count("request.retried", 1, ended.end.value)
+            self._metrics.count("request.retried", 1, ended.outcome.value)
 
     def _budget(self, service: str) -> Budget:
         found = self._budgets.get(service)
@@ -154,38 +154,41 @@
             found = self._budgets[service] = RetryBudget.from_config()
         return found
 
-    def _may_retry(self, journey: _Journey, end: End) -> bool:
+    def _may_retry(self, journey: _Journey, end: AttemptOutcome) -> bool:
         late = asyncio.get_running_loop().time() >= journey.request.deadline
         if late or journey.attempts >= MAX_ATTEMPTS:
             return False
         if journey.sink.started and not journey.resumes:
             return False
-        if journey.request.upload is not None and journey.request.upload.begun:
+        if journey.request.upload is not None and journey.request.upload.started:
             return False
-        if end is End.UNSENT:
+        if end is AttemptOutcome.UNSENT:
             # the endpoint got nothing, so that this is no load on it
             return True
         return self._budget(journey.request.service).try_withdraw()
 
-    async def _attempt(self, journey: _Journey, granted: SlotGrant) -> Ended:
+    async def _attempt(self, journey: _Journey, granted: SlotGrant) -> AttemptResult:
         meter = get_meter_by_name(journey.request.service_entry.cost)
         failed = True
         try:
             ended = await self._exchange(journey, granted, meter)
-            failed = ended.end not in (End.WHOLE, End.PREEMPTED)
+            failed = ended.outcome not in (
+                AttemptOutcome.WHOLE,
+                AttemptOutcome.PREEMPTED,
+            )
             return ended
         finally:
             self._ingress.release(granted, meter.cost, failed)
 
     async def _exchange(
         self, journey: _Journey, granted: SlotGrant, meter: Meter
-    ) -> Ended:
+    ) -> AttemptResult:
         request = journey.request
-        headers = asking_from(request.headers, journey.position)
+        headers = with_resume_header(request.headers, journey.position)
         if journey.prefix is not None:
             headers = headers.copy()
             headers[PREFIX_HEADER] = str(journey.prefix)
-        outbound = Outbound(
+        outbound = OutboundRequest(
             request.method, request.path, headers, request.body, request.upload
         )
         endpoint = request.service_entry.endpoints[granted.endpoint]
@@ -193,15 +196,21 @@
             async with asyncio.timeout_at(request.deadline):
                 sent = await self._client.send(endpoint.address, outbound)
         except TimeoutError:
-            return Ended(End.FAILED, Fault(ErrorKind.ENDPOINT_TIMEOUT, Ran.UNKNOWN))
+            return AttemptResult(
+                AttemptOutcome.FAILED, Fault(ErrorKind.ENDPOINT_TIMEOUT, Ran.UNKNOWN)
+            )
         if sent.is_error():
             failure = sent.error
             kind = ErrorKind.ENDPOINT_FAILED
-            if failure.garbage:
+            if failure.malformed:
                 kind = ErrorKind.ENDPOINT_GARBAGE
-            if not failure.sent:
-                return Ended(End.UNSENT, Fault(kind, Ran.NO, failure.detail))
-            return Ended(End.FAILED, Fault(kind, Ran.UNKNOWN, failure.detail))
+            if not failure.maybe_sent:
+                return AttemptResult(
+                    AttemptOutcome.UNSENT, Fault(kind, Ran.NO, failure.detail)
+                )
+            return AttemptResult(
+                AttemptOutcome.FAILED, Fault(kind, Ran.UNKNOWN, failure.detail)
+            )
         answer = sent.ok
         try:
             return await self._relay(journey, granted, meter, outbound, answer)
@@ -213,39 +222,39 @@
         journey: _Journey,
         granted: SlotGrant,
         meter: Meter,
-        outbound: Outbound,
-        answer: EndpointAnswer,
-    ) -> Ended:
+        outbound: OutboundRequest,
+        answer: EndpointResponse,
+    ) -> AttemptResult:
         garbage = Fault(ErrorKind.ENDPOINT_GARBAGE, Ran.UNKNOWN)
-        if is_crossed(outbound.headers, answer.headers):
-            return Ended(End.FAILED, garbage)
+        if is_mismatched_response(outbound.headers, answer.headers):
+            return AttemptResult(AttemptOutcome.FAILED, garbage)
         if is_refusal(answer.status) and self._has_other(journey):
-            return Ended(End.REFUSED)
+            return AttemptResult(AttemptOutcome.REFUSED)
         if not resumes_at(answer.headers, journey.position):
-            return Ended(End.FAILED, garbage)
+            return AttemptResult(AttemptOutcome.FAILED, garbage)
         preempted = granted.preempted if journey.resumes else None
-        watch = StreamWatch(answer, preempted)
+        watch = StreamWatchdog(answer, preempted)
         sink = journey.sink
         try:
             # the head waits for the first byte: until something has reached
             # the caller, the request can go elsewhere
             async for chunk in answer.chunks():
-                watch.note()
+                watch.record_activity()
                 if not sink.started:
                     await sink.start(answer.status, answer.headers)
-                meter.see(chunk)
+                meter.observe(chunk)
                 self._ingress.report_cost(granted, meter.cost)
                 await sink.write(chunk)
                 journey.position += len(chunk)
-        except BrokenAnswerError:
-            end = End.PREEMPTED if watch.preempted else End.FAILED
-            return Ended(end, Fault(ErrorKind.ENDPOINT_FAILED, Ran.UNKNOWN))
+        except IncompleteResponseError:
+            end = AttemptOutcome.PREEMPTED if watch.preempted else AttemptOutcome.FAILED
+            return AttemptResult(end, Fault(ErrorKind.ENDPOINT_FAILED, Ran.UNKNOWN))
         finally:
-            watch.end()
+            watch.stop()
         if not sink.started:
             await sink.start(answer.status, answer.headers)
         await sink.finish()
-        return Ended(End.WHOLE)
+        return AttemptResult(AttemptOutcome.WHOLE)
 
     def _has_other(self, journey: _Journey) -> bool:
         """Return whether a refused request goes elsewhere, not to the caller."""
--- a/packages/router/src/teaselledge/request/journal.py
+++ b/packages/router/src/teaselledge/request/journal.py
@@ -31,18 +31,18 @@
     UNKNOWN_TABLE,
     OrderRecord,
     OrderState,
-    StoredAnswer,
+    StoredResponse,
     decode_record,
     encode_record,
 )
 
-__all__ = ["Attempt", "Held", "Journal", "Standing"]
+__all__ = ["RecordClaim", "JournalRow", "Journal", "ClaimStatus"]
 
-SKEW_SECONDS = 1.0
+MAX_CLOCK_SKEW_SECONDS = 1.0
 """Bound on the difference between the wall clocks of two VMs."""
 
 
-class Standing(Enum):
+class ClaimStatus(Enum):
     """How an attempt stands to the record under its key."""
 
     FREE = "free"
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class JournalRow:
     """A row of the journal as read.
 
     Attributes
@@ -112,7 +112,7 @@
         """Return the wall-clock time in seconds."""
         return self._clock()
 
-    async def read(self, row: str) -> Result[Held, StoreError]:
+    async def read(self, row: str) -> Result[JournalRow, StoreError]:
         """Read the record of a row."""
         self._metrics.count("order.reads")
         read = await self._tables.get(ORDERS_TABLE, row)
@@ -121,8 +121,8 @@
             return Error(read.error)
         found = read.ok
         if found is None:
-            return Ok(Held(None, ABSENT))
-        return Ok(Held(decode_record(found.value), found.version))
+            return Ok(JournalRow(None, ABSENT))
+        return Ok(JournalRow(decode_record(found.value), found.version))
 
     async def write(
         self, row: str, record: OrderRecord, expect: int, indexed: bool = False
@@ -155,7 +155,7 @@
         return written
 
 
-class Attempt:
+class RecordClaim:
     """One attempt at an order, and what it knows about the order's row."""
 
     def __init__(
@@ -182,7 +182,7 @@
         return self._record
 
     @property
-    def touched(self) -> bool:
+    def may_be_written(self) -> bool:
         """Whether a claim of this attempt may be in the row, or get there."""
         return self._outstanding is not None
 
@@ -191,12 +191,12 @@
         """Whether this attempt is known to hold the row."""
         return self._claimed
 
-    async def look(self) -> Result[tuple[Standing, Held], StoreError]:
+    async def read(self) -> Result[tuple[ClaimStatus, JournalRow], StoreError]:
         """Read the row once, and remember its version."""
         read = await self._journal.read(self._row)
         return read.map(lambda held: (self._judge(held), held))
 
-    async def claim(self) -> Result[tuple[Standing, Held], StoreError]:
+    async def claim(self) -> Result[tuple[ClaimStatus, JournalRow], StoreError]:
         """Try once to put this attempt's started record into the row.
 
         Repeating it is harmless. Where the answer was lost, the row tells
@@ -212,25 +212,25 @@
             self._outstanding = before
         return claimed
 
-    async def release(self) -> Result[tuple[Standing, Held], StoreError]:
+    async def release(self) -> Result[tuple[ClaimStatus, JournalRow], StoreError]:
         """Try once to mark the row, so that no attempt so far can claim it.
 
         The caller repeats it until the standing is `RELEASED`, or until the
         row is another attempt's. It must have sent nothing.
         """
         now = self._journal.now()
-        return await self._put(self._record.moved(OrderState.RELEASED, now))
+        return await self._put(self._record.with_state(OrderState.RELEASED, now))
 
-    async def close(
-        self, state: OrderState, answer: StoredAnswer | None, reason: str = ""
-    ) -> Result[tuple[Standing, Held], StoreError]:
+    async def record_outcome(
+        self, state: OrderState, answer: StoredResponse | None, reason: str = ""
+    ) -> Result[tuple[ClaimStatus, JournalRow], StoreError]:
         """Try once to record how the order ended."""
         now = self._journal.now()
-        return await self._put(self._record.moved(state, now, answer, reason))
+        return await self._put(self._record.with_state(state, now, answer, reason))
 
     async def _put(
         self, record: OrderRecord
-    ) -> Result[tuple[Standing, Held], StoreError]:
+    ) -> Result[tuple[ClaimStatus, JournalRow], StoreError]:
         self._unclear = True
         written = await self._journal.write(
             self._row, record, self._expect, self._indexed
@@ -238,16 +238,16 @@
         if written.is_ok():
             # platforms differ in how versions grow; where this guess is wrong,
             # the next write meets a conflict and reads the version
-            held = Held(record, self._expect + 1)
+            held = JournalRow(record, self._expect + 1)
             return Ok((self._judge(held), held))
         if written.error.kind is StoreErrorKind.UNAVAILABLE:
             self._unclear = False
             return Error(written.error)
-        return await self.look()
+        return await self.read()
 
-    def _judge(self, held: Held) -> Standing:
+    def _judge(self, held: JournalRow) -> ClaimStatus:
         standing = self._standing(held)
-        self._claimed = standing is Standing.MINE
+        self._claimed = standing is ClaimStatus.MINE
         self._expect = held.version
         record = held.record
         self._indexed = record is not None and record.state is OrderState.UNKNOWN
@@ -256,24 +256,26 @@
             self._outstanding = None
         return standing
 
-    def _standing(self, held: Held) -> Standing:
+    def _standing(self, held: JournalRow) -> ClaimStatus:
         record = held.record
         if held.version == ABSENT:
-            return Standing.FREE
+            return ClaimStatus.FREE
         if record is None:
-            return Standing.UNREADABLE
+            return ClaimStatus.UNREADABLE
         if record.attempt == self._record.attempt:
             if record.state is OrderState.RELEASED:
-                return Standing.RELEASED
-            return Standing.MINE
+                return ClaimStatus.RELEASED
+            return ClaimStatus.MINE
         if record.state is OrderState.RELEASED:
             # A caller that was told "not run" by the releasing router may act
             # on it, while an older attempt of the same key still waits here.
             # Where that attempt read the row late, only the clocks can tell
             # that it is the older one.
             own = record.owner == self._record.owner
-            young = self._arrived > record.at + (0.0 if own else SKEW_SECONDS)
-            return Standing.FREE if young else Standing.FENCED
+            young = self._arrived > record.written_at + (
+                0.0 if own else MAX_CLOCK_SKEW_SECONDS
+            )
+            return ClaimStatus.FREE if young else ClaimStatus.FENCED
         if record.digest != self._record.digest:
-            return Standing.MISMATCH
-        return Standing.TAKEN
+            return ClaimStatus.MISMATCH
+        return ClaimStatus.TAKEN
--- a/packages/router/src/teaselledge/request/order.py
+++ b/packages/router/src/teaselledge/request/order.py
@@ -12,16 +12,16 @@
 from teaselledge.errors import ErrorKind, Fault, Ran
 from teaselledge.metrics import Metrics
 from teaselledge.process.ingress import Ingress
+from teaselledge.request.claimtiming import ClaimTiming, PredictiveClaimTiming
 from teaselledge.request.context import CallerRequest, Sink
 from teaselledge.request.journal import Journal
-from teaselledge.request.orderrun import OrderRun, OrderTools
-from teaselledge.request.pace import AheadPace, Pace
+from teaselledge.request.orderrun import OrderAttempt, OrderDependencies
 from teaselledge.request.record import is_valid_key
 
-__all__ = ["OrderDesk", "unproven"]
+__all__ = ["OrderExecutor", "as_unverified"]
 
 
-def unproven(fault: Fault, key: str | None) -> Fault:
+def as_unverified(fault: Fault, key: str | None) -> Fault:
     """Return a refusal as it may be told without a look into the journal.
 
     A request with an idempotency key may have run at an earlier attempt, on
@@ -32,7 +32,7 @@
     return replace(fault, ran=Ran.UNKNOWN)
 
 
-class OrderDesk:
+class OrderExecutor:
     """Runs the orders of one router.
 
     Parameters
@@ -47,7 +47,7 @@
         Where to count.
     owner : str
         VM and incarnation; no other process has the same.
-    pace : Pace or None
+    claim_timing : Pace or None
         When orders are claimed.
 
     Attributes
@@ -63,10 +63,15 @@
         journal: Journal,
         metrics: Metrics,
         owner: str,
-        pace: Pace | None = None,
+        claim_timing: ClaimTiming | None = None,
     ) -> None:
-        self.tools = OrderTools(
-            ingress, client, journal, metrics, owner, pace or AheadPace()
+        self.tools = OrderDependencies(
+            ingress,
+            client,
+            journal,
+            metrics,
+            owner,
+            claim_timing or PredictiveClaimTiming(),
         )
         self._attempts = 0
         self._closed = False
@@ -127,7 +132,7 @@
             return Error(replace(fault, ran=Ran.YES))
         return result
 
-    async def drained(self) -> None:
+    async def wait_until_drained(self) -> None:
         """Wait until no order is in progress and the journal has its records."""
         while self._tasks:
             await asyncio.wait(set(self._tasks))
@@ -138,22 +143,22 @@
         for task in self._tasks:
             task.cancel()
 
-    def _start(self, request: CallerRequest, sink: Sink) -> OrderRun:
+    def _start(self, request: CallerRequest, sink: Sink) -> OrderAttempt:
         self._attempts += 1
         attempt = f"{self.tools.owner}/{self._attempts}"
-        return OrderRun(self.tools, request, sink, attempt)
+        return OrderAttempt(self.tools, request, sink, attempt)
 
     async def _follow(
-        self, order: OrderRun, work: Coroutine[Any, Any, None]
+        self, order: OrderAttempt, work: Coroutine[Any, Any, None]
     ) -> Result[None, Fault]:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        task.add_done_callback(order.ended)
+        task.add_done_callback(order.on_task_done)
         try:
-            return await asyncio.shield(order.reply)
+            return await asyncio.shield(order.result_future)
         except asyncio.CancelledError:
-            if not self._closed and order.leave():
+            if not self._closed and order.detach_caller():
                 task.cancel()
             raise
 
--- a/packages/router/src/teaselledge/request/orderadmin.py
+++ b/packages/router/src/teaselledge/request/orderadmin.py
@@ -6,7 +6,7 @@
 from expression import Error, Ok, Result
 
 from teaselledge.platform import TableService
-from teaselledge.request.orderbook import (
+from teaselledge.request.orderqueries import (
     Order,
     SettleError,
     Settlement,
@@ -38,7 +38,7 @@
         "service": record.service,
         "kind": record.kind,
         "owner": record.owner,
-        "at": record.at,
+        "at": record.written_at,
         "reason": record.reason,
     }
 
--- a/packages/router/src/teaselledge/request/orderbook.py
+++ b/packages/router/src/teaselledge/request/orderqueries.py
@@ -29,7 +29,7 @@
     "settle_order",
 ]
 
-GRACE_SECONDS = 60.0
+SETTLE_GRACE_SECONDS = 60.0
 """Wall-clock seconds after an attempt's deadline until it may be settled."""
 
 RAN_BY_STATE: dict[OrderState, Ran] = {
@@ -181,10 +181,10 @@
     # A router that was paused before it sent the order would send it after
     # the operator saw that it had not run; it checks its deadline first, so
     # waiting for that and some more keeps the two apart.
-    if now < record.until + GRACE_SECONDS:
+    if now < record.send_deadline + SETTLE_GRACE_SECONDS:
         return Error(SettleError.TOO_EARLY)
     state = OrderState.SETTLED if outcome is Settlement.RAN else OrderState.RELEASED
-    settled = record.moved(state, now, reason=f"settled by {by}")
+    settled = record.with_state(state, now, reason=f"settled by {by}")
     row = order_row(organisation, key)
     writes = [
         Write(ORDERS_TABLE, row, encode_record(settled), order.version),
--- a/packages/router/src/teaselledge/request/orderrun.py
+++ b/packages/router/src/teaselledge/request/orderrun.py
@@ -15,25 +15,25 @@
 from teaselledge.metrics import Metrics
 from teaselledge.platform import ABSENT
 from teaselledge.process.ingress import Ingress, SlotGrant, SlotRequest
+from teaselledge.request.claimtiming import ClaimTiming
 from teaselledge.request.context import CallerRequest, Sink
 from teaselledge.request.cost import get_meter_by_name
-from teaselledge.request.exchange import Ended, exchange_order
-from teaselledge.request.journal import Attempt, Held, Journal, Standing
-from teaselledge.request.orderbook import RAN_BY_STATE
-from teaselledge.request.pace import Pace
+from teaselledge.request.exchange import ExchangeResult, exchange_order
+from teaselledge.request.journal import ClaimStatus, Journal, JournalRow, RecordClaim
+from teaselledge.request.orderqueries import RAN_BY_STATE
 from teaselledge.request.record import (
     OrderRecord,
     OrderState,
-    StoredAnswer,
-    digest_of,
+    StoredResponse,
     order_row,
+    request_digest,
 )
-from teaselledge.request.relay import Relay
+from teaselledge.request.relay import RecordingSink
 from teaselledge.request.slot import SlotWait
 
-__all__ = ["OrderRun", "OrderTools"]
+__all__ = ["OrderAttempt", "OrderDependencies"]
 
-_Found = tuple[Standing, Held]
+_Found = tuple[ClaimStatus, JournalRow]
 
 _log = get_log("order")
 
@@ -53,7 +53,7 @@
 LAST_PAUSE_SECONDS = 1.0
 """Pauses between tries at the store grow from the first to the last."""
 
-LINGER_SECONDS = 600.0
+MAX_LATE_RESPONSE_SECONDS = 600.0
 """How long after the caller's deadline an endpoint's answer is waited for."""
 
 RECHECK_SECONDS = 5.0
@@ -74,43 +74,43 @@
 
 
 @dataclass(frozen=True)
-class OrderTools:
-    """What the orders of one router share; see `OrderDesk`."""
+class OrderDependencies:
+    """What the orders of one router share; see `OrderExecutor`."""
 
     ingress: Ingress
     client: EndpointClient
     journal: Journal
     metrics: Metrics
     owner: str
-    pace: Pace
-    releasing: asyncio.Semaphore = field(
+    claim_timing: ClaimTiming
+    release_limit: asyncio.Semaphore = field(
         default_factory=lambda: asyncio.Semaphore(MAX_RELEASING)
     )
 
 
-class OrderRun:
+class OrderAttempt:
     """One attempt at one order, from arrival to the journal's last write.
 
     Attributes
     ----------
-    reply : asyncio.Future of Result
+    result_future : asyncio.Future of Result
         What the caller gets; it may be there long before the attempt ends.
     """
 
     def __init__(
-        self, tools: OrderTools, request: CallerRequest, sink: Sink, attempt: str
+        self, tools: OrderDependencies, request: CallerRequest, sink: Sink, attempt: str
     ) -> None:
         loop = asyncio.get_running_loop()
         self._tools = tools
         self._request = request
-        self._relay = Relay(sink)
+        self._relay = RecordingSink(sink)
         self._arrived = loop.time()
         left = request.deadline - self._arrived
         self._limit = request.deadline - min(RESERVE_SECONDS, RESERVE_PART * left)
         now = tools.journal.now()
         record = OrderRecord(
             OrderState.STARTED,
-            digest_of(request),
+            request_digest(request),
             attempt,
             tools.owner,
             request.service,
@@ -119,11 +119,11 @@
             now + left,
         )
         row = order_row(request.organisation, request.key or "")
-        self._attempt = Attempt(tools.journal, row, record, now)
+        self._attempt = RecordClaim(tools.journal, row, record, now)
         self._due = asyncio.Event()
         self._sent = False
         self._left = False
-        self.reply: asyncio.Future[Result[None, Fault]] = loop.create_future()
+        self.result_future: asyncio.Future[Result[None, Fault]] = loop.create_future()
 
     async def run(self) -> None:
         """Claim, send and record the order."""
@@ -145,16 +145,16 @@
         await self._refuse(fault)
         await self._let_go()
 
-    def leave(self) -> bool:
+    def detach_caller(self) -> bool:
         """Go on without the caller; return whether to cancel what goes on."""
         self._relay.abort()
         self._left = not self._sent
         return self._left
 
-    def ended(self, task: "asyncio.Task[None]") -> None:
+    def on_task_done(self, task: "asyncio.Task[None]") -> None:
         """Make sure that the caller's side is not left waiting."""
         if task.cancelled():
-            self.reply.cancel()
+            self.result_future.cancel()
             return
         error = task.exception()
         if error is not None:
@@ -162,8 +162,8 @@
         self._tell(Error(Fault(ErrorKind.INTERNAL, Ran.UNKNOWN)))
 
     def _tell(self, result: Result[None, Fault]) -> None:
-        if not self.reply.done():
-            self.reply.set_result(result)
+        if not self.result_future.done():
+            self.result_future.set_result(result)
 
     # before the request is sent
 
@@ -172,7 +172,7 @@
         hold = asyncio.create_task(self._hold())
         slot: SlotWait | None = None
         try:
-            if self._tools.pace.failing:
+            if self._tools.claim_timing.journal_failing:
                 # a slot would wait for the journal; others could have used it
                 await asyncio.wait({hold})
             slot = self._ask(())
@@ -184,26 +184,28 @@
                     return None
             found = await hold
             if found is None:
-                slot.drop()
+                slot.cancel()
                 detail = "The order journal gave no answer in time."
                 await self._refuse(Fault(ErrorKind.JOURNAL_UNAVAILABLE, detail=detail))
                 return None
-            if found[0] is not Standing.MINE:
-                slot.drop()
+            if found[0] is not ClaimStatus.MINE:
+                slot.cancel()
                 await self._follow_other(*found)
                 return None
-            if slot.dropped:
+            if slot.cancelled:
                 slot = self._ask(())
             granted = await self._taken(slot)
-            self._tools.pace.waited(self._request.service, slot.waited)
+            self._tools.claim_timing.record_slot_wait(
+                self._request.service, slot.wait_seconds
+            )
             return granted
         finally:
             hold.cancel()
             if slot is not None:
-                slot.drop()
+                slot.cancel()
 
     async def _taken(self, slot: SlotWait) -> SlotGrant | None:
-        acquired = await slot.take()
+        acquired = await slot.acquire()
         if acquired.is_error():
             await self._refuse(acquired.error)
             return None
@@ -225,7 +227,7 @@
         await asyncio.wait({hold}, timeout=SLOT_PATIENCE_SECONDS)
         self._tools.metrics.time("order.idle_slot", loop.time() - since)
         if not hold.done():
-            slot.drop()
+            slot.cancel()
         return None
 
     def _ask(self, excluded: tuple[str, ...]) -> SlotWait:
@@ -254,21 +256,21 @@
 
     async def _claim(self) -> _Found:
         loop = asyncio.get_running_loop()
-        pace = self._tools.pace
-        looked = await self._attempt.look()
-        if looked.is_ok() and looked.ok[0] is not Standing.FREE:
+        pace = self._tools.claim_timing
+        looked = await self._attempt.read()
+        if looked.is_ok() and looked.ok[0] is not ClaimStatus.FREE:
             return looked.ok
         if looked.is_error():
-            pace.failed()
-        await self._until_due(self._arrived + pace.due(self._request.service))
+            pace.record_failure()
+        await self._until_due(self._arrived + pace.claim_delay(self._request.service))
         for pause in _pauses():
             since = loop.time()
             claimed = await self._attempt.claim()
-            if claimed.is_ok() and claimed.ok[0] is not Standing.FREE:
-                pace.claimed(loop.time() - since)
+            if claimed.is_ok() and claimed.ok[0] is not ClaimStatus.FREE:
+                pace.record_claim_time(loop.time() - since)
                 return claimed.ok
             if claimed.is_error():
-                pace.failed()
+                pace.record_failure()
             await asyncio.sleep(pause)
         raise AssertionError("pauses never end")
 
@@ -290,14 +292,18 @@
         # the caller asks again. So "no" is true also while the store is silent.
         certain = self._attempt.claimed
         left = max(self._request.deadline - loop.time(), FIRST_PAUSE_SECONDS)
-        standing, held = Standing.FREE, Held(None, ABSENT)
+        standing, held = ClaimStatus.FREE, JournalRow(None, ABSENT)
         with suppress(TimeoutError):
             async with asyncio.timeout(min(left, RESERVE_SECONDS)):
                 standing, held = await self._mark()
-        if standing in (Standing.TAKEN, Standing.MISMATCH, Standing.UNREADABLE):
+        if standing in (
+            ClaimStatus.TAKEN,
+            ClaimStatus.MISMATCH,
+            ClaimStatus.UNREADABLE,
+        ):
             await self._follow_other(standing, held)
             return
-        if certain or standing is Standing.RELEASED:
+        if certain or standing is ClaimStatus.RELEASED:
             self._tell(Error(replace(fault, ran=Ran.NO)))
             return
         self._refuse_unknown(fault, "journal-unavailable")
@@ -307,8 +313,12 @@
         while True:
             released = await self._attempt.release()
             if released.is_error():
-                return Standing.FREE, Held(None, ABSENT)
-            if released.ok[0] not in (Standing.FREE, Standing.MINE, Standing.FENCED):
+                return ClaimStatus.FREE, JournalRow(None, ABSENT)
+            if released.ok[0] not in (
+                ClaimStatus.FREE,
+                ClaimStatus.MINE,
+                ClaimStatus.FENCED,
+            ):
                 return released.ok
             await asyncio.sleep(FIRST_PAUSE_SECONDS / 2)
 
@@ -319,24 +329,24 @@
         the key would be stuck though nothing was sent.
         """
         for pause in _pauses():
-            if not self._attempt.touched:
+            if not self._attempt.may_be_written:
                 return
             # after a long outage there are many such attempts; all at once
             # they would keep the store down that has just come back
-            async with self._tools.releasing:
+            async with self._tools.release_limit:
                 await self._mark()
-            if self._attempt.touched:
+            if self._attempt.may_be_written:
                 await asyncio.sleep(pause)
 
     # where another attempt has the key
 
-    async def _follow_other(self, standing: Standing, held: Held) -> None:
+    async def _follow_other(self, standing: ClaimStatus, held: JournalRow) -> None:
         """Answer from another attempt's record."""
-        if standing in (Standing.FENCED, Standing.RELEASED):
+        if standing in (ClaimStatus.FENCED, ClaimStatus.RELEASED):
             fault = Fault(ErrorKind.ORDER_IN_PROGRESS, detail=REFUSED_JUST_NOW)
             await self._refuse(fault)
             return
-        if standing is Standing.MISMATCH:
+        if standing is ClaimStatus.MISMATCH:
             self._tell(Error(Fault(ErrorKind.KEY_MISMATCH)))
             return
         if held.record is None:
@@ -355,19 +365,19 @@
         for pause in _pauses():
             if record.state is not OrderState.STARTED:
                 break
-            if self._tools.journal.now() > record.until + RECHECK_SECONDS:
+            if self._tools.journal.now() > record.send_deadline + RECHECK_SECONDS:
                 # its router is gone, or the endpoint takes very long: there is
                 # nothing left for which this request could wait
                 break
             await asyncio.sleep(pause)
-            looked = await self._attempt.look()
+            looked = await self._attempt.read()
             if looked.is_ok() and looked.ok[1].record is not None:
                 record = looked.ok[1].record
         return record
 
     async def _answer_from(self, record: OrderRecord) -> None:
         if record.state is OrderState.FINISHED:
-            await self._replay(record.answer)
+            await self._replay(record.response)
             return
         ran = RAN_BY_STATE[record.state]
         if ran is Ran.YES:
@@ -379,7 +389,7 @@
             return
         self._refuse_unknown(Fault(ErrorKind.ORDER_UNKNOWN), record.state.value)
 
-    async def _replay(self, answer: StoredAnswer | None) -> None:
+    async def _replay(self, answer: StoredResponse | None) -> None:
         body = None if answer is None else answer.body
         if answer is not None and answer.object_key:
             stored = await self._tools.journal.objects.get(answer.object_key)
@@ -411,19 +421,19 @@
                 await self._refuse(Fault(ErrorKind.QUEUE_TIMEOUT))
                 return
             ended = await self._send(granted)
-            if ended.sent:
+            if ended.maybe_sent:
                 await self._record(ended)
                 return
             # nothing reached that endpoint, so the claim serves for another
             self._sent = False
-            if self._left or self.reply.done():
+            if self._left or self.result_future.done():
                 return
             excluded = (*excluded, granted.endpoint)
             slot = self._ask(excluded)
             try:
                 following = await self._taken(slot)
             finally:
-                slot.drop()
+                slot.cancel()
             if following is None:
                 return
             granted = following
@@ -436,26 +446,32 @@
         an order whose deadline is over, so it must not go out any more.
         """
         late = asyncio.get_running_loop().time() >= self._request.deadline
-        return late or self._tools.journal.now() >= self._attempt.record.until
+        return late or self._tools.journal.now() >= self._attempt.record.send_deadline
 
-    async def _send(self, granted: SlotGrant) -> Ended:
+    async def _send(self, granted: SlotGrant) -> ExchangeResult:
         """Exchange with the endpoint and answer the caller."""
         request = self._request
         loop = asyncio.get_running_loop()
         meter = get_meter_by_name(request.service_entry.cost)
         endpoint = request.service_entry.endpoints[granted.endpoint]
-        ended = Ended(True, None, ErrorKind.ENDPOINT_TIMEOUT, "no answer in time")
+        ended = ExchangeResult(
+            True, None, ErrorKind.ENDPOINT_TIMEOUT, "no answer in time"
+        )
         self._sent = True
         exchange = asyncio.create_task(
             exchange_order(
-                self._tools.client, endpoint.address, request, self._relay, meter.see
+                self._tools.client,
+                endpoint.address,
+                request,
+                self._relay,
+                meter.observe,
             )
         )
         try:
             await asyncio.wait({exchange}, timeout=request.deadline - loop.time())
             if not exchange.done():
                 self._time_out()
-                await asyncio.wait({exchange}, timeout=LINGER_SECONDS)
+                await asyncio.wait({exchange}, timeout=MAX_LATE_RESPONSE_SECONDS)
             if not exchange.done():
                 self._relay.abort()
             if exchange.done():
@@ -463,7 +479,7 @@
             return ended
         finally:
             exchange.cancel()
-            failed = ended.answer is None
+            failed = ended.response is None
             self._tools.ingress.release(granted, meter.cost, failed)
 
     def _time_out(self) -> None:
@@ -476,26 +492,28 @@
         self._refuse_unknown(Fault(ErrorKind.ENDPOINT_TIMEOUT), "endpoint-timeout")
         self._relay.abort()
 
-    async def _record(self, ended: Ended) -> None:
+    async def _record(self, ended: ExchangeResult) -> None:
         """Tell the outcome, and put it into the journal however long that takes."""
         state, answer = OrderState.UNKNOWN, None
-        if ended.answer is not None:
+        if ended.response is not None:
             self._tell(Ok(None))
-            state, answer = OrderState.FINISHED, await self._kept(ended.answer)
+            state, answer = OrderState.FINISHED, await self._kept(ended.response)
         elif self._relay.started:
             self._relay.abort()
             self._tell(Ok(None))
-        elif not self.reply.done():
+        elif not self.result_future.done():
             fault = Fault(ended.kind, detail=f"{ended.reason.capitalize()}.")
             self._refuse_unknown(fault, ended.kind.value)
         for pause in _pauses():
-            closed = await self._attempt.close(state, answer, ended.reason)
+            closed = await self._attempt.record_outcome(state, answer, ended.reason)
             if closed.is_ok() and self._is_closed(state, *closed.ok):
                 return
             await asyncio.sleep(pause)
 
-    def _is_closed(self, state: OrderState, standing: Standing, held: Held) -> bool:
-        if standing in (Standing.TAKEN, Standing.MISMATCH):
+    def _is_closed(
+        self, state: OrderState, standing: ClaimStatus, held: JournalRow
+    ) -> bool:
+        if standing in (ClaimStatus.TAKEN, ClaimStatus.MISMATCH):
             # an operator settled it as not run, and another attempt followed
             _log.error(f"Order {self._attempt.row} ran after it was settled.")
             return True
@@ -506,7 +524,7 @@
             and record.attempt == self._attempt.record.attempt
         )
 
-    async def _kept(self, answer: StoredAnswer) -> StoredAnswer:
+    async def _kept(self, answer: StoredResponse) -> StoredResponse:
         """Move a long body to the object store."""
         if answer.body is None or len(answer.body) <= INLINE_BYTES:
             return answer
--- a/packages/router/src/teaselledge/request/record.py
+++ b/packages/router/src/teaselledge/request/record.py
@@ -14,9 +14,9 @@
     "UNKNOWN_TABLE",
     "OrderRecord",
     "OrderState",
-    "StoredAnswer",
+    "StoredResponse",
     "decode_record",
-    "digest_of",
+    "request_digest",
     "encode_record",
     "is_valid_key",
     "order_row",
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class StoredAnswer:
+class StoredResponse:
     """An endpoint's answer as the journal keeps it.
 
     Attributes
@@ -80,18 +80,18 @@
     state : OrderState
         How far it is.
     digest : str
-        Digest of the request, see `digest_of`.
+        Digest of the request, see `request_digest`.
     attempt : str
         The attempt that wrote the record.
     owner : str
         VM and incarnation of that attempt.
     service, kind : str
         Names from the document.
-    at : float
+    written_at : float
         Wall-clock time of this write, in seconds.
-    until : float
+    send_deadline : float
         Wall-clock time after which the attempt sends nothing any more.
-    answer : StoredAnswer or None
+    response : StoredResponse or None
         Set where it finished.
     reason : str
         Why the outcome is not known, or who settled it.
@@ -103,20 +103,22 @@
     owner: str
     service: str
     kind: str
-    at: float
-    until: float
-    answer: StoredAnswer | None = None
+    written_at: float
+    send_deadline: float
+    response: StoredResponse | None = None
     reason: str = ""
 
-    def moved(
+    def with_state(
         self,
         state: OrderState,
-        at: float,
-        answer: StoredAnswer | None = None,
+        written_at: float,
+        response: StoredResponse | None = None,
         reason: str = "",
     ) -> "OrderRecord":
         """Return the record in another state."""
-        return replace(self, state=state, at=at, answer=answer, reason=reason)
+        return replace(
+            self, state=state, written_at=written_at, response=response, reason=reason
+        )
 
 
 def is_valid_key(key: str) -> bool:
@@ -135,7 +137,7 @@
     return organisation, key
 
 
-def digest_of(request: CallerRequest) -> str:
+def request_digest(request: CallerRequest) -> str:
     """Return the digest that tells whether two requests are the same.
 
     Each part is preceded by its length: without it, moving bytes from one
@@ -158,13 +160,13 @@
         "owner": record.owner,
         "service": record.service,
         "kind": record.kind,
-        "at": record.at,
-        "until": record.until,
+        "at": record.written_at,
+        "until": record.send_deadline,
     }
     if record.reason:
         value["reason"] = record.reason
-    if record.answer is not None:
-        value["answer"] = _plain(record.answer)
+    if record.response is not None:
+        value["answer"] = _plain(record.response)
     return json.dumps(value, separators=(",", ":")).encode()
 
 
@@ -189,7 +191,7 @@
         return None
 
 
-def _plain(answer: StoredAnswer) -> dict[str, object]:
+def _plain(answer: StoredResponse) -> dict[str, object]:
     body = None if answer.body is None else base64.b64encode(answer.body).decode()
     return {
         "status": answer.status,
@@ -199,11 +201,11 @@
     }
 
 
-def _answer(found: dict[str, object]) -> StoredAnswer:
+def _answer(found: dict[str, object]) -> StoredResponse:
     body = found["body"]
     headers = found["headers"]
     assert isinstance(headers, list)
-    return StoredAnswer(
+    return StoredResponse(
         int(str(found["status"])),
         tuple((str(name), str(value)) for name, value in headers),
         None if body is None else base64.b64decode(str(body)),
--- a/packages/router/src/teaselledge/request/relay.py
+++ b/packages/router/src/teaselledge/request/relay.py
@@ -4,15 +4,15 @@
 from tornado.iostream import StreamClosedError
 
 from teaselledge.request.context import Sink
-from teaselledge.request.record import StoredAnswer
+from teaselledge.request.record import StoredResponse
 
-__all__ = ["Relay"]
+__all__ = ["RecordingSink"]
 
 KEPT_BYTES = 8 << 20
 """Longest answer that the journal keeps, in bytes."""
 
 
-class Relay:
+class RecordingSink:
     """A sink that outlives its caller and remembers the answer."""
 
     def __init__(self, sink: Sink) -> None:
@@ -28,10 +28,10 @@
         return self._sink is not None and self._sink.started
 
     @property
-    def answer(self) -> StoredAnswer:
+    def response(self) -> StoredResponse:
         """The answer so far; without a body where that is too long to keep."""
         body = None if self._too_long else bytes(self._body)
-        return StoredAnswer(self._status, self._headers, body)
+        return StoredResponse(self._status, self._headers, body)
 
     async def start(self, status: int, headers: HTTPHeaders) -> None:
         """Take the head."""
--- a/packages/router/src/teaselledge/request/resume.py
+++ b/packages/router/src/teaselledge/request/resume.py
@@ -9,12 +9,12 @@
 
 from tornado.httputil import HTTPHeaders
 
-__all__ = ["RESUME_HEADER", "asking_from", "resumes_at"]
+__all__ = ["RESUME_HEADER", "with_resume_header", "resumes_at"]
 
 RESUME_HEADER = "X-Resume-From"
 
 
-def asking_from(headers: HTTPHeaders, position: int) -> HTTPHeaders:
+def with_resume_header(headers: HTTPHeaders, position: int) -> HTTPHeaders:
     """Return the headers of a request for the answer from a byte on."""
     if position == 0:
         return headers
--- a/packages/router/src/teaselledge/request/retry.py
+++ b/packages/router/src/teaselledge/request/retry.py
@@ -6,7 +6,14 @@
 
 from teaselledge.errors import ErrorKind, Fault, Ran
 
-__all__ = ["MAX_ATTEMPTS", "Budget", "End", "Ended", "is_refusal", "worse"]
+__all__ = [
+    "MAX_ATTEMPTS",
+    "Budget",
+    "AttemptOutcome",
+    "AttemptResult",
+    "is_refusal",
+    "merge_ran",
+]
 
 MAX_ATTEMPTS = 3
 
@@ -26,7 +33,7 @@
         """Take one retry; False where none is left."""
 
 
-class End(Enum):
+class AttemptOutcome(Enum):
     """How one attempt ended."""
 
     WHOLE = "whole"
@@ -46,18 +53,18 @@
 
 
 @dataclass(frozen=True)
-class Ended:
+class AttemptResult:
     """The end of one attempt.
 
     Attributes
     ----------
-    end : End
+    outcome : End
         How it ended.
     fault : Fault
         What to tell the caller if no further attempt is made.
     """
 
-    end: End
+    outcome: AttemptOutcome
     fault: Fault = field(default_factory=lambda: Fault(ErrorKind.ENDPOINT_FAILED))
 
 
@@ -66,6 +73,6 @@
     return status in REFUSALS
 
 
-def worse(one: Ran, other: Ran) -> Ran:
+def merge_ran(one: Ran, other: Ran) -> Ran:
     """Return what two attempts together allow to say."""
     return max(one, other, key=ORDER.index)
--- a/packages/router/src/teaselledge/request/slot.py
+++ b/packages/router/src/teaselledge/request/slot.py
@@ -17,30 +17,30 @@
     ----------
     task : asyncio.Task
         Ends with the ingress's answer.
-    dropped : bool
+    cancelled : bool
         Whether the wait was given up.
-    waited : float
+    wait_seconds : float
         Seconds that the wait took, once it is over.
     """
 
     def __init__(self, ingress: Ingress, ticket: SlotRequest) -> None:
         self._ingress = ingress
         self._used = False
-        self.dropped = False
-        self.waited = 0.0
+        self.cancelled = False
+        self.wait_seconds = 0.0
         self._since = asyncio.get_running_loop().time()
         self.task = asyncio.create_task(ingress.acquire(ticket))
         self.task.add_done_callback(self._note)
 
-    async def take(self) -> Result[SlotGrant, Fault]:
+    async def acquire(self) -> Result[SlotGrant, Fault]:
         """Wait for the slot and use it."""
         result = await self.task
         self._used = True
         return result
 
-    def drop(self) -> None:
+    def cancel(self) -> None:
         """Stop waiting, and give the slot back if it is there."""
-        self.dropped = True
+        self.cancelled = True
         if self._used or self.task.cancel() or self.task.cancelled():
             return
         result = self.task.result()
@@ -49,4 +49,4 @@
             self._ingress.release(result.ok, 0.0, False)
 
     def _note(self, task: "asyncio.Task[Result[SlotGrant, Fault]]") -> None:
-        self.waited = asyncio.get_running_loop().time() - self._since
+        self.wait_seconds = asyncio.get_running_loop().time() - self._since
--- a/packages/router/src/teaselledge/request/sweep.py
+++ b/packages/router/src/teaselledge/request/sweep.py
@@ -8,7 +8,7 @@
 from teaselledge.log import get_log
 from teaselledge.platform import Row, StoreError, TableService, Write
 from teaselledge.request.journal import Journal
-from teaselledge.request.orderrun import LINGER_SECONDS
+from teaselledge.request.orderrun import MAX_LATE_RESPONSE_SECONDS
 from teaselledge.request.record import (
     ORDERS_TABLE,
     UNKNOWN_TABLE,
@@ -93,10 +93,10 @@
         record = decode_record(row.value)
         if record is None:
             return False
-        age = self._journal.now() - max(record.at, record.until)
+        age = self._journal.now() - max(record.written_at, record.send_deadline)
         if age > self._retention:
             return await self._remove(row, record)
-        lingered = age > LINGER_SECONDS + ANSWER_LAG_SECONDS
+        lingered = age > MAX_LATE_RESPONSE_SECONDS + ANSWER_LAG_SECONDS
         if record.state is OrderState.STARTED and lingered:
             return await self._mark(row, record)
         return False
@@ -105,7 +105,7 @@
         """Put an order whose router is gone into the index of unknown ones."""
         now = self._journal.now()
         reason = "the router did not record an outcome"
-        marked = record.moved(OrderState.UNKNOWN, now, reason=reason)
+        marked = record.with_state(OrderState.UNKNOWN, now, reason=reason)
         value = encode_record(marked)
         writes = [
             Write(ORDERS_TABLE, row.key, value, row.version),
@@ -114,7 +114,7 @@
         return (await self._tables.commit(writes)).is_ok()
 
     async def _remove(self, row: Row, record: OrderRecord) -> bool:
-        answer = record.answer
+        answer = record.response
         if answer is not None and answer.object_key:
             # the row goes last: without it nothing would name the object
             deleted = await self._journal.objects.delete(answer.object_key)
--- a/packages/router/src/teaselledge/request/upload.py
+++ b/packages/router/src/teaselledge/request/upload.py
@@ -3,11 +3,11 @@
 import asyncio
 from collections.abc import AsyncIterator
 
-__all__ = ["MAX_HELD_BYTES", "Upload"]
+__all__ = ["MAX_BUFFERED_BYTES", "Upload"]
 
-MAX_HELD_CHUNKS = 4
+MAX_BUFFERED_CHUNKS = 4
 
-MAX_HELD_BYTES = MAX_HELD_CHUNKS * 64 * 1024
+MAX_BUFFERED_BYTES = MAX_BUFFERED_CHUNKS * 64 * 1024
 """Bytes that an upload holds at most; the caller waits beyond them."""
 
 
@@ -19,12 +19,12 @@
     """
 
     def __init__(self) -> None:
-        self._queue: asyncio.Queue[bytes | None] = asyncio.Queue(MAX_HELD_CHUNKS)
+        self._queue: asyncio.Queue[bytes | None] = asyncio.Queue(MAX_BUFFERED_CHUNKS)
         self._begun = False
         self._dropped = False
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether an endpoint has been given any of it."""
         return self._begun
 
@@ -38,7 +38,7 @@
         if not self._dropped:
             await self._queue.put(None)
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Take no more: the request has ended.
 
         Otherwise who puts the next part waits for an endpoint that never
--- a/packages/router/src/teaselledge/request/watch.py
+++ b/packages/router/src/teaselledge/request/watch.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from teaselledge.connection.endpoint import EndpointAnswer
+from teaselledge.connection.endpoint import EndpointResponse
 
-__all__ = ["StreamWatch"]
+__all__ = ["StreamWatchdog"]
 
 STALL_SECONDS = 60.0
 """Time without a byte after which a stream counts as broken.
@@ -14,14 +14,16 @@
 """
 
 
-class StreamWatch:
+class StreamWatchdog:
     """Closes an answer that stalls or is preempted.
 
     A task of its own waits for the preemption, and a timer looks for stalls,
     so that passing a part on costs no more than noting the time.
     """
 
-    def __init__(self, answer: EndpointAnswer, preempted: asyncio.Event | None) -> None:
+    def __init__(
+        self, answer: EndpointResponse, preempted: asyncio.Event | None
+    ) -> None:
         self._answer = answer
         self._loop = asyncio.get_running_loop()
         self._last = self._loop.time()
@@ -31,11 +33,11 @@
         if preempted is not None:
             self._task = asyncio.create_task(self._wait(preempted))
 
-    def note(self) -> None:
+    def record_activity(self) -> None:
         """Note that a part came."""
         self._last = self._loop.time()
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop watching."""
         self._timer.cancel()
         if self._task is not None:
--- a/packages/router/src/teaselledge/version/assemble.py
+++ b/packages/router/src/teaselledge/version/assemble.py
@@ -16,10 +16,10 @@
     Service,
     Zone,
 )
-from teaselledge.version.head import Head
+from teaselledge.version.head import VersionManifest
 from teaselledge.version.sections import ENDPOINTS, ChunkError, unpack_chunk
 
-__all__ = ["Assembler"]
+__all__ = ["DocumentBuilder"]
 
 ENTRY_TYPES: dict[str, Any] = {
     "zones": TypeAdapter(dict[str, Zone]),
@@ -42,7 +42,7 @@
     service: Service
 
 
-class Assembler:
+class DocumentBuilder:
     """Builds documents and keeps the parsed chunks of the last one.
 
     Parsing 750 organisations anew for each of thousands of changes a day would
@@ -55,7 +55,7 @@
         self._services: dict[str, _Built] = {}
 
     def build(
-        self, head: Head, chunks: Mapping[str, bytes]
+        self, head: VersionManifest, chunks: Mapping[str, bytes]
     ) -> Result[Document, list[str]]:
         """Build the document of a head.
 
--- a/packages/router/src/teaselledge/version/check.py
+++ b/packages/router/src/teaselledge/version/check.py
@@ -6,13 +6,13 @@
 from teaselledge.version.document import Document
 from teaselledge.yamlsource import KeyPath
 
-__all__ = ["OWNED_SECTIONS", "Finding", "check"]
+__all__ = ["EDITABLE_SECTIONS", "DocumentIssue", "find_issues"]
 
 MAX_PORT = 65_535
 LISTED = 12
 """Names that a message lists at most."""
 
-OWNED_SECTIONS: tuple[str, ...] = (
+EDITABLE_SECTIONS: tuple[str, ...] = (
     "zones",
     "organisations",
     "services",
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class Finding:
+class DocumentIssue:
     """A fault of a document.
 
     Attributes
@@ -49,23 +49,25 @@
     return f"one of {', '.join(listed[:LISTED])}{rest}"
 
 
-def _organisations(document: Document) -> Iterator[Finding]:
+def _organisations(document: Document) -> Iterator[DocumentIssue]:
     owners: dict[str, str] = {}
     for name, organisation in document.organisations.items():
         path = ("organisations", name)
         if not organisation.services:
-            yield Finding((*path, "services"), "no service", "at least one service")
+            yield DocumentIssue(
+                (*path, "services"), "no service", "at least one service"
+            )
         for i, service in enumerate(organisation.services):
             if service not in document.services:
                 allowed = _one_of(document.services)
-                yield Finding((*path, "services", i), service, allowed)
+                yield DocumentIssue((*path, "services", i), service, allowed)
         for i, key in enumerate(organisation.keys):
             if owners.setdefault(key, name) != name:
                 found = f"a key of {owners[key]}"
-                yield Finding((*path, "keys", i), found, "keys of this one only")
+                yield DocumentIssue((*path, "keys", i), found, "keys of this one only")
 
 
-def _services(document: Document) -> Iterator[Finding]:
+def _services(document: Document) -> Iterator[DocumentIssue]:
     addresses: dict[str, str] = {}
     reached = {s for o in document.organisations.values() for s in o.services}
     for name, service in document.services.items():
@@ -73,92 +75,102 @@
         staying = [e for e in service.endpoints.values() if not e.leaving]
         if not staying:
             found = "no endpoint that stays"
-            yield Finding((*path, "endpoints"), found, "at least one")
+            yield DocumentIssue((*path, "endpoints"), found, "at least one")
         if not service.kinds:
-            yield Finding((*path, "kinds"), "no kind", "at least one")
+            yield DocumentIssue((*path, "kinds"), "no kind", "at least one")
         if name not in reached:
             found = "shares that add up to 0"
-            yield Finding(path, found, "at least one organisation that may reach it")
+            yield DocumentIssue(
+                path, found, "at least one organisation that may reach it"
+            )
         for endpoint, entry in service.endpoints.items():
             where = (*path, "endpoints", endpoint)
             if entry.zone not in document.zones:
-                yield Finding((*where, "zone"), entry.zone, _one_of(document.zones))
+                yield DocumentIssue(
+                    (*where, "zone"), entry.zone, _one_of(document.zones)
+                )
             if not 1 <= int(entry.address.rpartition(":")[2]) <= MAX_PORT:
                 allowed = f"a port from 1 to {MAX_PORT}"
-                yield Finding((*where, "address"), entry.address, allowed)
+                yield DocumentIssue((*where, "address"), entry.address, allowed)
             other = addresses.setdefault(entry.address, f"{name}.{endpoint}")
             if other != f"{name}.{endpoint}":
                 found = f"the address of {other}"
-                yield Finding((*where, "address"), found, "an address of its own")
+                yield DocumentIssue((*where, "address"), found, "an address of its own")
 
 
-def _kinds(document: Document) -> Iterator[Finding]:
+def _kinds(document: Document) -> Iterator[DocumentIssue]:
     for name, service in document.services.items():
         seen: dict[tuple[str, str], str] = {}
         for kind, entry in service.kinds.items():
             path = ("services", name, "kinds", kind)
             pairs = [(m, p) for m in entry.methods for p in entry.paths]
             if not pairs:
-                yield Finding(path, "no method or no path", "at least one of each")
+                yield DocumentIssue(
+                    path, "no method or no path", "at least one of each"
+                )
             if pairs and all(pair in seen for pair in pairs):
                 found = f"what {seen[pairs[0]]} takes already"
-                yield Finding((*path, "paths"), found, "a path that reaches this kind")
+                yield DocumentIssue(
+                    (*path, "paths"), found, "a path that reaches this kind"
+                )
             for pair in pairs:
                 seen.setdefault(pair, kind)
             target = entry.latency_target
             if target is not None and target > entry.deadline:
                 allowed = f"up to the deadline, {entry.deadline:g}"
-                yield Finding((*path, "latency_target"), f"{target:g}", allowed)
+                yield DocumentIssue((*path, "latency_target"), f"{target:g}", allowed)
 
 
-def _objectives(document: Document) -> Iterator[Finding]:
+def _objectives(document: Document) -> Iterator[DocumentIssue]:
     taken: dict[tuple[str, str, str], str] = {}
     for name, objective in document.objectives.items():
         path = ("objectives", name)
         service = document.services.get(objective.service)
         if service is None:
             allowed = _one_of(document.services)
-            yield Finding((*path, "service"), objective.service, allowed)
+            yield DocumentIssue((*path, "service"), objective.service, allowed)
             continue
         if objective.kind not in service.kinds:
-            yield Finding((*path, "kind"), objective.kind, _one_of(service.kinds))
+            yield DocumentIssue((*path, "kind"), objective.kind, _one_of(service.kinds))
         for i, organisation in enumerate(objective.organisations):
             if organisation not in document.organisations:
                 allowed = _one_of(document.organisations)
-                yield Finding((*path, "organisations", i), organisation, allowed)
+                yield DocumentIssue((*path, "organisations", i), organisation, allowed)
         for organisation in objective.organisations or ("",):
             key = (objective.service, objective.kind, organisation)
             if taken.setdefault(key, name) != name:
                 found = f"the requests of {taken[key]}"
-                yield Finding(path, found, "one objective for the same requests")
+                yield DocumentIssue(path, found, "one objective for the same requests")
 
 
-def _operators(document: Document) -> Iterator[Finding]:
+def _operators(document: Document) -> Iterator[DocumentIssue]:
     owners: dict[str, str] = {}
     admins = 0
     for name, operator in document.operators.items():
         path = ("operators", name)
         admins += operator.role == "admin" and bool(operator.keys)
         for i, section in enumerate(operator.sections):
-            if section.partition("/")[0] not in OWNED_SECTIONS:
-                allowed = _one_of(OWNED_SECTIONS)
-                yield Finding((*path, "sections", i), section, allowed)
+            if section.partition("/")[0] not in EDITABLE_SECTIONS:
+                allowed = _one_of(EDITABLE_SECTIONS)
+                yield DocumentIssue((*path, "sections", i), section, allowed)
         if operator.role == "editor" and not operator.sections:
-            yield Finding((*path, "sections"), "none", "what the editor may change")
+            yield DocumentIssue(
+                (*path, "sections"), "none", "what the editor may change"
+            )
         if operator.role != "editor" and operator.sections:
             found = f"sections of a {operator.role}"
-            yield Finding((*path, "sections"), found, "sections for editors only")
+            yield DocumentIssue((*path, "sections"), found, "sections for editors only")
         for i, key in enumerate(operator.keys):
             if owners.setdefault(key, name) != name:
                 found = f"a key of {owners[key]}"
-                yield Finding((*path, "keys", i), found, "keys of this one only")
+                yield DocumentIssue((*path, "keys", i), found, "keys of this one only")
     if not admins:
         # with none, nobody could ever change the document again
         found = "no admin with a key"
-        yield Finding(("operators",), found, "at least one")
+        yield DocumentIssue(("operators",), found, "at least one")
 
 
-CHECKS: tuple[Callable[[Document], Iterator[Finding]], ...] = (
+CHECKS: tuple[Callable[[Document], Iterator[DocumentIssue]], ...] = (
     _organisations,
     _services,
     _kinds,
@@ -167,6 +179,6 @@
 )
 
 
-def check(document: Document) -> list[Finding]:
+def find_issues(document: Document) -> list[DocumentIssue]:
     """Return every fault of a document."""
     return [finding for part in CHECKS for finding in part(document)]
--- a/packages/router/src/teaselledge/version/difference.py
+++ b/packages/router/src/teaselledge/version/difference.py
@@ -6,7 +6,13 @@
 
 from teaselledge.version.sections import ENDPOINTS, SECTIONS, Entries
 
-__all__ = ["EntryChange", "differences", "field_lines", "owner_path", "with_changes"]
+__all__ = [
+    "EntryChange",
+    "differences",
+    "format_field_changes",
+    "editable_path",
+    "apply_changes",
+]
 
 _ABSENT = object()
 
@@ -46,7 +52,7 @@
     return found
 
 
-def with_changes(entries: Entries, changes: list[EntryChange]) -> Entries:
+def apply_changes(entries: Entries, changes: list[EntryChange]) -> Entries:
     """Return the entries after the changes."""
     result = {section: dict(entries.get(section, {})) for section in SECTIONS}
     for change in changes:
@@ -57,14 +63,14 @@
     return result
 
 
-def owner_path(section: str, name: str) -> tuple[str, str]:
+def editable_path(section: str, name: str) -> tuple[str, str]:
     """Return section and entry as operators own them: endpoints go with services."""
     if section == ENDPOINTS:
         return "services", name.partition("/")[0]
     return section, name
 
 
-def field_lines(change: EntryChange) -> Iterator[str]:
+def format_field_changes(change: EntryChange) -> Iterator[str]:
     """Return what differs within an entry, a line a field."""
     old = dict(_flat(change.old)) if change.old is not None else {}
     new = dict(_flat(change.new)) if change.new is not None else {}
--- a/packages/router/src/teaselledge/version/follow.py
+++ b/packages/router/src/teaselledge/version/follow.py
@@ -17,38 +17,38 @@
 from teaselledge.platform import TableService
 from teaselledge.process.member import Member
 from teaselledge.process.mesh import Mesh, Origin, make_message
-from teaselledge.version.assemble import Assembler
+from teaselledge.version.assemble import DocumentBuilder
 from teaselledge.version.document import Version
 from teaselledge.version.head import (
     CHUNK_PREFIX,
     CONFIG_TABLE,
     HEAD_KEY,
-    Head,
-    HeadError,
-    decode_head,
+    ManifestError,
+    VersionManifest,
+    decode_manifest,
     version_key,
 )
-from teaselledge.version.sections import digest_of, missing
+from teaselledge.version.sections import chunk_digest, missing_digests
 
-__all__ = ["CONFIG_TABLE", "HEAD_KEY", "FollowState", "Follower"]
+__all__ = ["CONFIG_TABLE", "HEAD_KEY", "ConfigWatcherState", "ConfigWatcher"]
 
 _log = get_log("version")
 
 POLL_SECONDS = 1.0
-POLLERS = 2
+POLLERS_PER_REGION = 2
 """Routers of a region that poll the store; two, so that one may die."""
 
 START_SECONDS = 2.0
 STALE_SECONDS = 5.0
 """Age of the last word from the store after which others poll too."""
 
-HEAD_EVERY = 5
+POLLS_PER_HEAD_READ = 5
 """Each so many polls read the head itself instead of the next version's row."""
 
 TICK_SECONDS = 1.0
 EMPTY_TICK_SECONDS = 0.25
-RELAYS = 3
-FAR_PART = 0.125
+NOTICE_FANOUT = 3
+CROSS_REGION_FRACTION = 0.125
 """Part of the notices that go to other regions, over the paid links."""
 
 ASK_SECONDS = 1.0
@@ -63,13 +63,13 @@
 class _Held:
     """A head with all its chunks, which other routers may ask for."""
 
-    head: Head
+    head: VersionManifest
     raw: bytes
     chunks: dict[str, bytes]
 
 
 @dataclass(frozen=True)
-class FollowState:
+class ConfigWatcherState:
     """What a router tells of its configuration.
 
     Attributes
@@ -96,7 +96,7 @@
     store_behind: bool
 
 
-class Follower:
+class ConfigWatcher:
     """Brings new versions into force and never goes back to a lower one.
 
     Parameters
@@ -127,7 +127,7 @@
         self._on_version = on_version
         self._metrics = metrics or NullMetrics()
         self._random = Random(mesh.origin.incarnation)
-        self._assembler = Assembler()
+        self._assembler = DocumentBuilder()
         self._held: _Held | None = None
         self._current: Version | None = None
         self._unreadable = 0
@@ -149,10 +149,10 @@
         return self._current
 
     @property
-    def state(self) -> FollowState:
+    def state(self) -> ConfigWatcherState:
         """What to show to operators."""
         now = asyncio.get_running_loop().time()
-        return FollowState(
+        return ConfigWatcherState(
             self._current.number if self._current else 0,
             self._number(),
             self._unreadable,
@@ -198,7 +198,7 @@
             if not self._must_poll():
                 continue
             self._polls += 1
-            whole = self._held is None or self._polls % HEAD_EVERY == 0
+            whole = self._held is None or self._polls % POLLS_PER_HEAD_READ == 0
             await self._guard(self.refresh() if whole else self._poll_next())
 
     async def _guard(self, work: Awaitable[None]) -> None:
@@ -241,7 +241,9 @@
         await self._fetch_from_store(head, chunks)
         self._adopt(head, raw, chunks)
 
-    async def _fetch_from_store(self, head: Head, chunks: dict[str, bytes]) -> None:
+    async def _fetch_from_store(
+        self, head: VersionManifest, chunks: dict[str, bytes]
+    ) -> None:
         limit = asyncio.Semaphore(STORE_READS)
 
         async def fetch(digest: str) -> None:
@@ -250,10 +252,10 @@
             if row.is_error() or row.ok is None:
                 self._metrics.count("store.errors")
                 return
-            if digest_of(row.ok.value) == digest:
+            if chunk_digest(row.ok.value) == digest:
                 chunks[digest] = row.ok.value
 
-        await asyncio.gather(*(fetch(d) for d in missing(head.digests, chunks)))
+        await asyncio.gather(*(fetch(d) for d in missing_digests(head.digests, chunks)))
 
     async def _tick(self) -> None:
         while True:
@@ -281,11 +283,11 @@
         if head is None or raw is None or head.version <= self._number():
             return
         chunks = self._known(head)
-        wanted = missing(head.digests, chunks)
+        wanted = missing_digests(head.digests, chunks)
         for start in range(0, len(wanted), ASK_DIGESTS):
             part = wanted[start : start + ASK_DIGESTS]
             chunks.update(await self._ask_chunks(vm, part))
-        if missing(head.digests, chunks):
+        if missing_digests(head.digests, chunks):
             await self._fetch_from_store(head, chunks)
         self._adopt(head, raw, chunks)
 
@@ -314,11 +316,15 @@
         finally:
             self._chunks_asked = None
         # a damaged chunk would be passed on as if it were the version's
-        return {d: given[d] for d in digests if d in given and digest_of(given[d]) == d}
+        return {
+            d: given[d] for d in digests if d in given and chunk_digest(given[d]) == d
+        }
 
-    def _adopt(self, head: Head, raw: bytes, chunks: Mapping[str, bytes]) -> None:
+    def _adopt(
+        self, head: VersionManifest, raw: bytes, chunks: Mapping[str, bytes]
+    ) -> None:
         """Hold a complete newer version, and bring it into force if readable."""
-        if head.version <= self._number() or missing(head.digests, chunks):
+        if head.version <= self._number() or missing_digests(head.digests, chunks):
             return
         self._held = _Held(head, raw, {d: chunks[d] for d in head.digests})
         built = self._assembler.build(head, self._held.chunks)
@@ -335,19 +341,19 @@
             self._metrics.gauge("version.in_force", head.version)
             _log.info(f"Version {head.version} is in force.")
             self._on_version(self._current)
-        for vm in self._pick(RELAYS):
+        for vm in self._pick(NOTICE_FANOUT):
             self._send_notice(vm)
 
-    def _known(self, head: Head) -> dict[str, bytes]:
+    def _known(self, head: VersionManifest) -> dict[str, bytes]:
         if self._held is None:
             return {}
         held = self._held.chunks
         return {digest: held[digest] for digest in head.digests if digest in held}
 
-    def _decode(self, raw: bytes) -> Head | None:
+    def _decode(self, raw: bytes) -> VersionManifest | None:
         try:
-            return decode_head(raw)
-        except HeadError as error:
+            return decode_manifest(raw)
+        except ManifestError as error:
             self._metrics.count("version.unreadable")
             _log.error(f"Head can't be read: {error}.")
             return None
@@ -372,7 +378,7 @@
     def _is_poller(self) -> bool:
         names = {member.vm for member in self._near()} | {self._mesh.origin.vm}
         ranked = sorted(names, key=lambda vm: xxhash.xxh3_64_intdigest(vm.encode()))
-        return self._mesh.origin.vm in ranked[:POLLERS]
+        return self._mesh.origin.vm in ranked[:POLLERS_PER_REGION]
 
     def _must_poll(self) -> bool:
         """Return whether to poll now.
@@ -387,14 +393,14 @@
         now = asyncio.get_running_loop().time()
         if self._confirmed is not None and now - self._confirmed < STALE_SECONDS:
             return False
-        return self._random.random() < POLLERS / max(1, len(self._near()))
+        return self._random.random() < POLLERS_PER_REGION / max(1, len(self._near()))
 
     def _pick(self, count: int) -> list[str]:
         """Return some other routers, most of them of this region."""
         own = self._mesh.origin.vm
         near = {member.vm for member in self._near()} - {own}
         far = {member.vm for member in self._members()} - near - {own}
-        if far and (not near or self._random.random() < FAR_PART):
+        if far and (not near or self._random.random() < CROSS_REGION_FRACTION):
             return [self._random.choice(sorted(far))]
         return self._random.sample(sorted(near), min(count, len(near)))
 
--- a/packages/router/src/teaselledge/version/head.py
+++ b/packages/router/src/teaselledge/version/head.py
@@ -14,10 +14,10 @@
     "CONFIG_TABLE",
     "HEAD_KEY",
     "VERSION_PREFIX",
-    "Head",
-    "HeadError",
-    "decode_head",
-    "encode_head",
+    "VersionManifest",
+    "ManifestError",
+    "decode_manifest",
+    "encode_manifest",
     "version_key",
 ]
 
@@ -34,12 +34,12 @@
 MAX_HEAD_BYTES = 1024 * 1024
 
 
-class HeadError(Exception):
+class ManifestError(Exception):
     """A head that is damaged or of a newer release."""
 
 
 @dataclass(frozen=True)
-class Head:
+class VersionManifest:
     """What names one version.
 
     Attributes
@@ -77,7 +77,7 @@
         return [digest for chunks in self.sections.values() for digest in chunks]
 
 
-_reader = TypeAdapter(Head)
+_reader = TypeAdapter(VersionManifest)
 _format = TypeAdapter(dict[str, Any])
 
 
@@ -86,18 +86,18 @@
     return f"{VERSION_PREFIX}{version:012d}"
 
 
-def encode_head(head: Head) -> bytes:
+def encode_manifest(head: VersionManifest) -> bytes:
     """Return the bytes of a head as stored and sent."""
     text = json.dumps({"format": FORMAT, **asdict(head)}, separators=(",", ":"))
     return zlib.compress(text.encode(), 6)
 
 
-def decode_head(data: bytes) -> Head:
+def decode_manifest(data: bytes) -> VersionManifest:
     """Read a head.
 
     Raises
     ------
-    HeadError
+    ManifestError
         If the bytes are no head, or one of a newer release.
     """
     try:
@@ -106,10 +106,10 @@
         value = _format.validate_json(text)
         found = value.pop("format", None)
         if found != FORMAT:
-            raise HeadError(f"format {found!r}, this release reads {FORMAT}")
+            raise ManifestError(f"format {found!r}, this release reads {FORMAT}")
         head = _reader.validate_python(value)
     except (zlib.error, ValidationError) as error:
-        raise HeadError("malformed") from error
+        raise ManifestError("malformed") from error
     if head.version < 1:
-        raise HeadError("no version number")
+        raise ManifestError("no version number")
     return head
--- a/packages/router/src/teaselledge/version/publish.py
+++ b/packages/router/src/teaselledge/version/publish.py
@@ -15,9 +15,9 @@
 from teaselledge.platform import ABSENT, Row, StoreErrorKind, TableService, Write
 from teaselledge.version.difference import (
     EntryChange,
+    apply_changes,
     differences,
-    owner_path,
-    with_changes,
+    editable_path,
 )
 from teaselledge.version.head import (
     APPLY_PREFIX,
@@ -26,26 +26,26 @@
     CONFIG_TABLE,
     HEAD_KEY,
     VERSION_PREFIX,
-    Head,
-    HeadError,
-    decode_head,
+    ManifestError,
+    VersionManifest,
+    decode_manifest,
     version_key,
 )
 from teaselledge.version.sections import (
     ENDPOINTS,
     ChunkError,
     Entries,
-    digest_of,
+    chunk_digest,
     flatten,
     unflatten,
     unpack_chunk,
 )
 from teaselledge.version.source import check_value
-from teaselledge.version.store import chunk_writes, head_writes, split
-from teaselledge.yamlsource import Mistake
+from teaselledge.version.store import chunk_writes, head_writes, pack_sections
+from teaselledge.yamlsource import ConfigIssue
 
 __all__ = [
-    "Applied",
+    "ApplyResult",
     "ApplyError",
     "ApplyErrorKind",
     "Change",
@@ -105,7 +105,7 @@
 
     kind: ApplyErrorKind
     detail: str
-    mistakes: tuple[Mistake, ...] = ()
+    issues: tuple[ConfigIssue, ...] = ()
     conflicts: tuple[Conflict, ...] = ()
 
 
@@ -125,7 +125,7 @@
         New content of each section given, as in the document.
     note : str
         The operator's words.
-    first_only : bool
+    bootstrap_only : bool
         It may only make the first version.
     """
 
@@ -134,7 +134,7 @@
     base: int
     sections: Mapping[str, Mapping[str, Any]]
     note: str = ""
-    first_only: bool = False
+    bootstrap_only: bool = False
 
     @property
     def digest(self) -> str:
@@ -144,7 +144,7 @@
 
 
 @dataclass(frozen=True)
-class Applied:
+class ApplyResult:
     """An accepted change.
 
     Attributes
@@ -170,7 +170,7 @@
     """The head as read, with its entries."""
 
     row_version: int
-    head: Head
+    head: VersionManifest
     entries: Entries
 
 
@@ -185,7 +185,7 @@
 Allows = Callable[[str, str], bool]
 """Whether the operator may change an entry, given section and name."""
 
-_EMPTY = Head(0, {})
+_EMPTY = VersionManifest(0, {})
 
 
 @dataclass
@@ -198,18 +198,18 @@
         The store.
     clock : callable
         Wall time, which goes into history for people to read.
-    known : callable
+    highest_known_version : callable
         Highest version that the fleet is known to have.
     """
 
     tables: TableService
     clock: Callable[[], datetime]
-    known: Callable[[], int] = lambda: 0
+    highest_known_version: Callable[[], int] = lambda: 0
     _chunks: dict[str, dict[str, Any]] = field(default_factory=dict)
 
     async def apply(
         self, change: Change, allows: Allows
-    ) -> Result[Applied, ApplyError]:
+    ) -> Result[ApplyResult, ApplyError]:
         """Check a change whole and make it the next version.
 
         Trying again with the same identifier is safe at any time: the version's
@@ -237,7 +237,9 @@
         detail = f"no answer after {TRIES} tries; apply {change.apply_id} again"
         return Error(ApplyError(ApplyErrorKind.UNCERTAIN, detail))
 
-    async def load(self, number: int) -> Result[tuple[Head, dict], ApplyError]:
+    async def load(
+        self, number: int
+    ) -> Result[tuple[VersionManifest, dict], ApplyError]:
         """Read a version; 0 reads the head."""
         try:
             if not number:
@@ -250,7 +252,7 @@
         except _StoreFailureError as failure:
             return Error(failure.error)
 
-    async def history(self, limit: int) -> Result[list[Head], ApplyError]:
+    async def history(self, limit: int) -> Result[list[VersionManifest], ApplyError]:
         """Return the latest versions, newest first."""
         try:
             state = await self._head()
@@ -263,12 +265,14 @@
         heads = []
         for row in rows.ok:
             try:
-                heads.append(decode_head(row.value))
-            except HeadError as error:
+                heads.append(decode_manifest(row.value))
+            except ManifestError as error:
                 _log.warning(f"Row {row.key} can't be read: {error}.")
         return Ok(heads[::-1])
 
-    async def audit(self, operator: str, action: str, what: str, key: str) -> bool:
+    async def write_audit_row(
+        self, operator: str, action: str, what: str, key: str
+    ) -> bool:
         """Write an audit row for an act that is no change of the document."""
         now = self.clock().isoformat(timespec="seconds")
         row = {"time": now, "operator": operator, "action": action, "what": what}
@@ -280,15 +284,18 @@
 
     async def _attempt(
         self, change: Change, allows: Allows
-    ) -> Result[Applied, ApplyError] | None:
+    ) -> Result[ApplyResult, ApplyError] | None:
         """Try once; None where another try is due."""
         state = await self._head()
-        if state.head.version < self.known():
+        if state.head.version < self.highest_known_version():
             # a stale read, or a store that lost writes: a version made from it
             # would have a number that the fleet has seen with other content
-            detail = f"store shows {state.head.version}, fleet has {self.known()}"
+            detail = (
+                f"store shows {state.head.version}, "
+                f"fleet has {self.highest_known_version()}"
+            )
             return Error(_store_error(detail))
-        if change.first_only and state.head.version:
+        if change.bootstrap_only and state.head.version:
             # the first key is for an empty store only; a router that restarted
             # empty can't tell, the store can
             detail = "there is a first version already"
@@ -298,11 +305,11 @@
             return Error(planned.error)
         changes, beside = planned.ok
         if not changes:
-            return Ok(Applied(state.head.version, (), beside))
+            return Ok(ApplyResult(state.head.version, (), beside))
         refused = _forbidden(changes, allows)
         if refused is not None:
             return Error(refused)
-        entries = with_changes(state.entries, changes)
+        entries = apply_changes(state.entries, changes)
         checked = check_value(unflatten(entries))
         if checked.is_error():
             detail = f"{len(checked.error)} faults"
@@ -341,7 +348,7 @@
         theirs: Mapping[str, EntryChange],
         beside: tuple[int, ...],
     ) -> list[Conflict]:
-        makers: dict[str, Head] = {}
+        makers: dict[str, VersionManifest] = {}
         for number in beside[-LISTED_CHANGES:]:
             head = await self._version_head(number)
             if head is not None:
@@ -368,10 +375,10 @@
         entries: Entries,
         changes: list[EntryChange],
         beside: tuple[int, ...],
-    ) -> Result[Applied, ApplyError] | None:
-        sections = split(entries)
+    ) -> Result[ApplyResult, ApplyError] | None:
+        sections = pack_sections(entries)
         changed = tuple(c.path for c in changes)
-        head = Head(
+        head = VersionManifest(
             state.head.version + 1,
             {name: list(chunks) for name, chunks in sections.items()},
             change.author,
@@ -419,12 +426,14 @@
         )
         if result.is_ok():
             _log.info(f"Operator {change.author} made version {head.version}.")
-            return Ok(Applied(head.version, changed, beside))
+            return Ok(ApplyResult(head.version, changed, beside))
         if result.error.kind is StoreErrorKind.UNAVAILABLE:
             return Error(_store_error(result.error.detail))
         return None
 
-    async def _found_again(self, change: Change) -> Result[Applied, ApplyError] | None:
+    async def _found_again(
+        self, change: Change
+    ) -> Result[ApplyResult, ApplyError] | None:
         row = await self._row(APPLY_PREFIX + change.apply_id)
         if row is None:
             return None
@@ -432,7 +441,7 @@
         if digest != change.digest:
             detail = f"{change.apply_id} names another change, version {number}"
             return Error(ApplyError(ApplyErrorKind.ID_REUSED, detail))
-        return Ok(Applied(number, tuple(changed), (), True))
+        return Ok(ApplyResult(number, tuple(changed), (), True))
 
     async def _head(self) -> _State:
         row = await self._row(HEAD_KEY)
@@ -441,11 +450,11 @@
         head = _readable(row.value)
         return _State(row.version, head, await self._entries(head))
 
-    async def _version_head(self, number: int) -> Head | None:
+    async def _version_head(self, number: int) -> VersionManifest | None:
         row = await self._row(version_key(number))
         return None if row is None else _readable(row.value)
 
-    async def _entries(self, head: Head) -> Entries:
+    async def _entries(self, head: VersionManifest) -> Entries:
         limit = asyncio.Semaphore(STORE_READS)
 
         async def parsed(digest: str) -> dict[str, Any]:
@@ -463,7 +472,7 @@
         if known is not None:
             return known
         row = await self._row(CHUNK_PREFIX + digest)
-        if row is None or digest_of(row.value) != digest:
+        if row is None or chunk_digest(row.value) != digest:
             raise _StoreFailureError(
                 _store_error(f"chunk {digest} is missing or damaged")
             )
@@ -496,17 +505,17 @@
 
 
 def _forbidden(changes: list[EntryChange], allows: Allows) -> ApplyError | None:
-    refused = [c.path for c in changes if not allows(*owner_path(c.section, c.name))]
+    refused = [c.path for c in changes if not allows(*editable_path(c.section, c.name))]
     if not refused:
         return None
     detail = f"the key may not change {', '.join(refused[:10])}"
     return ApplyError(ApplyErrorKind.FORBIDDEN, detail)
 
 
-def _readable(raw: bytes) -> Head:
+def _readable(raw: bytes) -> VersionManifest:
     try:
-        return decode_head(raw)
-    except HeadError as error:
+        return decode_manifest(raw)
+    except ManifestError as error:
         raise _StoreFailureError(
             _store_error(f"head can't be read: {error}")
         ) from error
--- a/packages/router/src/teaselledge/version/sections.py
+++ b/packages/router/src/teaselledge/version/sections.py
@@ -19,10 +19,10 @@
     "SECTIONS",
     "ChunkError",
     "Entries",
-    "chunks_of",
-    "digest_of",
+    "pack_chunks",
+    "chunk_digest",
     "flatten",
-    "missing",
+    "missing_digests",
     "unflatten",
     "unpack_chunk",
 ]
@@ -92,7 +92,7 @@
     return document
 
 
-def digest_of(data: bytes) -> str:
+def chunk_digest(data: bytes) -> str:
     """Return the name under which a chunk is stored."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
@@ -109,7 +109,7 @@
     return zlib.compress(text.encode(), 6)
 
 
-def chunks_of(entries: Mapping[str, Any]) -> list[bytes]:
+def pack_chunks(entries: Mapping[str, Any]) -> list[bytes]:
     """Return the chunks of one section, in order of their bucket.
 
     Entries are sorted by name. Within a value the order stays, since the first
@@ -144,6 +144,6 @@
     return entries
 
 
-def missing(digests: Iterable[str], known: Mapping[str, Any]) -> list[str]:
+def missing_digests(digests: Iterable[str], known: Mapping[str, Any]) -> list[str]:
     """Return the digests that are not known, each once."""
     return [digest for digest in dict.fromkeys(digests) if digest not in known]
--- a/packages/router/src/teaselledge/version/source.py
+++ b/packages/router/src/teaselledge/version/source.py
@@ -8,18 +8,24 @@
 from expression import Error, Ok, Result
 
 from teaselledge import yamlsource
-from teaselledge.version.check import check
+from teaselledge.version.check import find_issues
 from teaselledge.version.document import Document
-from teaselledge.yamlsource import Mistake, Source
+from teaselledge.yamlsource import ConfigIssue, Source
 
-__all__ = ["Loaded", "check_source", "check_value", "files_of", "load_source"]
+__all__ = [
+    "CheckedDocument",
+    "check_source",
+    "check_value",
+    "find_yaml_files",
+    "load_source",
+]
 
 SUFFIXES = frozenset({".yaml", ".yml"})
 MAX_FILES = 1000
 
 
 @dataclass(frozen=True)
-class Loaded:
+class CheckedDocument:
     """A checked document.
 
     Attributes
@@ -34,7 +40,7 @@
     document: Document
 
 
-def files_of(paths: Iterable[Path]) -> list[Path]:
+def find_yaml_files(paths: Iterable[Path]) -> list[Path]:
     """Return the YAML files that paths name, directories searched in order."""
     found: list[Path] = []
     for path in paths:
@@ -46,11 +52,11 @@
     return found[:MAX_FILES]
 
 
-def load_source(paths: Iterable[Path]) -> Result[Source, list[Mistake]]:
+def load_source(paths: Iterable[Path]) -> Result[Source, list[ConfigIssue]]:
     """Read and merge the files that paths name."""
-    files = files_of(paths)
+    files = find_yaml_files(paths)
     sources: list[Source] = []
-    mistakes: list[Mistake] = []
+    mistakes: list[ConfigIssue] = []
     for file in files:
         result = yamlsource.read(file)
         if result.is_error():
@@ -58,7 +64,7 @@
             continue
         sources.append(result.ok)
     if not files:
-        mistakes.append(Mistake("", 1, "", "no file", "at least one YAML file"))
+        mistakes.append(ConfigIssue("", 1, "", "no file", "at least one YAML file"))
     merged = yamlsource.merge(sources)
     if merged.is_error():
         mistakes.extend(merged.error)
@@ -67,20 +73,20 @@
     return merged
 
 
-def check_source(source: Source) -> Result[Loaded, list[Mistake]]:
+def check_source(source: Source) -> Result[CheckedDocument, list[ConfigIssue]]:
     """Check a whole document and return every fault in it."""
-    result = yamlsource.read_as(Document, source)
+    result = yamlsource.validate_as(Document, source)
     if result.is_error():
         return Error(result.error)
     mistakes = [
-        yamlsource.mistake_at(source, f.path, f.found, f.allowed)
-        for f in check(result.ok)
+        yamlsource.issue_at(source, f.path, f.found, f.allowed)
+        for f in find_issues(result.ok)
     ]
     if mistakes:
         return Error(mistakes)
-    return Ok(Loaded(source.value, result.ok))
+    return Ok(CheckedDocument(source.value, result.ok))
 
 
-def check_value(value: Mapping[str, Any]) -> Result[Loaded, list[Mistake]]:
+def check_value(value: Mapping[str, Any]) -> Result[CheckedDocument, list[ConfigIssue]]:
     """Check a whole document that comes from no file."""
     return check_source(Source("document", dict(value)))
--- a/packages/router/src/teaselledge/version/store.py
+++ b/packages/router/src/teaselledge/version/store.py
@@ -8,19 +8,21 @@
     CHUNK_PREFIX,
     CONFIG_TABLE,
     HEAD_KEY,
-    Head,
-    encode_head,
+    VersionManifest,
+    encode_manifest,
     version_key,
 )
-from teaselledge.version.sections import SECTIONS, chunks_of, digest_of, flatten
+from teaselledge.version.sections import SECTIONS, chunk_digest, flatten, pack_chunks
 
-__all__ = ["chunk_writes", "head_writes", "plain_writes", "split"]
+__all__ = ["chunk_writes", "head_writes", "unchecked_writes", "pack_sections"]
 
 
-def split(entries: Mapping[str, Mapping[str, Any]]) -> dict[str, dict[str, bytes]]:
+def pack_sections(
+    entries: Mapping[str, Mapping[str, Any]],
+) -> dict[str, dict[str, bytes]]:
     """Return the chunks of each section by digest, in order of bucket."""
     return {
-        section: {digest_of(c): c for c in chunks_of(entries.get(section, {}))}
+        section: {chunk_digest(c): c for c in pack_chunks(entries.get(section, {}))}
         for section in SECTIONS
     }
 
@@ -33,24 +35,26 @@
     ]
 
 
-def head_writes(head: Head, expect: int) -> list[Write]:
+def head_writes(head: VersionManifest, expect: int) -> list[Write]:
     """Return the writes that make a head the highest.
 
     The condition on the head row and on the version's own row lets one of two
     racing operators win.
     """
-    raw = encode_head(head)
+    raw = encode_manifest(head)
     return [
         Write(CONFIG_TABLE, HEAD_KEY, raw, expect),
         Write(CONFIG_TABLE, version_key(head.version), raw, ABSENT),
     ]
 
 
-def plain_writes(document: Mapping[str, Any], number: int) -> list[Write]:
+def unchecked_writes(document: Mapping[str, Any], number: int) -> list[Write]:
     """Return all rows of a document, past checks and conditions, for tests."""
-    sections = split(flatten(document))
-    head = Head(number, {name: list(chunks) for name, chunks in sections.items()})
-    raw = encode_head(head)
+    sections = pack_sections(flatten(document))
+    head = VersionManifest(
+        number, {name: list(chunks) for name, chunks in sections.items()}
+    )
+    raw = encode_manifest(head)
     writes = [w for chunks in sections.values() for w in chunk_writes(chunks)]
     writes.append(Write(CONFIG_TABLE, HEAD_KEY, raw))
     writes.append(Write(CONFIG_TABLE, version_key(number), raw))
--- a/packages/router/src/teaselledge/yamlsource.py
+++ b/packages/router/src/teaselledge/yamlsource.py
@@ -12,14 +12,14 @@
 
 __all__ = [
     "KeyPath",
-    "Mistake",
+    "ConfigIssue",
     "Source",
-    "joined",
+    "format_path",
     "merge",
-    "mistake_at",
+    "issue_at",
     "parse",
     "read",
-    "read_as",
+    "validate_as",
 ]
 
 MAX_BYTES = 4 * 1024 * 1024
@@ -28,7 +28,7 @@
 MAX_SCALAR = 4096
 """Longest value in characters."""
 
-MAX_MISTAKES = 500
+MAX_ISSUES = 500
 """Faults that are listed; a hostile file can hold one a byte."""
 
 LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Mistake:
+class ConfigIssue:
     """One fault in a YAML file.
 
     Attributes
@@ -123,7 +123,7 @@
         self._file = file
         self._constructor = yaml.constructor.SafeConstructor()
         self.lines: dict[KeyPath, int] = {}
-        self.mistakes: list[Mistake] = []
+        self.mistakes: list[ConfigIssue] = []
 
     def build(self, node: yaml.Node, path: KeyPath) -> Any:
         """Return the value of a node and note its line."""
@@ -167,21 +167,23 @@
         return result
 
     def _add(self, node: yaml.Node, path: KeyPath, found: str, allowed: str) -> None:
-        if len(self.mistakes) >= MAX_MISTAKES:
+        if len(self.mistakes) >= MAX_ISSUES:
             return
         line = node.start_mark.line + 1
-        self.mistakes.append(Mistake(self._file, line, joined(path), found, allowed))
+        self.mistakes.append(
+            ConfigIssue(self._file, line, format_path(path), found, allowed)
+        )
 
 
-def joined(path: KeyPath) -> str:
+def format_path(path: KeyPath) -> str:
     """Return a path as one text."""
     return ".".join(str(part) for part in path)
 
 
-def mistake_at(source: Source, path: KeyPath, found: str, allowed: str) -> Mistake:
+def issue_at(source: Source, path: KeyPath, found: str, allowed: str) -> ConfigIssue:
     """Return a mistake at the place where the value stands."""
     line = source.line_of(path)
-    return Mistake(source.file_of(path), line, joined(path), found, allowed)
+    return ConfigIssue(source.file_of(path), line, format_path(path), found, allowed)
 
 
 def _guard_events(text: str) -> str:
@@ -209,7 +211,7 @@
     return ""
 
 
-def parse(file: str, data: bytes) -> Result[Source, list[Mistake]]:
+def parse(file: str, data: bytes) -> Result[Source, list[ConfigIssue]]:
     """Parse one YAML document.
 
     Parameters
@@ -221,12 +223,12 @@
 
     Returns
     -------
-    Result of Source or list of Mistake
+    Result of Source or list of ConfigIssue
         The values with their lines, or all faults found.
     """
     if len(data) > MAX_BYTES:
         found = f"{len(data)} bytes"
-        return Error([Mistake(file, 1, "", found, f"up to {MAX_BYTES} bytes")])
+        return Error([ConfigIssue(file, 1, "", found, f"up to {MAX_BYTES} bytes")])
     try:
         text = data.decode("utf-8")
         refused = _guard_events(text)
@@ -235,17 +237,17 @@
                 f"YAML without aliases and tags, {MAX_DEPTH} levels deep, values "
                 f"of up to {MAX_SCALAR} characters"
             )
-            return Error([Mistake(file, 1, "", refused, allowed)])
+            return Error([ConfigIssue(file, 1, "", refused, allowed)])
         node = yaml.compose(text, Loader=LOADER)
     except UnicodeDecodeError as error:
-        return Error([Mistake(file, 1, "", f"byte {error.start}", "UTF-8")])
+        return Error([ConfigIssue(file, 1, "", f"byte {error.start}", "UTF-8")])
     except yaml.MarkedYAMLError as error:
         mark = error.problem_mark
         line = mark.line + 1 if mark else 1
-        return Error([Mistake(file, line, "", str(error.problem), "valid YAML")])
+        return Error([ConfigIssue(file, line, "", str(error.problem), "valid YAML")])
     except (yaml.YAMLError, RecursionError, ValueError) as error:
         found = str(error).splitlines()[0] if str(error) else repr(error)
-        return Error([Mistake(file, 1, "", found, "valid YAML")])
+        return Error([ConfigIssue(file, 1, "", found, "valid YAML")])
     if node is None:
         return Ok(Source(file, {}, {(): 1}))
     builder = _Builder(file)
@@ -255,17 +257,17 @@
     return Ok(Source(file, value, builder.lines))
 
 
-def read(path: Path) -> Result[Source, list[Mistake]]:
+def read(path: Path) -> Result[Source, list[ConfigIssue]]:
     """Read and parse a YAML file."""
     try:
         data = path.read_bytes()
     except OSError as error:
         found = error.strerror or "an error"
-        return Error([Mistake(str(path), 1, "", found, "a readable file")])
+        return Error([ConfigIssue(str(path), 1, "", found, "a readable file")])
     return parse(str(path), data)
 
 
-def merge(sources: Iterable[Source]) -> Result[Source, list[Mistake]]:
+def merge(sources: Iterable[Source]) -> Result[Source, list[ConfigIssue]]:
     """Merge files whose top-level sections are mappings of entries.
 
     Parameters
@@ -275,26 +277,26 @@
 
     Returns
     -------
-    Result of Source or list of Mistake
+    Result of Source or list of ConfigIssue
         One source that knows the file of each entry, or the entries that stand
         in two files.
     """
     value: dict[str, Any] = {}
     lines: dict[KeyPath, int] = {}
     files: dict[KeyPath, str] = {}
-    mistakes: list[Mistake] = []
+    mistakes: list[ConfigIssue] = []
     first = ""
     for source in sources:
         first = first or source.file
         if not isinstance(source.value, dict):
             found = type(source.value).__name__
-            mistakes.append(mistake_at(source, (), found, "a mapping of sections"))
+            mistakes.append(issue_at(source, (), found, "a mapping of sections"))
             continue
         for section, entries in source.value.items():
             if not isinstance(entries, dict):
                 found = repr(entries)[:40]
                 allowed = "a mapping of entries"
-                mistakes.append(mistake_at(source, (section,), found, allowed))
+                mistakes.append(issue_at(source, (section,), found, allowed))
                 continue
             merged = value.setdefault(section, {})
             files.setdefault((section,), source.file)
@@ -304,7 +306,7 @@
                 if name in merged:
                     where = f"{files[path]}:{lines[path]}"
                     allowed = f"each entry once; it also stands in {where}"
-                    mistakes.append(mistake_at(source, path, "an entry twice", allowed))
+                    mistakes.append(issue_at(source, path, "an entry twice", allowed))
                     continue
                 merged[name] = entry
                 files[path] = source.file
@@ -326,7 +328,7 @@
     return str(error["msg"]).removeprefix("Input should be ")
 
 
-def read_as(cls: type[T], source: Source) -> Result[T, list[Mistake]]:
+def validate_as(cls: type[T], source: Source) -> Result[T, list[ConfigIssue]]:
     """Check parsed YAML against a frozen data class.
 
     Parameters
@@ -338,7 +340,7 @@
 
     Returns
     -------
-    Result of cls or list of Mistake
+    Result of cls or list of ConfigIssue
         The instance, or all faults in one go.
     """
     try:
@@ -350,5 +352,5 @@
             found = repr(entry["input"])[:80]
             if entry["type"] in ("missing", "missing_argument"):
                 found = "nothing"
-            mistakes.append(mistake_at(source, path, found, _allowed(entry)))
-        return Error(mistakes[:MAX_MISTAKES])
+            mistakes.append(issue_at(source, path, found, _allowed(entry)))
+        return Error(mistakes[:MAX_ISSUES])
--- a/packages/router/tests/test_bodyclock.py
+++ b/packages/router/tests/test_bodyclock.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from teaselledge.connection.bodyclock import BodyClock
+from teaselledge.connection.bodyclock import BodyTimeout
 
 VIRTUAL_CLOCK = True
 
@@ -10,11 +10,11 @@
 async def time_until_cut(pause, made_to_wait=0.0):
     """Send a part after each pause, and return when the router cuts it off."""
     cut = asyncio.Event()
-    clock = BodyClock(cut.set)
+    clock = BodyTimeout(cut.set)
     loop = asyncio.get_running_loop()
     start = loop.time()
     while not cut.is_set() and loop.time() - start < 10_000:
-        clock.wait()
+        clock.start()
         await asyncio.sleep(pause)
         clock.stop()
         await asyncio.sleep(made_to_wait)
--- a/packages/router/tests/test_check.py
+++ b/packages/router/tests/test_check.py
@@ -2,7 +2,7 @@
 
 import copy
 
-from teaselledge.version.check import check
+from teaselledge.version.check import find_issues
 from teaselledge.version.source import check_value
 
 KEY = "{:064x}".format
@@ -86,7 +86,7 @@
 def test_a_right_document_has_no_findings():
     checked = check_value(DOCUMENT)
     assert checked.is_ok()
-    assert check(checked.ok.document) == []
+    assert find_issues(checked.ok.document) == []
 
 
 def test_each_fault_is_found_at_its_place():
--- a/packages/router/tests/test_errors.py
+++ b/packages/router/tests/test_errors.py
@@ -1,10 +1,10 @@
 """Tests of the table from error kind to answer."""
 
-from teaselledge.errors import ANSWERS, ErrorKind, Fault, problem
+from teaselledge.errors import FAULT_RESPONSES, ErrorKind, Fault, problem
 
 
 def test_every_kind_has_an_answer():
-    assert set(ANSWERS) == set(ErrorKind)
+    assert set(FAULT_RESPONSES) == set(ErrorKind)
 
 
 def test_problem_carries_kind_and_ran():
--- a/packages/router/tests/test_follow.py
+++ b/packages/router/tests/test_follow.py
@@ -6,7 +6,7 @@
 from teaselledge.platform import ANY, Write
 from teaselledge.process.mesh import make_message
 from teaselledge.version.head import CONFIG_TABLE, HEAD_KEY
-from teaselledge.version.store import plain_writes
+from teaselledge.version.store import unchecked_writes
 from teaselledge_standins.tables import MemoryTables
 from teaselledge_standins.virtual.fleet import running_virtual_fleet
 from teaselledge_standins.virtual.plans import get_plan_by_name
@@ -40,13 +40,13 @@
     seen = {}
     for vm, node in fleet.nodes.items():
         taken = seen.setdefault(vm, [])
-        original = node.follower._on_version
+        original = node.config_watcher._on_version
 
         def note(version, taken=taken, original=original):
             taken.append(version.number)
             original(version)
 
-        node.follower._on_version = note
+        node.config_watcher._on_version = note
     return seen
 
 
@@ -119,7 +119,7 @@
     near = set(fleet.nodes) - far
     fleet.network.cut(far, near | {"tables"})
     for vm in far:
-        tables = fleet.nodes[vm].follower._tables
+        tables = fleet.nodes[vm].config_watcher._tables
         tables._tables = down_tables()
     seen = watch(fleet)
     for number in (2, 3, 4):
@@ -145,8 +145,8 @@
     The others notice that no news of the store comes, and poll themselves.
     """
     for node in fleet.nodes.values():
-        if node.follower.state.polls:
-            node.follower._tables._tables = down_tables()
+        if node.config_watcher.state.polls:
+            node.config_watcher._tables._tables = down_tables()
     await asyncio.sleep(6)
     fleet.publish(2)
     await until(fleet, 2, 11)
@@ -166,7 +166,7 @@
     await asyncio.sleep(12)
     assert numbers(fleet) == {3}
     assert not any(seen.values())
-    assert any(node.follower.state.store_behind for node in fleet.nodes.values())
+    assert any(node.config_watcher.state.store_behind for node in fleet.nodes.values())
 
 
 async def test_newer_release_in_the_store_leaves_the_old_one_serving(fleet):
@@ -180,7 +180,7 @@
     fleet.publish(2, document)
     await asyncio.sleep(10)
     assert numbers(fleet) == {1}
-    states = [node.follower.state for node in fleet.nodes.values()]
+    states = [node.config_watcher.state for node in fleet.nodes.values()]
     assert {state.unreadable for state in states} == {2}
     outcome = await fleet.call(
         "vm-1", "org-01", "sommelier-models", "summary", "after", 50
@@ -188,7 +188,9 @@
     assert outcome.right
     fleet.publish(3)
     await until(fleet, 3)
-    assert {node.follower.state.unreadable for node in fleet.nodes.values()} == {0}
+    assert {node.config_watcher.state.unreadable for node in fleet.nodes.values()} == {
+        0
+    }
 
 
 async def test_damaged_chunks_are_never_taken(fleet):
@@ -197,21 +199,21 @@
     The others must not take what they did not ask for, and take the version
     once the right bytes come.
     """
-    source = next(n for n in fleet.nodes.values() if n.follower.state.polls)
+    source = next(n for n in fleet.nodes.values() if n.config_watcher.state.polls)
     for node in fleet.nodes.values():
         if node is not source:
-            node.follower._tables._tables = down_tables()
-    source.follower._pick = lambda count: []
+            node.config_watcher._tables._tables = down_tables()
+    source.config_watcher._pick = lambda count: []
     document = fleet.document()
     document["organisations"]["org-01"]["share"] = 77.0
-    before = set(source.follower._held.chunks)
+    before = set(source.config_watcher._held.chunks)
     fleet.publish(2, document)
     while source.version.number == 1:
         await asyncio.sleep(0.02)
-    held = source.follower._held.chunks
+    held = source.config_watcher._held.chunks
     (changed,) = set(held) - before
     right, held[changed] = held[changed], held[next(iter(before))]
-    del source.follower._pick
+    del source.config_watcher._pick
     await asyncio.sleep(10)
     assert numbers(fleet) == {1, 2}
     held[changed] = right
@@ -227,8 +229,8 @@
     """The head is there, but the store can't give one of its chunks yet."""
     document = fleet.document()
     document["organisations"]["org-01"]["share"] = 77.0
-    writes = plain_writes(document, 2)
-    held = fleet.nodes["vm-0"].follower._held.chunks
+    writes = unchecked_writes(document, 2)
+    held = fleet.nodes["vm-0"].config_watcher._held.chunks
     names = {w.key: w.key.partition("/")[2] for w in writes}
     chunk = next(
         w for w in writes if w.key.startswith("chunk/") and names[w.key] not in held
@@ -246,14 +248,14 @@
     When the slow reads end, version 2 must not replace version 3.
     """
     vm = "vm-6"
-    follower = fleet.nodes[vm].follower
+    follower = fleet.nodes[vm].config_watcher
     follower._must_poll = lambda: False
     document = fleet.document()
     document["organisations"]["org-01"]["share"] = 77.0
     fleet.publish(2, document)
     row = (await fleet.tables.get(CONFIG_TABLE, HEAD_KEY)).ok
     slow = MemoryTables()
-    slow.apply(plain_writes(document, 2))
+    slow.apply(unchecked_writes(document, 2))
     slow.faults.delay = 8.0
     follower._tables = slow
     fetch = asyncio.ensure_future(follower._take_from_store(row.value))
--- a/packages/router/tests/test_head.py
+++ b/packages/router/tests/test_head.py
@@ -5,13 +5,18 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from teaselledge.version.head import Head, HeadError, decode_head, encode_head
+from teaselledge.version.head import (
+    ManifestError,
+    VersionManifest,
+    decode_manifest,
+    encode_manifest,
+)
 from teaselledge.version.sections import (
     CHUNK_ENTRIES,
     ChunkError,
-    chunks_of,
-    digest_of,
+    chunk_digest,
     flatten,
+    pack_chunks,
     unflatten,
     unpack_chunk,
 )
@@ -46,7 +51,7 @@
 
 @given(MANY, st.integers(0, 299).map("org-{:03d}".format))
 def test_a_changed_entry_changes_one_chunk_at_most(entries, name):
-    chunks = chunks_of(entries)
+    chunks = pack_chunks(entries)
     found = {}
     for chunk in chunks:
         found.update(unpack_chunk(chunk))
@@ -54,27 +59,29 @@
     assert len(chunks) * CHUNK_ENTRIES >= len(entries)
     if name not in entries:
         return
-    other = chunks_of({**entries, name: {"other": 1}})
+    other = pack_chunks({**entries, name: {"other": 1}})
     assert sum(a != b for a, b in zip(chunks, other, strict=True)) <= 1
 
 
 @given(MANY)
 def test_chunks_do_not_hang_on_the_order_of_entries(entries):
     backwards = dict(reversed(entries.items()))
-    assert [digest_of(c) for c in chunks_of(entries)] == [
-        digest_of(c) for c in chunks_of(backwards)
+    assert [chunk_digest(c) for c in pack_chunks(entries)] == [
+        chunk_digest(c) for c in pack_chunks(backwards)
     ]
 
 
 def test_head_round_trip():
-    head = Head(7, {"zones": ["ab"]}, "dana", "id", 6, "now", "why", ["zones/a"])
-    assert decode_head(encode_head(head)) == head
+    head = VersionManifest(
+        7, {"zones": ["ab"]}, "dana", "id", 6, "now", "why", ["zones/a"]
+    )
+    assert decode_manifest(encode_manifest(head)) == head
 
 
 def test_further_fields_of_a_head_are_ignored():
     """A newer release tells more in the head, in a layout that still holds."""
     text = '{"format": 1, "version": 3, "sections": {}, "more": 1}'
-    assert decode_head(zlib.compress(text.encode())) == Head(3, {})
+    assert decode_manifest(zlib.compress(text.encode())) == VersionManifest(3, {})
 
 
 def refused(read, error, data):
@@ -101,7 +108,7 @@
         "[" * 100_000,
     ]
     for data in [bomb, bomb[:100], b"", *(zlib.compress(t.encode()) for t in texts)]:
-        assert refused(decode_head, HeadError, data), data[:60]
+        assert refused(decode_manifest, ManifestError, data), data[:60]
     for text in ("", "[]", "7", "[" * 100_000):
         assert refused(unpack_chunk, ChunkError, zlib.compress(text.encode())), text
     assert refused(unpack_chunk, ChunkError, bomb)
@@ -111,7 +118,7 @@
 @given(st.binary(max_size=200), st.booleans())
 def test_any_bytes_are_read_or_refused(data, packed):
     given_data = zlib.compress(data) if packed else data
-    for read, error in ((decode_head, HeadError), (unpack_chunk, ChunkError)):
+    for read, error in ((decode_manifest, ManifestError), (unpack_chunk, ChunkError)):
         try:
             read(given_data)
         except error:
@@ -134,8 +141,8 @@
 def test_any_json_is_read_or_refused_as_head(value):
     data = zlib.compress(json.dumps(value).encode())
     try:
-        head = decode_head(data)
-    except HeadError:
+        head = decode_manifest(data)
+    except ManifestError:
         return
     assert head.version >= 1
     assert all(isinstance(digest, str) for digest in head.digests)
--- a/packages/router/tests/test_limits.py
+++ b/packages/router/tests/test_limits.py
@@ -72,7 +72,7 @@
     )
     assert reply.status == 200, reply
     assert json.loads(reply.body)["received"] == len(body)
-    await until(lambda: uploading.routers["r1"].bodies.held == 0)
+    await until(lambda: uploading.routers["r1"].bodies.reserved_bytes == 0)
 
 
 async def test_chunked_body_that_grows_is_passed_on(uploading):
@@ -109,7 +109,7 @@
         ingress = uploading.routers["r1"].node.ingress
         await until(lambda: ingress.running == 1)
     await until(lambda: ingress.running == 0)
-    await until(lambda: uploading.routers["r1"].bodies.held == 0)
+    await until(lambda: uploading.routers["r1"].bodies.reserved_bytes == 0)
     assert not [r for p in uploading.plains.values() for r in p.runs]
 
 
@@ -131,7 +131,7 @@
         answer = await caller.read_all()
     assert answer.startswith(b"HTTP/1.1 502"), answer[:200]
     assert problem_of(answer)["ran"] == "no"
-    await until(lambda: uploading.routers["r1"].bodies.held == 0)
+    await until(lambda: uploading.routers["r1"].bodies.reserved_bytes == 0)
     await until(lambda: uploading.routers["r1"]._server.connections == 0)
 
 
@@ -158,7 +158,7 @@
             f"Authorization: Bearer {key_of('amber')}",
             "Content-Length: 2040",
         )
-        await until(lambda: small.routers["r1"].bodies.held == 2040)
+        await until(lambda: small.routers["r1"].bodies.reserved_bytes == 2040)
         body = json.dumps({"name": "twice", "padding": "x" * 1000}).encode()
         reply = await caller.call(address_of(small), "POST", ORDERS, body, "twice")
     assert (reply.kind, reply.ran) == ("router-full", "unknown")
@@ -190,7 +190,7 @@
             await caller.send_bytes(b"200\r\n" + b"x" * 512 + b"\r\n")
         answer = await caller.read_all()
     assert answer.startswith(b"HTTP/1.1 413"), answer
-    assert small.routers["r1"].bodies.held == 0
+    assert small.routers["r1"].bodies.reserved_bytes == 0
 
 
 async def test_headers_over_limit_are_refused(small):
@@ -229,13 +229,13 @@
     )
     async with raw_caller(address_of(small)) as first:
         await first.send(*head)
-        await until(lambda: small.routers["r1"].bodies.held == 2000)
+        await until(lambda: small.routers["r1"].bodies.reserved_bytes == 2000)
         async with raw_caller(address_of(small)) as second:
             await second.send(*head)
             answer = await second.read_all()
         assert problem_of(answer)["kind"] == "router-full"
-        assert small.routers["r1"].bodies.held == 2000
-    await until(lambda: small.routers["r1"].bodies.held == 0)
+        assert small.routers["r1"].bodies.reserved_bytes == 2000
+    await until(lambda: small.routers["r1"].bodies.reserved_bytes == 0)
 
 
 async def test_caller_that_leaves_while_queued_frees_its_place(single):
--- a/packages/router/tests/test_membership.py
+++ b/packages/router/tests/test_membership.py
@@ -150,7 +150,9 @@
     assert all(len(member.live()) == 8 for member in eight.members.values())
     eight.network.heal()
     await asyncio.sleep(5.0)
-    assert all(len(member.reachable_members()) == 8 for member in eight.members.values())
+    assert all(
+        len(member.reachable_members()) == 8 for member in eight.members.values()
+    )
 
 
 async def test_paused_router_does_not_bury_the_others(eight):
--- a/packages/router/tests/test_operator.py
+++ b/packages/router/tests/test_operator.py
@@ -8,7 +8,7 @@
 
 import loguru
 from expression import Ok
-from teaselledge.connection.operatorauth import ROLES, Permit
+from teaselledge.connection.operatorauth import ROLES, Permissions
 from teaselledge.errors import ErrorKind
 from teaselledge.platform import ANY, Write
 from teaselledge.process.router import Router
@@ -194,12 +194,12 @@
 
 
 def test_roles_and_sections():
-    editor = Permit("e", "editor", ("zones", "services/models"))
+    editor = Permissions("e", "editor", ("zones", "services/models"))
     assert editor.may_change("zones", "north-a")
     assert editor.may_change("services", "models")
     assert not editor.may_change("services", "ledger")
     assert not editor.may_change("operators", "e")
-    assert Permit("a", "admin").may_change("operators", "e")
+    assert Permissions("a", "admin").may_change("operators", "e")
     for role in ("viewer", "support"):
-        assert not Permit("v", role, ("zones",)).may_change("zones", "north-a")
+        assert not Permissions("v", role, ("zones",)).may_change("zones", "north-a")
     assert set(ROLES) == {"viewer", "editor", "support", "admin"}
--- a/packages/router/tests/test_order.py
+++ b/packages/router/tests/test_order.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from teaselledge.errors import ErrorKind, Fault, Ran
-from teaselledge.request.orderbook import (
+from teaselledge.request.orderqueries import (
     SettleError,
     Settlement,
     list_orders,
--- a/packages/router/tests/test_order_explored.py
+++ b/packages/router/tests/test_order_explored.py
@@ -1,7 +1,7 @@
 """Every interleaving of small numbers of order attempts, on the real code."""
 
 from teaselledge.platform import ANY
-from teaselledge.request.journal import Attempt, Journal, Standing
+from teaselledge.request.journal import ClaimStatus, Journal, RecordClaim
 from teaselledge_standins.explore import (
     CRASH,
     LATE,
@@ -87,18 +87,18 @@
     """A router that refuses an order without marking its row says that it did
     not run, while the other router goes on to send it.
     """
-    release = Attempt.release
+    release = RecordClaim.release
 
     async def pretend(attempt):
-        held = await attempt.look()
-        return held.map(lambda found: (Standing.RELEASED, found[1]))
+        held = await attempt.read()
+        return held.map(lambda found: (ClaimStatus.RELEASED, found[1]))
 
-    Attempt.release = pretend
+    RecordClaim.release = pretend
     try:
         explored("unmarked", {}, full=("a",))
     except ExplorationError as error:
         assert "told that it did not run" in str(error)
         return
     finally:
-        Attempt.release = release
+        RecordClaim.release = release
     raise AssertionError("the broken refusal passed")
--- a/packages/router/tests/test_peer.py
+++ b/packages/router/tests/test_peer.py
@@ -45,7 +45,7 @@
         origin = Origin(vm, 7)
         contexts = server_context(tls), client_context(tls)
         self.mesh = PeerMesh(origin, addresses.get, self.metrics, *contexts)
-        self.mesh.on_refused = self.refused.append
+        self.mesh.on_connection_refused = self.refused.append
         self.mesh.subscribe("beat", self._take)
         self.port = self.mesh.listen("127.0.0.1", 0)
         addresses[vm] = f"127.0.0.1:{self.port}"
--- a/packages/router/tests/test_publish.py
+++ b/packages/router/tests/test_publish.py
@@ -196,7 +196,7 @@
     writes = tables.writes
     result = await publisher.apply(change(1, {"services": {}}), anything)
     assert result.error.kind is ApplyErrorKind.REFUSED
-    paths = {mistake.path for mistake in result.error.mistakes}
+    paths = {mistake.path for mistake in result.error.issues}
     assert "organisations.amber.services.0" in paths
     mine = change(1, with_share("amber", 2.0))
     result = await publisher.apply(mine, lambda section, name: section == "zones")
--- a/packages/router/tests/test_publish_explored.py
+++ b/packages/router/tests/test_publish_explored.py
@@ -10,11 +10,11 @@
     CONFIG_TABLE,
     HEAD_KEY,
     VERSION_PREFIX,
-    decode_head,
+    decode_manifest,
 )
 from teaselledge.version.publish import ApplyErrorKind, Change, Publisher
 from teaselledge.version.sections import flatten, unflatten, unpack_chunk
-from teaselledge.version.store import plain_writes
+from teaselledge.version.store import unchecked_writes
 from teaselledge_standins.explore import (
     CRASH,
     LATE,
@@ -52,7 +52,7 @@
 
 def first_chunks():
     chunks = {}
-    for write in plain_writes(DOCUMENT, 1):
+    for write in unchecked_writes(DOCUMENT, 1):
         if write.key.startswith(CHUNK_PREFIX):
             name = write.key.removeprefix(CHUNK_PREFIX)
             chunks[name] = unpack_chunk(write.value)
@@ -75,7 +75,7 @@
     """Return a set-up with one apply a name, each from version 1."""
 
     def setup(world):
-        world.tables.apply(plain_writes(DOCUMENT, 1))
+        world.tables.apply(unchecked_writes(DOCUMENT, 1))
         for name, organisation in targets.items():
             publisher = publisher_class(
                 world.tables_of(name), lambda: datetime(2030, 1, 1, tzinfo=UTC)
@@ -109,7 +109,7 @@
             for row in tables.snapshot()[CONFIG_TABLE]
             if row.key.startswith(VERSION_PREFIX)
         ]
-        heads = [decode_head(row.value) for row in rows]
+        heads = [decode_manifest(row.value) for row in rows]
         assert [head.version for head in heads] == list(range(1, len(heads) + 1))
         top = tables.peek(CONFIG_TABLE, HEAD_KEY)
         assert top.value == rows[-1].value, "head is not the highest version"
--- a/packages/router/tests/test_status.py
+++ b/packages/router/tests/test_status.py
@@ -34,7 +34,7 @@
         lambda: node.dispatchers.dispatchers, lambda: node.version
     )
     tally = tally or RecordingMetrics(NullMetrics())
-    return Status(node.follower, node.membership, node.ingress, tally, shares)
+    return Status(node.config_watcher, node.membership, node.ingress, tally, shares)
 
 
 def states(facts):
--- a/packages/router/tests/test_sweep.py
+++ b/packages/router/tests/test_sweep.py
@@ -5,8 +5,8 @@
 from teaselledge.metrics import NullMetrics
 from teaselledge.platform import ABSENT
 from teaselledge.request.journal import Journal
-from teaselledge.request.orderbook import get_order, list_orders
-from teaselledge.request.record import OrderRecord, OrderState, StoredAnswer
+from teaselledge.request.orderqueries import get_order, list_orders
+from teaselledge.request.record import OrderRecord, OrderState, StoredResponse
 from teaselledge.request.sweep import Sweeper
 from teaselledge_standins.objects import MemoryObjects
 from teaselledge_standins.tables import MemoryTables
@@ -27,7 +27,7 @@
 
 async def test_old_order_is_removed_with_its_answer():
     """Answers would fill the platform's stores if nobody removed them."""
-    answer = StoredAnswer(200, (), None, "order-1")
+    answer = StoredResponse(200, (), None, "order-1")
     journal, sweeper = await sweeping(OrderState.FINISHED, answer)
     await journal.objects.put("order-1", b"long")
     await asyncio.sleep(3 * DAY)
@@ -60,7 +60,7 @@
     await asyncio.sleep(1000)
     await sweeper.sweep_page()
     found = (await journal.read("amber/k")).ok
-    finished = found.record.moved(OrderState.FINISHED, 1000.0)
+    finished = found.record.with_state(OrderState.FINISHED, 1000.0)
     assert (await journal.write("amber/k", finished, found.version, True)).is_ok()
     page = (await list_orders(journal.tables, None, OrderState.UNKNOWN)).ok
     assert page.orders == ()
--- a/packages/router/tests/test_yamlsource.py
+++ b/packages/router/tests/test_yamlsource.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from teaselledge.version.document import Document
-from teaselledge.yamlsource import MAX_BYTES, merge, parse, read_as
+from teaselledge.yamlsource import MAX_BYTES, merge, parse, validate_as
 
 MEMORY_LIMIT = 100e6
 """Bytes that a hostile file of the largest size may take for a moment."""
@@ -101,7 +101,7 @@
     assert result.is_ok() or result.error
     if result.is_ok():
         merged = merge([result.ok])
-        checked = merged.bind(lambda source: read_as(Document, source))
+        checked = merged.bind(lambda source: validate_as(Document, source))
         assert checked.is_error()
         assert all(mistake.line >= 1 for mistake in checked.error)
 
--- a/packages/standins/src/teaselledge_standins/exploredorders.py
+++ b/packages/standins/src/teaselledge_standins/exploredorders.py
@@ -5,7 +5,11 @@
 from typing import cast
 
 from expression import Error, Ok, Result
-from teaselledge.connection.endpoint import EndpointAnswer, Outbound, SendFailure
+from teaselledge.connection.endpoint import (
+    EndpointResponse,
+    OutboundRequest,
+    SendFailure,
+)
 from teaselledge.errors import ErrorKind, Fault, Ran
 from teaselledge.metrics import NullMetrics
 from teaselledge.process.ingress import Ingress, SlotGrant, SlotRequest
@@ -13,7 +17,7 @@
 from teaselledge.process.placement import Shard
 from teaselledge.request.context import CallerRequest
 from teaselledge.request.journal import Journal
-from teaselledge.request.order import OrderDesk
+from teaselledge.request.order import OrderExecutor
 from teaselledge.version.document import Document, Endpoint, Kind, Service, Version
 from tornado.httputil import HTTPHeaders
 
@@ -87,13 +91,13 @@
         self._actor = actor
 
     async def send(
-        self, address: str, request: Outbound
-    ) -> Result[EndpointAnswer, SendFailure]:
-        def run() -> Result[EndpointAnswer, SendFailure]:
+        self, address: str, request: OutboundRequest
+    ) -> Result[EndpointResponse, SendFailure]:
+        def run() -> Result[EndpointResponse, SendFailure]:
             self._world.log.append(("ran", request.body))
             return Ok(_Answer())
 
-        def drop() -> Result[EndpointAnswer, SendFailure]:
+        def drop() -> Result[EndpointResponse, SendFailure]:
             run()
             return Error(SendFailure(True, "dropped"))
 
@@ -121,13 +125,13 @@
     )
 
 
-async def _place(world: World, desk: OrderDesk, actor: str, seconds: float) -> None:
+async def _place(world: World, desk: OrderExecutor, actor: str, seconds: float) -> None:
     sink = MemorySink()
     result = await desk.run(_request(seconds), sink)
     told = "answer" if result.is_ok() else result.error.ran.value
     world.log.append(("told", actor, told))
     # the records that the journal still has to get belong to the attempt
-    await desk.drained()
+    await desk.wait_until_drained()
 
 
 def order_attempts(
@@ -146,7 +150,7 @@
             journal = journal_class(
                 tables, MemoryObjects(), NullMetrics(), lambda: world.clock
             )
-            desk = OrderDesk(
+            desk = OrderExecutor(
                 cast(Ingress, _FullIngress() if name in full else _FreeIngress()),
                 _Client(world, name),
                 journal,
--- a/packages/standins/src/teaselledge_standins/fleet.py
+++ b/packages/standins/src/teaselledge_standins/fleet.py
@@ -10,7 +10,7 @@
 from teaselledge.platform import VmEntry
 from teaselledge.process.router import Router
 from teaselledge.process.settings import Limits, Listener, Platform, Settings, Tls
-from teaselledge.version.store import plain_writes
+from teaselledge.version.store import unchecked_writes
 
 from teaselledge_standins.engine import EngineEndpoint
 from teaselledge_standins.meter import Meter
@@ -171,7 +171,7 @@
 
     def publish(self, number: int) -> None:
         """Put the document into the table service, past all checks."""
-        self.tables.apply(plain_writes(self.document(), number))
+        self.tables.apply(unchecked_writes(self.document(), number))
 
     async def start_router(self, vm: str) -> Router:
         """Start a router and put it into the VM list."""
--- a/packages/standins/src/teaselledge_standins/virtual/endpoint.py
+++ b/packages/standins/src/teaselledge_standins/virtual/endpoint.py
@@ -8,9 +8,9 @@
 
 from expression import Error, Ok, Result
 from teaselledge.connection.endpoint import (
-    BrokenAnswerError,
-    EndpointAnswer,
-    Outbound,
+    EndpointResponse,
+    IncompleteResponseError,
+    OutboundRequest,
     SendFailure,
 )
 from teaselledge.request.resume import RESUME_HEADER
@@ -120,7 +120,10 @@
 
 class _VirtualAnswer:
     def __init__(
-        self, client: "VirtualClient", endpoint: VirtualEndpoint, request: Outbound
+        self,
+        client: "VirtualClient",
+        endpoint: VirtualEndpoint,
+        request: OutboundRequest,
     ) -> None:
         self._client = client
         self._endpoint = endpoint
@@ -134,7 +137,7 @@
         client.answers.add(self._task)
         self._task.add_done_callback(client.answers.discard)
 
-    async def _run(self, request: Outbound) -> None:
+    async def _run(self, request: OutboundRequest) -> None:
         endpoint, network = self._endpoint, self._client.network
         vm = self._client.vm
         body = json.loads(request.body)
@@ -195,7 +198,7 @@
                 break
             yield chunk
         if not self._whole:
-            raise BrokenAnswerError
+            raise IncompleteResponseError
 
     def close(self) -> None:
         """Cancel what still runs."""
@@ -215,8 +218,8 @@
         self._endpoints = endpoints
 
     async def send(
-        self, address: str, request: Outbound
-    ) -> Result[EndpointAnswer, SendFailure]:
+        self, address: str, request: OutboundRequest
+    ) -> Result[EndpointResponse, SendFailure]:
         """Send a request; the address's host names the endpoint."""
         network = self.network
         await network.awake(self.vm)
--- a/packages/standins/src/teaselledge_standins/virtual/fleet.py
+++ b/packages/standins/src/teaselledge_standins/virtual/fleet.py
@@ -24,7 +24,7 @@
 from teaselledge.process.node import Node, PlatformClients
 from teaselledge.process.settings import Platform, Settings
 from teaselledge.request.context import CallerRequest
-from teaselledge.version.store import plain_writes
+from teaselledge.version.store import unchecked_writes
 from tornado.httputil import HTTPHeaders
 
 from teaselledge_standins.objects import MemoryObjects
@@ -276,7 +276,7 @@
 
     def publish(self, number: int, document: dict[str, Any] | None = None) -> None:
         """Put a document into the table service, past all checks."""
-        self.tables.apply(plain_writes(document or self.document(), number))
+        self.tables.apply(unchecked_writes(document or self.document(), number))
 
     async def start(self, vm: str) -> Node:
         """Start a router, with nothing kept from an earlier life."""
--- a/packages/standins/src/teaselledge_standins/virtual/naive.py
+++ b/packages/standins/src/teaselledge_standins/virtual/naive.py
@@ -1,7 +1,7 @@
 """A naive order desk: it tries again on errors and journals after the fact."""
 
 from expression import Error, Ok, Result
-from teaselledge.connection.endpoint import BrokenAnswerError, Outbound
+from teaselledge.connection.endpoint import IncompleteResponseError, OutboundRequest
 from teaselledge.errors import ErrorKind, Fault
 from teaselledge.metrics import NullMetrics
 from teaselledge.platform import ANY, Write
@@ -9,7 +9,7 @@
 from teaselledge.process.ingress import SlotRequest
 from teaselledge.process.node import Node
 from teaselledge.request.context import CallerRequest, Sink
-from teaselledge.request.order import OrderDesk
+from teaselledge.request.order import OrderExecutor
 from teaselledge.request.record import ORDERS_TABLE, order_row
 from tornado.httputil import HTTPHeaders
 
@@ -18,7 +18,7 @@
 ATTEMPTS = 3
 
 
-class NaiveDesk(OrderDesk):
+class NaiveOrderExecutor(OrderExecutor):
     """Looks for a stored answer, else sends until one comes, then stores it."""
 
     def __init__(self, node: Node) -> None:
@@ -63,14 +63,14 @@
         granted = acquired.ok
         try:
             endpoint = request.service_entry.endpoints[granted.endpoint]
-            outbound = Outbound(
+            outbound = OutboundRequest(
                 request.method, request.path, request.headers, request.body
             )
             sent = await tools.client.send(endpoint.address, outbound)
             if sent.is_error():
                 return None
             return b"".join([chunk async for chunk in sent.ok.chunks()])
-        except BrokenAnswerError:
+        except IncompleteResponseError:
             return None
         finally:
             tools.ingress.release(granted, 0.0, False)
@@ -81,7 +81,7 @@
 
     def __init__(self, node: Node) -> None:
         super().__init__(node.request_runner, node.orders)
-        self._desk = NaiveDesk(node)
+        self._desk = NaiveOrderExecutor(node)
 
     @classmethod
     def install(cls, node: Node) -> None:
--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -6,7 +6,7 @@
 import sys
 from pathlib import Path
 
-from teaselledge.errors import ANSWERS
+from teaselledge.errors import FAULT_RESPONSES
 from teaselledge.metrics import METRICS
 from teaselledge.process import settings
 from teaselledge.version.document import Document
@@ -80,7 +80,7 @@
 def errors_page() -> str:
     """Return docs/ERRORS.md."""
     lines = []
-    for kind, answer in ANSWERS.items():
+    for kind, answer in FAULT_RESPONSES.items():
         retry = "" if answer.retry_after is None else f"{answer.retry_after} s"
         lines.append(f"| `{kind.value}` | {answer.status} | {answer.title} | {retry} |")
     return ERRORS_HEAD + "\n".join(lines) + "\n"
