--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -101,7 +101,7 @@
         waits = WAITING * organisations if waiting is None else waiting
         for _ in range(endpoints * SLOTS + waits):
             self.register()
-        self.granted = [s.body for s in self.mesh.take("grant")]
+        self.granted = [s.body for s in self.mesh.pop_sent("grant")]
         for grant in self.granted:
             self.dispatcher.handle_accept(INGRESS, Accept(grant.grant))
 
@@ -118,7 +118,7 @@
         ended = self.granted.pop(0)
         done = Done(ended.grant, 90.0, False, 1.0, ended.request)
         self.dispatcher.handle_done(INGRESS, done)
-        (sent,) = self.mesh.take("grant")
+        (sent,) = self.mesh.pop_sent("grant")
         self.granted.append(sent.body)
         self.dispatcher.handle_accept(INGRESS, Accept(sent.body.grant))
         self.register()
--- a/bench/driver.py
+++ b/bench/driver.py
@@ -10,7 +10,7 @@
 import looptime
 from teaselledge.errors import Ran
 from teaselledge_standins.virtual.fleet import (
-    Outcome,
+    CallResult,
     VirtualFleet,
     VirtualPlan,
     running_virtual_fleet,
@@ -80,7 +80,7 @@
         self._routers = list(fleet.plan.routers)
         self._late: list[asyncio.Future[Any]] = []
         self.jobs: dict[str, Job] = {}
-        self.trial_calls: list[tuple[str, Outcome | None]] = []
+        self.trial_calls: list[tuple[str, CallResult | None]] = []
 
     @property
     def now(self) -> float:
@@ -141,7 +141,7 @@
         job = Job(name, source.organisation, source.kind, zone, cost, self.now)
         self.jobs[name] = job
         vm = self._living(source.router)
-        outcome: Outcome | None = None
+        outcome: CallResult | None = None
         with suppress(ConnectionError):
             outcome = await self._fleet.call(
                 vm,
@@ -154,7 +154,7 @@
             )
         job.ended = self.now
         self.trial_calls.append((name, outcome))
-        return outcome is not None and outcome.right
+        return outcome is not None and outcome.is_correct
 
     def _living(self, router: str) -> str:
         # callers keep the address of their router until it is gone
@@ -197,15 +197,17 @@
         )
 
 
-def _judge(trial: Trial, jobs: dict[str, Job], name: str, end: Outcome | None) -> None:
+def _judge(
+    trial: Trial, jobs: dict[str, Job], name: str, end: CallResult | None
+) -> None:
     trial.calls += 1
     if end is None:
         trial.broken += 1
         return
-    if end.right:
+    if end.is_correct:
         trial.right += 1
         return
-    if end.sink.whole:
+    if end.sink.complete:
         trial.lies.append(f"{name}: a wrong answer given as whole")
         return
     if end.fault is None:
--- a/bench/engines.py
+++ b/bench/engines.py
@@ -67,7 +67,7 @@
         # stands for a router that refuses while no engine can answer
         if not (refuse and loading):
             outcome = await fleet.call(vm, "org", "s", "work", name, COST)
-            if outcome.right:
+            if outcome.is_correct:
                 return loop.time() - started
         _tries.append(name)
         await asyncio.sleep(backoff * random.uniform(0.5, 1.5))
--- a/bench/leaving.py
+++ b/bench/leaving.py
@@ -5,7 +5,7 @@
 from dataclasses import asdict
 
 import looptime
-from teaselledge_standins.virtual.leaving import run_leaving
+from teaselledge_standins.virtual.leaving import run_drain_scenario
 
 from bench.case import Bound, Case
 
@@ -23,7 +23,7 @@
         with asyncio.Runner(
             loop_factory=lambda: looptime.new_event_loop(noop_cycles=0)
         ) as runner:
-            verdict = runner.run(run_leaving(seed))
+            verdict = runner.run(run_drain_scenario(seed))
         for name, value in asdict(verdict).items():
             sums[name] = sums.get(name, 0) + value
     bounds = {
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -57,7 +57,7 @@
 async def _until_nobody_knows(fleet: MemberFleet, vm: str) -> float:
     loop = asyncio.get_running_loop()
     started = loop.time()
-    while fleet.knowing(vm):
+    while fleet.count_aware(vm):
         await asyncio.sleep(0.1)
     return loop.time() - started
 
@@ -65,7 +65,7 @@
 async def _until_no_new_work(fleet: MemberFleet, vm: str) -> float:
     loop = asyncio.get_running_loop()
     started = loop.time()
-    while fleet.staying(vm):
+    while fleet.count_not_leaving(vm):
         await asyncio.sleep(0.01)
     return loop.time() - started
 
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -97,7 +97,7 @@
                 )
             except ConnectionError:
                 return
-            self.answered += outcome.right
+            self.answered += outcome.is_correct
 
 
 async def measure(pace: str, store: float, span: float) -> Case:
--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -9,7 +9,7 @@
 from teaselledge.process.node import Node
 from teaselledge_standins.virtual.clock import virtual_loop
 from teaselledge_standins.virtual.naive import NaiveGate
-from teaselledge_standins.virtual.outcomes import Verdict, run_outcomes
+from teaselledge_standins.virtual.outcomes import OutcomeReport, run_outcomes
 
 from bench.case import Bound, Case
 
@@ -36,7 +36,7 @@
 PROMISES = ("lost", "twice", "false_no", "false_yes", "wrong", "stuck")
 
 
-def run_seed(seed: int, prepare: Callable[[Node], None] | None = None) -> Verdict:
+def run_seed(seed: int, prepare: Callable[[Node], None] | None = None) -> OutcomeReport:
     """Run one seed under a virtual clock of its own."""
     with asyncio.Runner(loop_factory=virtual_loop) as runner:
         if prepare is None:
@@ -46,13 +46,13 @@
 
 def run_seeds(
     seeds: int, prepare: Callable[[Node], None] | None = None
-) -> list[Verdict]:
+) -> list[OutcomeReport]:
     """Run seeds from 0 on, two at a time."""
     with ProcessPoolExecutor(WORKERS) as pool:
         return list(pool.map(partial(run_seed, prepare=prepare), range(seeds)))
 
 
-def summed(verdicts: list[Verdict]) -> dict[str, float]:
+def summed(verdicts: list[OutcomeReport]) -> dict[str, float]:
     """Return the sums of all counts."""
     return {name: sum(getattr(v, name) for v in verdicts) for name in COUNTS}
 
--- a/bench/speed.py
+++ b/bench/speed.py
@@ -174,12 +174,14 @@
     """Measure the memory of open streams by opening many."""
     caller = Caller(key_of("amber"))
     address = fleet.routers["r1"].caller_address
-    await caller.complete(address, "warm", 5, "amber")
+    await caller.request_completion(address, "warm", 5, "amber")
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     tasks = [
-        asyncio.create_task(caller.complete(address, f"s{i}", STREAM_TOKENS, "amber"))
+        asyncio.create_task(
+            caller.request_completion(address, f"s{i}", STREAM_TOKENS, "amber")
+        )
         for i in range(STREAMS)
     ]
     await asyncio.sleep(1.0)
--- a/packages/ctl/tests/test_teaselctl.py
+++ b/packages/ctl/tests/test_teaselctl.py
@@ -145,7 +145,7 @@
     caller = Caller(key_of("amber"))
     for i, vm in enumerate(("r1", "r2", "r3")):
         address = desk.fleet.routers[vm].caller_address
-        reply = await caller.complete(address, f"c{i}", 3, "amber")
+        reply = await caller.request_completion(address, f"c{i}", 3, "amber")
         assert reply.status == 200
     page = desk.folder / "burn.html"
     code, out, err = await desk.call("report", "burn", "--json", f"--html={page}")
--- a/packages/router/tests/test_coldstart.py
+++ b/packages/router/tests/test_coldstart.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from teaselledge.process.router import Router
-from teaselledge_standins.caller import Caller, is_whole_completion
+from teaselledge_standins.caller import Caller, is_complete_response
 from teaselledge_standins.fleet import key_of, running_fleet
 from tornado.httpclient import AsyncHTTPClient
 
@@ -42,13 +42,13 @@
 
 async def complete(router):
     caller = Caller(key_of("amber"))
-    return await caller.complete(router.caller_address, "x", 5, "amber")
+    return await caller.request_completion(router.caller_address, "x", 5, "amber")
 
 
 async def test_with_the_store_up(running):
     router = await start(running)
     assert router.ready
-    assert is_whole_completion(await complete(router), "x", 5)
+    assert is_complete_response(await complete(router), "x", 5)
 
 
 async def test_with_the_store_down_and_peers_in_the_list(running):
@@ -59,7 +59,7 @@
     router = await start(running)
     assert not router.ready
     await until_ready(router)
-    assert is_whole_completion(await complete(router), "x", 5)
+    assert is_complete_response(await complete(router), "x", 5)
 
 
 async def test_with_store_and_list_down_and_a_seed(running):
@@ -70,7 +70,7 @@
     running.vms.faults.down = True
     router = await start(running, (running.routers["r2"].peer_address,))
     await until_ready(router)
-    assert is_whole_completion(await complete(router), "x", 5)
+    assert is_complete_response(await complete(router), "x", 5)
     assert len(router.node.membership.live()) == 4
 
 
@@ -89,4 +89,4 @@
     running.tables.faults.down = False
     await until_ready(router)
     assert (await get(router, "/readyz")).code == 200
-    assert is_whole_completion(await complete(router), "x", 5)
+    assert is_complete_response(await complete(router), "x", 5)
--- a/packages/router/tests/test_dispatcher.py
+++ b/packages/router/tests/test_dispatcher.py
@@ -72,7 +72,7 @@
 
 
 def grants(mesh):
-    return {sent.body.request: sent.body for sent in mesh.take("grant")}
+    return {sent.body.request: sent.body for sent in mesh.pop_sent("grant")}
 
 
 async def pass_time(dispatcher, seconds):
@@ -114,7 +114,7 @@
     await pass_time(dispatcher, ACCEPT_SECONDS + 0.1)
     assert dispatcher.free_slots == 1
     dispatcher.handle_accept(INGRESS, Accept(granted.grant))
-    assert mesh.take("snapshot_reply")[-1].body.wanted
+    assert mesh.pop_sent("snapshot_reply")[-1].body.wanted
     running = Running(1, granted.grant, "amber", "e-0", 400.0, 0.0, "summary")
     dispatcher.handle_snapshot(INGRESS, Snapshot([], [running], None, None, True))
     assert (dispatcher.free_slots, dispatcher.running) == (0, 1)
@@ -172,13 +172,13 @@
     dispatcher, mesh = make(slots=1)
     digest = digest_of_requests([1, 2])
     dispatcher.handle_snapshot(INGRESS, Snapshot([], [], 2, digest.value, False))
-    assert mesh.take("snapshot_reply")[-1].body.wanted
+    assert mesh.pop_sent("snapshot_reply")[-1].body.wanted
     running = Running(1, 99, "amber", "e-0", 400.0, 0.0, "summary")
     full = Snapshot([register(2)], [running], None, None, True)
     dispatcher.handle_snapshot(INGRESS, full)
     assert grants(mesh) == {}
     dispatcher.handle_snapshot(INGRESS, Snapshot([], [], 2, digest.value, False))
-    assert not mesh.take("snapshot_reply")[-1].body.wanted
+    assert not mesh.pop_sent("snapshot_reply")[-1].body.wanted
     dispatcher.handle_done(INGRESS, Done(99, 450.0, False, 1.0, 1))
     (granted,) = grants(mesh).values()
     assert granted.request == 2
@@ -323,7 +323,7 @@
         dispatcher.handle_accept(INGRESS, Accept(grant.grant))
     dispatcher.usage.charge("birch", 1000)
     dispatcher.handle_register(INGRESS, register(3, "amber", "lookup"))
-    (asked,) = mesh.take("preempt")
+    (asked,) = mesh.pop_sent("preempt")
     assert asked.body.grant == granted[2].grant
     dispatcher.handle_done(INGRESS, Done(granted[2].grant, 100.0, False, 1.0, 2))
     assert list(grants(mesh)) == [3]
--- a/packages/router/tests/test_drain.py
+++ b/packages/router/tests/test_drain.py
@@ -68,7 +68,7 @@
     assert late.fault.kind is ErrorKind.LEAVING
     assert drain.phase is Phase.REFUSING
     outcomes = [await task for task in calls]
-    assert sum(outcome.right for outcome in outcomes) == 12 - len(refused)
+    assert sum(outcome.is_correct for outcome in outcomes) == 12 - len(refused)
     assert await ended is DrainExit.WHOLE
     # "not run" is true: nothing of what was refused reached the endpoint
     ran = {run.name for e in three.endpoints.values() for run in e.runs}
@@ -83,7 +83,7 @@
     drain.start()
     ended = asyncio.create_task(drain.wait())
     for _ in range(9):
-        assert (await call(three, "v1", "x", 0.1)).right
+        assert (await call(three, "v1", "x", 0.1)).is_correct
         await asyncio.sleep(0.9)
     await ended
 
@@ -135,7 +135,7 @@
     refusal that says "not run" would make the caller send it under a new key.
     """
     first = await call(three, "v2", "o", 0.1, "order", "k1")
-    assert first.right
+    assert first.is_correct
     drain = three.nodes["v1"].drain
     drain.start()
     ended = asyncio.create_task(drain.wait())
@@ -164,9 +164,9 @@
         drain = three.nodes[vm].drain
         drain.start()
     outcomes = [await task for task in (*before, *waiting)]
-    assert all(outcome.right for outcome in outcomes)
+    assert all(outcome.is_correct for outcome in outcomes)
     await three.kill("v1")
-    assert (await call(three, "v2", "after", 1.0)).right
+    assert (await call(three, "v2", "after", 1.0)).is_correct
 
 
 async def test_address_answers_spread_the_callers(three):
--- a/packages/router/tests/test_enginefeed.py
+++ b/packages/router/tests/test_enginefeed.py
@@ -25,7 +25,9 @@
 
 async def ask(fleet, prompt):
     address = fleet.routers["r1"].caller_address
-    reply = await Caller(key_of("amber")).complete(address, prompt, 1, "amber")
+    reply = await Caller(key_of("amber")).request_completion(
+        address, prompt, 1, "amber"
+    )
     assert reply.status == 200
 
 
@@ -48,7 +50,7 @@
 async def test_events_reach_the_dispatcher_late_and_with_gaps(engines):
     """Another router's requests fill the caches; only the events tell of them."""
     for engine in engines.engines.values():
-        engine.cache.lose_every = 3
+        engine.cache.drop_every_nth = 3
     for prompt in PROMPTS:
         await ask(engines, prompt)
     await asyncio.sleep(0.6)
--- a/packages/router/tests/test_engineorders.py
+++ b/packages/router/tests/test_engineorders.py
@@ -23,8 +23,8 @@
     LOST,
     REFUSED,
     WAIT,
+    CallChoice,
     ExplorationError,
-    Outcome,
     explore,
 )
 
@@ -74,7 +74,7 @@
     async def state(self, address):
         """Read the state."""
         act = lambda: Ok(EngineState(self.engine.target))  # noqa: E731
-        outcomes = [Outcome("read", act)]
+        outcomes = [CallChoice("read", act)]
         return await self.engine.world.call(self.actor, "state", outcomes)
 
     async def set_target(self, address, number, target):
@@ -86,11 +86,11 @@
             return Error(EngineOrderFailure.UNCERTAIN)
 
         outcomes = [
-            Outcome("taken", land),
-            Outcome(
+            CallChoice("taken", land),
+            CallChoice(
                 "no connection", lambda: Error(EngineOrderFailure.REFUSED), REFUSED
             ),
-            Outcome("answer lost", lose, "engine"),
+            CallChoice("answer lost", lose, "engine"),
         ]
         label = f"order {number} {target.models}"
         return await self.engine.world.call(self.actor, label, outcomes)
@@ -149,7 +149,9 @@
 
 def explored(name, checks, budget, orders_class=EngineReconciler):
     found = explore(holders(checks, orders_class), check, budget)
-    print(f"{name}: {found.states} states, {found.runs} runs, {found.ends} ends")
+    print(
+        f"{name}: {found.states} states, {found.runs} runs, {found.completed_runs} ends"
+    )
     return found
 
 
--- a/packages/router/tests/test_exchange.py
+++ b/packages/router/tests/test_exchange.py
@@ -165,19 +165,19 @@
 async def test_report_is_due_by_quantum_and_by_interval():
     exchange, _, mesh = make()
     loop = asyncio.get_running_loop()
-    mesh.take("report")
+    mesh.pop_sent("report")
     exchange.charge("amber", exchange.quantum + 1)
-    sent = mesh.take("report")
+    sent = mesh.pop_sent("report")
     assert [s.vm for s in sent] == ["vm-b"]
     assert [(a.organisation, a.served) for a in sent[0].body.accounts] == [
         ("amber", exchange.quantum + 1)
     ]
     await asyncio.sleep(0.5)
-    mesh.take("report")
+    mesh.pop_sent("report")
     exchange.charge("amber", 1.0)
-    assert mesh.take("report") == []
+    assert mesh.pop_sent("report") == []
     exchange.tick(loop.time())
-    near = [s for s in mesh.take("report") if s.body.region is None]
+    near = [s for s in mesh.pop_sent("report") if s.body.region is None]
     assert [s.vm for s in near] == ["vm-b"]
 
 
@@ -196,7 +196,7 @@
         for name in names[::10]:
             exchange.charge(name, 50.0)
         exchange.tick(loop.time())
-        near = [s for s in mesh.take("report") if s.body.region is None]
+        near = [s for s in mesh.pop_sent("report") if s.body.region is None]
         sent += sum(len(encode([make_message("report", s.body)], 1)) for s in near)
     limit = get_preset_by_name("fairness").report_bytes
     assert limit / 3 < sent / 10.0 < 1.1 * limit
@@ -227,7 +227,7 @@
         )
         await asyncio.sleep(1.0)
         exchange.tick(asyncio.get_running_loop().time())
-        far = [s for s in mesh.take("report") if s.vm == "vm-c"]
+        far = [s for s in mesh.pop_sent("report") if s.vm == "vm-c"]
         for sent in far:
             assert sent.body.region == "near"
             assert [a.served for a in sent.body.accounts] == [100.0]
@@ -236,7 +236,7 @@
         body = report(1, {"amber": 5.0}, zone="c", incarnation=301)
         body.region = "far"
         exchange.handle_report(Origin("vm-c", 9), body)
-        relayed = [s for s in mesh.take("report") if s.body.region == "far"]
+        relayed = [s for s in mesh.pop_sent("report") if s.body.region == "far"]
         assert bool(relayed) == bool(far)
     assert len(speakers) == 1
 
--- a/packages/router/tests/test_fair_failures.py
+++ b/packages/router/tests/test_fair_failures.py
@@ -58,7 +58,7 @@
             except ConnectionError:
                 await asyncio.sleep(0.2)
                 continue
-            good = outcome.right
+            good = outcome.is_correct
             self.outcomes["right" if good else str(outcome.fault)] += 1
             if not good:
                 await asyncio.sleep(0.2)
--- a/packages/router/tests/test_follow.py
+++ b/packages/router/tests/test_follow.py
@@ -185,7 +185,7 @@
     outcome = await fleet.call(
         "vm-1", "org-01", "sommelier-models", "summary", "after", 50
     )
-    assert outcome.right
+    assert outcome.is_correct
     fleet.publish(3)
     await until(fleet, 3)
     assert {node.config_watcher.state.unreadable for node in fleet.nodes.values()} == {
@@ -287,6 +287,6 @@
     await until(fleet, 2)
     assert not any(call.done() for call in calls)
     outcomes = await asyncio.gather(*calls)
-    assert all(outcome.right for outcome in outcomes)
+    assert all(outcome.is_correct for outcome in outcomes)
     for node in fleet.nodes.values():
         assert "org-05" not in node.version.document.organisations
--- a/packages/router/tests/test_forward.py
+++ b/packages/router/tests/test_forward.py
@@ -42,7 +42,7 @@
         faults.break_after = position
         faults.break_times = times
         outcome = await ask(fleet, cost=0.0)
-        assert outcome.right, (position, times, outcome.sink.body)
+        assert outcome.is_correct, (position, times, outcome.sink.body)
         assert faults.break_times == 0
         # the retry budget fills up again
         await asyncio.sleep(2 * times)
@@ -56,7 +56,7 @@
         endpoint.resumes = False
     set_faults(fleet, break_after=10)
     outcome = await ask(fleet)
-    assert outcome.sink.aborted and not outcome.sink.whole
+    assert outcome.sink.aborted and not outcome.sink.complete
     assert answer_text(NAME, 0, 8).startswith(outcome.sink.body[:5])
     assert len(outcome.sink.body) == 10
 
@@ -67,7 +67,7 @@
     """
     set_faults(fleet, break_after=5, break_times=1)
     outcome = await ask(fleet, "ledger", "read", cost=0.1)
-    assert outcome.sink.aborted and not outcome.sink.whole
+    assert outcome.sink.aborted and not outcome.sink.complete
 
 
 async def test_lookup_goes_elsewhere_before_its_first_byte(fleet):
@@ -76,7 +76,7 @@
     """
     fleet.endpoints["ledger-0"].faults.break_after = 0
     outcome = await ask(fleet, "ledger", "read", cost=0.1)
-    assert outcome.right
+    assert outcome.is_correct
     assert runs_by_name(fleet)[NAME] <= 2
 
 
@@ -137,7 +137,7 @@
     await asyncio.sleep(0.1)
     assert sum(runs_by_name(fleet).values()) == 1
     outcome = await call
-    assert outcome.right
+    assert outcome.is_correct
     assert sum(runs_by_name(fleet).values()) == 2
 
 
--- a/packages/router/tests/test_ingress.py
+++ b/packages/router/tests/test_ingress.py
@@ -68,7 +68,7 @@
 
     def requests(self):
         """Return the numbers of the requests that were registered since."""
-        return [s.body.request for s in self.mesh.take("registration")]
+        return [s.body.request for s in self.mesh.pop_sent("registration")]
 
 
 async def test_second_grant_is_declined():
@@ -83,8 +83,8 @@
     bench.grant(number, 7, Origin("vm-3", 33), zone="there")
     granted = (await task).ok
     assert (granted.grant, granted.dispatcher) == (1, OTHER)
-    assert [s.body.grant for s in bench.mesh.take("accept")] == [1]
-    declined = bench.mesh.take("decline")
+    assert [s.body.grant for s in bench.mesh.pop_sent("accept")] == [1]
+    declined = bench.mesh.pop_sent("decline")
     assert [(s.vm, s.body.grant) for s in declined] == [("vm-3", 7)]
 
 
@@ -95,7 +95,7 @@
     (number,) = bench.requests()
     bench.grant(number, 7, Origin("vm-3", 33), zone="there")
     await task
-    withdrawn = bench.mesh.take("withdraw")
+    withdrawn = bench.mesh.pop_sent("withdraw")
     assert [(s.vm, s.body.request) for s in withdrawn] == [("vm-2", number)]
 
 
@@ -109,7 +109,7 @@
     await asyncio.sleep(0)
     (number,) = bench.requests()
     bench.grant(number, incarnation=10)
-    assert len(bench.mesh.take("decline")) == 1
+    assert len(bench.mesh.pop_sent("decline")) == 1
     assert (await task).error.kind is ErrorKind.QUEUE_TIMEOUT
 
 
@@ -120,9 +120,9 @@
     (number,) = bench.requests()
     fault = (await task).error
     assert (fault.kind, fault.ran) == (ErrorKind.QUEUE_TIMEOUT, Ran.NO)
-    assert [s.body.request for s in bench.mesh.take("withdraw")] == [number]
+    assert [s.body.request for s in bench.mesh.pop_sent("withdraw")] == [number]
     bench.grant(number)
-    assert len(bench.mesh.take("decline")) == 1
+    assert len(bench.mesh.pop_sent("decline")) == 1
     assert (bench.ingress.waiting, bench.ingress.running) == (0, 0)
 
 
@@ -138,7 +138,7 @@
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assert bench.ingress.running == 0
-    assert len(bench.mesh.take("decline")) == 1
+    assert len(bench.mesh.pop_sent("decline")) == 1
 
 
 async def test_flood_of_one_organisation_is_refused_at_once():
@@ -193,14 +193,14 @@
     granted = (await tasks[0]).ok
     bench.members = [Member("vm-4", "here", "region", incarnation=44)]
     await asyncio.sleep(0.25)
-    (moved,) = [s for s in bench.mesh.take("snapshot") if s.body.full]
+    (moved,) = [s for s in bench.mesh.pop_sent("snapshot") if s.body.full]
     assert moved.vm == "vm-4"
     assert [w.request for w in moved.body.waiting] == [second]
     assert [r.request for r in moved.body.running] == [first]
-    (done,) = bench.mesh.take("done")
+    (done,) = bench.mesh.pop_sent("done")
     assert (done.vm, done.body.moved) == ("vm-2", True)
     bench.ingress.release(granted, 12.0, False)
-    (done,) = bench.mesh.take("done")
+    (done,) = bench.mesh.pop_sent("done")
     assert (done.vm, done.body.cost, done.body.moved) == ("vm-4", 12.0, None)
     runner.cancel()
     tasks[1].cancel()
@@ -218,15 +218,15 @@
     runner = asyncio.create_task(bench.ingress.run())
     task = bench.ask()
     await asyncio.sleep(REPLY_TIMEOUT_SECONDS + 1.5)
-    full = [s for s in bench.mesh.take("snapshot") if s.body.full]
+    full = [s for s in bench.mesh.pop_sent("snapshot") if s.body.full]
     assert [s.vm for s in full] == [({"vm-2", "vm-4"} - {deaf}).pop()]
     # the deaf one is probed, and used again when it answers
     await asyncio.sleep(1.1)
-    assert deaf in {s.vm for s in bench.mesh.take("snapshot")}
+    assert deaf in {s.vm for s in bench.mesh.pop_sent("snapshot")}
     reply = make_message("snapshot_reply", SnapshotReply(False), "service", "here")
     bench.mesh.deliver(Origin(deaf, 1), reply)
     await asyncio.sleep(0.25)
-    full = [s for s in bench.mesh.take("snapshot") if s.body.full]
+    full = [s for s in bench.mesh.pop_sent("snapshot") if s.body.full]
     assert [s.vm for s in full] == [deaf]
     runner.cancel()
     task.cancel()
@@ -240,7 +240,7 @@
     bench.grant(first)
     await tasks[0]
     bench.ingress.send_digests()
-    (sent,) = bench.mesh.take("snapshot")
+    (sent,) = bench.mesh.pop_sent("snapshot")
     digest = digest_of_requests([first, second])
     assert (sent.body.count, sent.body.digest) == (2, digest.value)
     assert (sent.body.waiting, sent.body.running) == ([], [])
@@ -255,7 +255,13 @@
     granted = (await task).ok
     for cost in range(0, 200, 5):
         bench.ingress.report_cost(granted, float(cost))
-    assert [s.body.cost for s in bench.mesh.take("progress")] == [20, 35, 55, 85, 130]
+    assert [s.body.cost for s in bench.mesh.pop_sent("progress")] == [
+        20,
+        35,
+        55,
+        85,
+        130,
+    ]
 
 
 async def test_preemption_reaches_the_stream():
--- a/packages/router/tests/test_leaving.py
+++ b/packages/router/tests/test_leaving.py
@@ -28,7 +28,7 @@
     async with running_virtual_fleet(PLAN) as fleet:
         fleet.endpoints["s-0"].faults.refuse = True
         for i in range(4):
-            assert (await fleet.call("v1", "org", "s", "work", f"x{i}", 0.1)).right
+            assert (await fleet.call("v1", "org", "s", "work", f"x{i}", 0.1)).is_correct
         await asyncio.sleep(1.0)
         blocked = [n.membership.blocked_endpoints() for n in fleet.nodes.values()]
         assert blocked == [{("s", "s-0"): EndpointStatus.REFUSED}] * 2
@@ -55,7 +55,7 @@
         assert not waiting.done()
         tell(EndpointStatus.BACK)
         outcome = await waiting
-        assert outcome.right and 12.0 <= outcome.seconds < 15.0
+        assert outcome.is_correct and 12.0 <= outcome.seconds < 15.0
         for _ in range(40):
             tell(EndpointStatus.LOADING)
             await asyncio.sleep(2.0)
@@ -79,7 +79,7 @@
         told = loop.time()
         for i in range(40):
             vm = f"v{1 + i % 2}"
-            assert (await fleet.call(vm, "org", "s", "work", f"x{i}", 0.2)).right
+            assert (await fleet.call(vm, "org", "s", "work", f"x{i}", 0.2)).is_correct
         started = [run.started for run in fleet.endpoints["s-0"].runs]
         assert all(start < told + 3.0 for start in started)
         assert len(fleet.endpoints["s-1"].runs) + len(started) == 40
--- a/packages/router/tests/test_limits.py
+++ b/packages/router/tests/test_limits.py
@@ -5,7 +5,7 @@
 from contextlib import asynccontextmanager
 
 from teaselledge.process.settings import Limits
-from teaselledge_standins.caller import Caller, is_whole_completion
+from teaselledge_standins.caller import Caller, is_complete_response
 from teaselledge_standins.fleet import FleetPlan, key_of, running_fleet
 from teaselledge_standins.rawcaller import raw_caller
 
@@ -151,7 +151,7 @@
     full of other bodies, and must not be told that the order has not run.
     """
     caller = Caller(key_of("amber"))
-    assert (await caller.order(address_of(small), "twice", "amber")).status == 200
+    assert (await caller.place_order(address_of(small), "twice", "amber")).status == 200
     async with raw_caller(address_of(small)) as other:
         await other.send(
             f"POST {ORDERS} HTTP/1.1",
@@ -214,7 +214,9 @@
             assert problem_of(answer)["kind"] == "router-full"
             third.close()
         await until(lambda: small.routers["r1"]._server.connections == 2)
-        reply = await Caller(key_of("amber")).order(address_of(small), "o", "amber")
+        reply = await Caller(key_of("amber")).place_order(
+            address_of(small), "o", "amber"
+        )
         assert reply.status == 200
 
 
@@ -245,7 +247,9 @@
     caller = Caller(key_of("amber"))
     slots = single.plan.slots
     busy = [
-        asyncio.create_task(caller.complete(address_of(single), f"b{i}", 60, "amber"))
+        asyncio.create_task(
+            caller.request_completion(address_of(single), f"b{i}", 60, "amber")
+        )
         for i in range(slots)
     ]
     node = single.routers["r1"].node
@@ -283,10 +287,10 @@
     async with raw_caller(address_of(single)) as slow:
         await slow.post(COMPLETIONS, key_of("amber"), body)
         await slow.read_until(b"data:")
-        reply = await Caller(key_of("birch")).complete(
+        reply = await Caller(key_of("birch")).request_completion(
             address_of(single), "quick", 5, "birch"
         )
-    assert is_whole_completion(reply, "quick", 5)
+    assert is_complete_response(reply, "quick", 5)
 
 
 async def test_endpoint_that_sends_garbage(single):
@@ -296,10 +300,10 @@
     for plain in single.plains.values():
         plain.faults.garbage = 1
     caller = Caller(key_of("amber"))
-    reply = await caller.order(address_of(single), "g", "amber")
+    reply = await caller.place_order(address_of(single), "g", "amber")
     assert reply.status in (502, 504), reply
     assert reply.ran in ("unknown", "yes")
-    reply = await caller.order(address_of(single), "h", "amber")
+    reply = await caller.place_order(address_of(single), "h", "amber")
     assert reply.status == 200
 
 
@@ -310,6 +314,6 @@
     for engine in single.engines.values():
         engine.faults.break_after = 300
     caller = Caller(key_of("amber"))
-    reply = await caller.complete(address_of(single), "cut", 50, "amber")
-    assert not is_whole_completion(reply, "cut", 50)
+    reply = await caller.request_completion(address_of(single), "cut", 50, "amber")
+    assert not is_complete_response(reply, "cut", 50)
     assert reply.status != 200
--- a/packages/router/tests/test_main.py
+++ b/packages/router/tests/test_main.py
@@ -10,7 +10,7 @@
 
 from teaselledge.process.drain import DrainExit
 from teaselledge.process.main import EXIT_BAD_SETTINGS
-from teaselledge_standins.caller import Caller, is_whole_completion
+from teaselledge_standins.caller import Caller, is_complete_response
 from teaselledge_standins.fleet import key_of, running_fleet
 
 SETTINGS = """\
@@ -64,13 +64,15 @@
     """The platform takes a VM away while it relays a stream."""
     async with running_process(20) as (process, address):
         caller = Caller(key_of("amber"))
-        stream = asyncio.create_task(caller.complete(address, "s", 150, "amber"))
+        stream = asyncio.create_task(
+            caller.request_completion(address, "s", 150, "amber")
+        )
         await asyncio.sleep(0.3)
         process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.1)
         assert process.returncode is None
         reply = await stream
-        assert is_whole_completion(reply, "s", 150), reply
+        assert is_complete_response(reply, "s", 150), reply
         async with asyncio.timeout(10):
             await process.stderr.read()
             assert await process.wait() == DrainExit.WHOLE
@@ -79,7 +81,9 @@
 async def test_second_signal_and_its_exit_code():
     async with running_process(20) as (process, address):
         caller = Caller(key_of("amber"))
-        stream = asyncio.create_task(caller.complete(address, "s", 5000, "amber"))
+        stream = asyncio.create_task(
+            caller.request_completion(address, "s", 5000, "amber")
+        )
         await asyncio.sleep(0.3)
         process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.3)
@@ -89,7 +93,7 @@
             assert await process.wait() == DrainExit.SECOND_SIGNAL
         reply = await asyncio.gather(stream, return_exceptions=True)
         # what was cut is visibly broken
-        assert isinstance(reply[0], Exception) or not is_whole_completion(
+        assert isinstance(reply[0], Exception) or not is_complete_response(
             reply[0], "s", 5000
         )
 
--- a/packages/router/tests/test_membership.py
+++ b/packages/router/tests/test_membership.py
@@ -35,7 +35,7 @@
 
 async def test_own_word_of_leaving_reaches_everyone(many):
     many.members["vm-007"].announce_leaving()
-    await until(lambda: many.staying("vm-007") == 0, NO_NEW_WORK_SECONDS)
+    await until(lambda: many.count_not_leaving("vm-007") == 0, NO_NEW_WORK_SECONDS)
 
 
 async def test_list_says_leaving_and_one_reader_tells_all(many):
@@ -44,7 +44,7 @@
     """
     many.vms.mark_leaving("vm-007")
     await asyncio.sleep(2.0)  # the list's own lag
-    await until(lambda: many.staying("vm-007") == 0, NO_NEW_WORK_SECONDS)
+    await until(lambda: many.count_not_leaving("vm-007") == 0, NO_NEW_WORK_SECONDS)
     # the router itself has learnt that it leaves
     assert many.members["vm-007"].own.leaving
 
@@ -77,7 +77,7 @@
     is noticed, callers are sent to it.
     """
     many.kill("vm-007")
-    await until(lambda: many.knowing("vm-007") == 0, 9.0)
+    await until(lambda: many.count_aware("vm-007") == 0, 9.0)
 
 
 async def test_whole_zone_is_lost(many):
@@ -87,7 +87,7 @@
     lost = [vm for vm, m in many.members.items() if m.own.zone == "z1"]
     for vm in lost:
         many.kill(vm)
-    await until(lambda: all(many.knowing(vm) == 0 for vm in lost), 30.0)
+    await until(lambda: all(many.count_aware(vm) == 0 for vm in lost), 30.0)
 
 
 async def test_restart_empty_under_the_old_name(eight):
@@ -98,9 +98,9 @@
     await asyncio.sleep(1.0)
     eight.kill("vm-003")
     eight.start("vm-003", "z0")
-    await until(lambda: eight.staying("vm-003") == 7, 4.0)
+    await until(lambda: eight.count_not_leaving("vm-003") == 7, 4.0)
     await asyncio.sleep(20.0)
-    assert eight.staying("vm-003") == 7
+    assert eight.count_not_leaving("vm-003") == 7
     assert len(eight.members["vm-003"].live()) == 8
 
 
@@ -134,7 +134,7 @@
     await asyncio.sleep(60.0)
     assert len(eight.members["vm-005"].live()) == 5
     eight.network.heal()
-    await eight.until_agreed(20.0)
+    await eight.wait_until_converged(20.0)
 
 
 async def test_one_way_loss_keeps_a_router_live_but_not_usable(eight):
@@ -170,7 +170,7 @@
         assert all(
             len(m.live()) >= 7 for vm, m in eight.members.items() if vm != "vm-004"
         )
-    await eight.until_agreed(10.0)
+    await eight.wait_until_converged(10.0)
 
 
 async def test_lost_frames_bury_nobody(eight):
--- a/packages/router/tests/test_order.py
+++ b/packages/router/tests/test_order.py
@@ -39,7 +39,7 @@
     """
     first = await place(fleet, "vm-0")
     again = await place(fleet, "vm-2")
-    assert first.right and again.right
+    assert first.is_correct and again.is_correct
     assert runs_by_name(fleet) == {"o": 1}
 
 
@@ -86,7 +86,7 @@
     outcomes = await asyncio.gather(
         *(place(fleet, vm, cost=1.0) for vm in ("vm-0", "vm-1", "vm-2"))
     )
-    assert all(outcome.right for outcome in outcomes)
+    assert all(outcome.is_correct for outcome in outcomes)
     assert runs_by_name(fleet) == {"o": 1}
 
 
@@ -101,7 +101,7 @@
     """
     fleet.tables.faults.lose_answers = 2
     outcome = await place(fleet, "vm-0")
-    assert outcome.right
+    assert outcome.is_correct
     await asyncio.sleep(1)
     assert state_of(fleet) is OrderState.FINISHED
     assert runs_by_name(fleet) == {"o": 1}
@@ -119,7 +119,7 @@
     await asyncio.sleep(10)
     assert state_of(fleet) is OrderState.RELEASED
     again = await place(fleet, "vm-1")
-    assert again.right
+    assert again.is_correct
     assert runs_by_name(fleet) == {"o": 1}
 
 
@@ -128,11 +128,11 @@
     fleet.tables.faults.down = True
     call = asyncio.ensure_future(place(fleet, "vm-0"))
     lookup = await fleet.call("vm-0", "amber", "ledger", "read", "r", 0.1)
-    assert lookup.right and lookup.seconds < 1
+    assert lookup.is_correct and lookup.seconds < 1
     await asyncio.sleep(10)
     assert runs_by_name(fleet)["o"] == 0
     fleet.tables.faults.down = False
-    assert (await call).right
+    assert (await call).is_correct
 
 
 async def test_no_slot_waits_for_a_store_that_is_down(fleet):
@@ -163,7 +163,7 @@
     assert ORDER_SECONDS - 2 < outcome.seconds <= ORDER_SECONDS
     fleet.tables.faults.down = False
     await asyncio.sleep(5)
-    assert (await place(fleet, "vm-1")).right
+    assert (await place(fleet, "vm-1")).is_correct
     assert runs_by_name(fleet) == {"o": 1}
 
 
@@ -180,7 +180,7 @@
     assert again.fault.ran is Ran.UNKNOWN
     fleet.tables.faults.down = False
     await asyncio.sleep(5)
-    assert (await place(fleet, "vm-2", cost=1.0)).right
+    assert (await place(fleet, "vm-2", cost=1.0)).is_correct
     assert runs_by_name(fleet) == {"o": 1}
 
 
@@ -201,7 +201,7 @@
     late = await call
     assert late.fault.ran is Ran.UNKNOWN
     await asyncio.sleep(5)
-    assert (await place(fleet, "vm-2")).right
+    assert (await place(fleet, "vm-2")).is_correct
     assert runs_by_name(fleet) == {"o": 1}
 
 
@@ -223,7 +223,7 @@
     fleet.tables.faults.delay = 1.0
     await killed_after(fleet, 0.5)
     fleet.tables.faults.delay = 0.0
-    assert (await place(fleet, "vm-1", cost=1.0)).right
+    assert (await place(fleet, "vm-1", cost=1.0)).is_correct
     assert runs_by_name(fleet) == {"o": 1}
 
 
@@ -263,7 +263,7 @@
     await asyncio.sleep(1)
     call.cancel()
     again = await place(fleet, "vm-1", cost=2.0)
-    assert again.right and again.seconds > 0.5
+    assert again.is_correct and again.seconds > 0.5
     assert runs_by_name(fleet) == {"o": 1}
 
 
@@ -277,7 +277,7 @@
     assert abs(outcome.seconds - ORDER_SECONDS) < 0.1
     await asyncio.sleep(ORDER_SECONDS * 9 + 1)
     again = await place(fleet, "vm-1", cost=ORDER_SECONDS * 10)
-    assert again.right
+    assert again.is_correct
     assert runs_by_name(fleet) == {"o": 1}
 
 
@@ -293,7 +293,7 @@
     for endpoint in fleet.endpoints.values():
         endpoint.faults.refuse = False
     await asyncio.sleep(5)
-    assert (await place(fleet, "vm-1")).right
+    assert (await place(fleet, "vm-1")).is_correct
 
 
 async def test_operator_settles_an_unknown_order(fleet):
@@ -314,7 +314,7 @@
     assert (await settle()).ok.ran is Ran.NO
     assert (await settle()).error is SettleError.NOT_OPEN
     await asyncio.sleep(2)
-    assert (await place(fleet, "vm-1", cost=1.0)).right
+    assert (await place(fleet, "vm-1", cost=1.0)).is_correct
 
 
 async def test_unknown_orders_are_listed(fleet):
@@ -344,7 +344,7 @@
     assert ran.error.ran is Ran.YES
     sink = MemorySink()
     told = await node.orders.refuse(request, Fault(ErrorKind.LEAVING), sink)
-    assert told.is_ok() and sink.whole
+    assert told.is_ok() and sink.complete
     other = fleet._make(node, "amber", "ledger", "order", "p", 0.1, "p", 0)
     new = await node.orders.refuse(other, Fault(ErrorKind.LEAVING))
     assert new.error.ran is Ran.NO
--- a/packages/router/tests/test_order_explored.py
+++ b/packages/router/tests/test_order_explored.py
@@ -24,7 +24,9 @@
 def explored(name, budget, journal_class=Journal, full=()):
     setup = order_attempts(TWO, journal_class, full)
     found = explore(setup, check_order, budget)
-    print(f"{name}: {found.states} states, {found.runs} runs, {found.ends} ends")
+    print(
+        f"{name}: {found.states} states, {found.runs} runs, {found.completed_runs} ends"
+    )
     return found
 
 
--- a/packages/router/tests/test_processes.py
+++ b/packages/router/tests/test_processes.py
@@ -7,7 +7,7 @@
 import sys
 from contextlib import asynccontextmanager
 
-from teaselledge_standins.caller import Caller, is_whole_completion
+from teaselledge_standins.caller import Caller, is_complete_response
 from teaselledge_standins.processes import ADMIN_KEY, FIRST_KEY, running_processes
 
 POLLS = 10
@@ -46,8 +46,10 @@
 
 async def complete(fleet, router, name, tokens=10):
     caller = Caller("key-of-amber")
-    reply = await caller.complete(fleet.callers[router], name, tokens, "amber")
-    return reply, is_whole_completion(reply, name, tokens)
+    reply = await caller.request_completion(
+        fleet.callers[router], name, tokens, "amber"
+    )
+    return reply, is_complete_response(reply, name, tokens)
 
 
 async def test_from_an_empty_fleet_to_a_changed_share(processes):
@@ -103,12 +105,14 @@
     under the same key and must not have it run a second time.
     """
     caller = Caller("key-of-amber")
-    first = asyncio.create_task(caller.order(processes.callers["r1"], "k1", "amber"))
+    first = asyncio.create_task(
+        caller.place_order(processes.callers["r1"], "k1", "amber")
+    )
     await asyncio.sleep(0.005)
     processes.signal("r1", signal.SIGKILL)
     await first
-    replies = [await caller.order(processes.callers["r2"], "k1", "amber")]
-    replies.append(await caller.order(processes.callers["r2"], "k1", "amber"))
+    replies = [await caller.place_order(processes.callers["r2"], "k1", "amber")]
+    replies.append(await caller.place_order(processes.callers["r2"], "k1", "amber"))
     counted = await caller.call(processes.plain, "GET", "/runs")
     assert counted.body.decode().split().count("k1") <= 1, replies
     if replies[-1].status == 200:
--- a/packages/router/tests/test_publish_explored.py
+++ b/packages/router/tests/test_publish_explored.py
@@ -134,7 +134,9 @@
     found = explore(
         operators(targets, publisher_class), check_versions(targets), budget
     )
-    print(f"{name}: {found.states} states, {found.runs} runs, {found.ends} ends")
+    print(
+        f"{name}: {found.states} states, {found.runs} runs, {found.completed_runs} ends"
+    )
     return found
 
 
--- a/packages/standins/src/teaselledge_standins/caller.py
+++ b/packages/standins/src/teaselledge_standins/caller.py
@@ -9,11 +9,11 @@
 
 from teaselledge_standins.engine import token_text
 
-__all__ = ["Caller", "Reply"]
+__all__ = ["Caller", "ClientResponse"]
 
 
 @dataclass(frozen=True)
-class Reply:
+class ClientResponse:
     """What a caller got.
 
     Attributes
@@ -63,7 +63,7 @@
         path: str,
         body: bytes | None = None,
         idempotency_key: str = "",
-    ) -> Reply:
+    ) -> ClientResponse:
         """Send one request."""
         headers = {"Authorization": f"Bearer {self._key}"}
         if idempotency_key:
@@ -89,9 +89,9 @@
         try:
             response = await self._client.fetch(request, raise_error=False)
         except (OSError, HTTPError) as error:
-            return Reply(599, repr(error).encode(), {})
+            return ClientResponse(599, repr(error).encode(), {})
         seconds = time.perf_counter() - started
-        return Reply(
+        return ClientResponse(
             response.code,
             b"".join(parts),
             dict(response.headers),
@@ -99,20 +99,22 @@
             seconds,
         )
 
-    async def complete(self, address: str, name: str, tokens: int, user: str) -> Reply:
+    async def request_completion(
+        self, address: str, name: str, tokens: int, user: str
+    ) -> ClientResponse:
         """Ask a model engine for a completion."""
         body = json.dumps({"prompt": name, "max_tokens": tokens, "user": user})
         path = "/v1/services/models/v1/completions"
         return await self.call(address, "POST", path, body.encode())
 
-    async def order(self, address: str, name: str, user: str) -> Reply:
+    async def place_order(self, address: str, name: str, user: str) -> ClientResponse:
         """Place an order under its name as key."""
         body = json.dumps({"name": name, "organisation": user}).encode()
         path = "/v1/services/ledger/orders"
         return await self.call(address, "POST", path, body, name)
 
 
-def is_whole_completion(reply: Reply, name: str, tokens: int) -> bool:
+def is_complete_response(reply: ClientResponse, name: str, tokens: int) -> bool:
     """Return whether an answer is the whole answer to its own request."""
     events = [line for line in reply.body.decode().split("\n\n") if line]
     if events[-1:] != ["data: [DONE]"]:
--- a/packages/standins/src/teaselledge_standins/demo.py
+++ b/packages/standins/src/teaselledge_standins/demo.py
@@ -26,7 +26,7 @@
     engine_zones=("north-a", "north-b", "south-a"),
     plain_zones=("north-a", "south-a"),
     slots=2,
-    metered=True,
+    count_peer_bytes=True,
 )
 LEAVING = "r2"
 WARM_UP_SECONDS = 2.0
--- a/packages/standins/src/teaselledge_standins/demoload.py
+++ b/packages/standins/src/teaselledge_standins/demoload.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from teaselledge_standins.caller import Caller, Reply, is_whole_completion
+from teaselledge_standins.caller import Caller, ClientResponse, is_complete_response
 from teaselledge_standins.fleet import Fleet, key_of
 
 __all__ = ["DemoLoad", "Organisation", "Seen"]
@@ -115,9 +115,11 @@
         while not self._stopping:
             name = f"{organisation.name}-{next(self._names)}"
             self.seen.outstanding[organisation.name] += 1
-            reply = await caller.complete(address, name, TOKENS, organisation.name)
+            reply = await caller.request_completion(
+                address, name, TOKENS, organisation.name
+            )
             self.seen.outstanding[organisation.name] -= 1
-            whole = reply.status == OK and is_whole_completion(reply, name, TOKENS)
+            whole = reply.status == OK and is_complete_response(reply, name, TOKENS)
             self._note("completion", reply, whole)
             if reply.status != OK:
                 address = await self._address(organisation)
@@ -148,7 +150,7 @@
         """Ask again under the same key until the order is confirmed."""
         for _ in range(ORDER_TRIES):
             address = await self._address(organisation)
-            reply = await caller.order(address, name, organisation.name)
+            reply = await caller.place_order(address, name, organisation.name)
             whole = reply.status == OK and json.loads(reply.body)["name"] == name
             self._note("order", reply, whole)
             if whole:
@@ -156,7 +158,7 @@
                 return
             await asyncio.sleep(RETRY_SECONDS)
 
-    def _note(self, kind: str, reply: Reply, whole: bool) -> None:
+    def _note(self, kind: str, reply: ClientResponse, whole: bool) -> None:
         seen = self.seen
         seen.requests += 1
         if whole:
--- a/packages/standins/src/teaselledge_standins/endpoint.py
+++ b/packages/standins/src/teaselledge_standins/endpoint.py
@@ -10,11 +10,11 @@
 
 from teaselledge_standins.faults import EndpointFaults
 
-__all__ = ["BaseEndpoint", "BaseEndpointHandler", "Run"]
+__all__ = ["BaseEndpoint", "BaseEndpointHandler", "ExecutedRequest"]
 
 
 @dataclass(frozen=True)
-class Run:
+class ExecutedRequest:
     """One request that an endpoint carried out.
 
     Attributes
@@ -54,7 +54,7 @@
 
     def __init__(self) -> None:
         self.faults = EndpointFaults()
-        self.runs: list[Run] = []
+        self.runs: list[ExecutedRequest] = []
         self.running = 0
         self.address = ""
         self._server: HTTPServer | None = None
--- a/packages/standins/src/teaselledge_standins/engine.py
+++ b/packages/standins/src/teaselledge_standins/engine.py
@@ -11,7 +11,11 @@
 from teaselledge.request.resume import RESUME_HEADER
 from tornado.iostream import StreamClosedError
 
-from teaselledge_standins.endpoint import BaseEndpoint, BaseEndpointHandler, Run
+from teaselledge_standins.endpoint import (
+    BaseEndpoint,
+    BaseEndpointHandler,
+    ExecutedRequest,
+)
 from teaselledge_standins.engineadmin import AdminState, admin_handlers
 from teaselledge_standins.prefixcache import FeedHandler, PrefixCache
 
@@ -52,7 +56,9 @@
             ended = asyncio.get_running_loop().time()
             request_id = self.request.headers.get("X-Request-Id", "")
             endpoint.runs.append(
-                Run(request_id, body["prompt"], self.organisation, started, ended, sent)
+                ExecutedRequest(
+                    request_id, body["prompt"], self.organisation, started, ended, sent
+                )
             )
 
     async def _stream(self, name: str, count: int) -> int:
@@ -60,7 +66,7 @@
         skip = int(self.request.headers.get(RESUME_HEADER, "0"))
         if skip:
             self.set_header(RESUME_HEADER, str(skip))
-        stop = self.endpoint.faults.take_break()
+        stop = self.endpoint.faults.next_break_offset()
         sent = written = 0
         for event in [*_events(name, count), END_EVENT]:
             if len(event) <= skip:
--- a/packages/standins/src/teaselledge_standins/engineadmin.py
+++ b/packages/standins/src/teaselledge_standins/engineadmin.py
@@ -30,7 +30,7 @@
     load_seconds: float = 0.0
     role: str = "any"
     models: list[str] = field(default_factory=list)
-    highest: int = 0
+    highest_token: int = 0
     loaded_at: float = 0.0
     orders: list[int] = field(default_factory=list)
 
@@ -39,11 +39,11 @@
         """Whether it loads now."""
         return asyncio.get_running_loop().time() < self.loaded_at
 
-    def take(self, number: int, role: str, models: list[str]) -> bool:
+    def apply_order(self, number: int, role: str, models: list[str]) -> bool:
         """Take an order; tell whether it is carried out."""
-        if self.checks_fencing and number < self.highest:
+        if self.checks_fencing and number < self.highest_token:
             return False
-        self.highest = max(self.highest, number)
+        self.highest_token = max(self.highest_token, number)
         self.orders.append(number)
         if (role, models) != (self.role, self.models):
             loop = asyncio.get_running_loop()
@@ -65,7 +65,9 @@
     def put(self) -> None:
         """Take an order."""
         body = json.loads(self.request.body)
-        taken = self.endpoint.admin.take(body["number"], body["role"], body["models"])
+        taken = self.endpoint.admin.apply_order(
+            body["number"], body["role"], body["models"]
+        )
         self.set_status(200 if taken else OLD_NUMBER)
 
 
--- a/packages/standins/src/teaselledge_standins/explore.py
+++ b/packages/standins/src/teaselledge_standins/explore.py
@@ -35,10 +35,10 @@
     "REFUSED",
     "WAIT",
     "ExplorationError",
-    "Explored",
+    "ExplorationStats",
     "ExploredTables",
-    "Outcome",
-    "World",
+    "CallChoice",
+    "ExploredSystem",
     "explore",
 ]
 
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class CallChoice:
     """One way in which a call can go on.
 
     Attributes
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True)
-class Explored:
+class ExplorationStats:
     """How much was explored.
 
     Attributes
@@ -101,20 +101,20 @@
         Different states seen.
     runs : int
         Sequences of choices that were run.
-    ends : int
+    completed_runs : int
         Runs that came to an end where everything was done.
     """
 
     states: int
     runs: int
-    ends: int
+    completed_runs: int
 
 
 @dataclass
 class _Call:
     actor: str
     label: str
-    outcomes: Sequence[Outcome]
+    outcomes: Sequence[CallChoice]
     done: "asyncio.Future[Any]"
 
 
@@ -144,7 +144,7 @@
     fault: str = ""
 
 
-class World:
+class ExploredSystem:
     """What the explored tasks share.
 
     Attributes
@@ -188,7 +188,7 @@
         """Return whether a task was killed."""
         return self._actors[actor].dead
 
-    async def call(self, actor: str, label: str, outcomes: Sequence[Outcome]) -> Any:
+    async def call(self, actor: str, label: str, outcomes: Sequence[CallChoice]) -> Any:
         """Wait until one of the outcomes is chosen, and return its result."""
         done = asyncio.get_running_loop().create_future()
         call = _Call(actor, label, outcomes, done)
@@ -204,21 +204,21 @@
         self._remember(actor, (label, repr(result)))
         return result
 
-    def later(self, label: str, act: Callable[[], Any]) -> None:
+    def schedule_effect(self, label: str, act: Callable[[], Any]) -> None:
         """Let an effect happen at any later time, or never."""
         self._floating.append(_Floating(label, act))
 
     # for the explorer
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """Whether no task will go on."""
         return all(actor.over for actor in self._actors.values())
 
     def options(self) -> list[_Option]:
         """Return what can happen next, in a fixed order."""
         found = [*self._going_on(), *self._landing(), *self._crashes()]
-        if not self.over:
+        if not self.finished:
             if self._calls:
                 found.append(_Option(WAIT, lambda: self._pass(WAIT_SECONDS), WAIT))
             else:
@@ -228,7 +228,7 @@
             found.append(_Option("end", lambda: -1.0))
         return [o for o in found if not o.fault or self.budget.get(o.fault, 0) > 0]
 
-    def signature(self) -> int:
+    def fingerprint(self) -> int:
         """Return what tells this state from others."""
         rows = tuple(
             (table, row.key, row.version, row.value)
@@ -243,7 +243,7 @@
         budget = tuple(sorted(self.budget.items()))
         return hash((rows, tuple(self.log), actors, calls, floating, budget))
 
-    def take(self, option: _Option) -> float:
+    def step(self, option: _Option) -> float:
         """Let something happen; return the seconds that pass, -1 at the end."""
         self.trace.append(option.label)
         if option.fault:
@@ -280,7 +280,7 @@
             if not a.over
         ]
 
-    def _resolve(self, call: _Call, outcome: Outcome) -> float:
+    def _resolve(self, call: _Call, outcome: CallChoice) -> float:
         self._calls.remove(call)
         result = outcome.act()
         if not call.done.done():
@@ -304,7 +304,7 @@
     def _float(self, call: _Call) -> None:
         effect = next(o for o in call.outcomes if not o.fault)
         if effect.name != "read":
-            self.later(f"{call.actor} {call.label}", effect.act)
+            self.schedule_effect(f"{call.actor} {call.label}", effect.act)
 
     def _pass(self, seconds: float) -> float:
         for name in self._actors:
@@ -321,7 +321,7 @@
 class ExploredTables(TableService):
     """The table service of one explored task."""
 
-    def __init__(self, world: World, actor: str) -> None:
+    def __init__(self, world: ExploredSystem, actor: str) -> None:
         self._world = world
         self._actor = actor
 
@@ -329,8 +329,8 @@
         """Read a row."""
         tables = self._world.tables
         outcomes = [
-            Outcome("read", lambda: Ok(tables.peek(table, key))),
-            Outcome("refused", _refused, REFUSED),
+            CallChoice("read", lambda: Ok(tables.peek(table, key))),
+            CallChoice("refused", _refused, REFUSED),
         ]
         return await self._world.call(self._actor, f"get {table}/{key}", outcomes)
 
@@ -346,8 +346,8 @@
             return Ok(chosen[:limit])
 
         outcomes = [
-            Outcome("read", rows),
-            Outcome("refused", _refused, REFUSED),
+            CallChoice("read", rows),
+            CallChoice("refused", _refused, REFUSED),
         ]
         return await world.call(self._actor, f"scan {table}/{prefix}", outcomes)
 
@@ -368,14 +368,14 @@
             return Error(StoreError(StoreErrorKind.UNCERTAIN))
 
         def defer() -> Result[None, StoreError]:
-            world.later(label, apply)
+            world.schedule_effect(label, apply)
             return Error(StoreError(StoreErrorKind.UNCERTAIN))
 
         outcomes = [
-            Outcome("written", apply),
-            Outcome("refused", _refused, REFUSED),
-            Outcome("answer lost", lose, LOST),
-            Outcome("late", defer, LATE),
+            CallChoice("written", apply),
+            CallChoice("refused", _refused, REFUSED),
+            CallChoice("answer lost", lose, LOST),
+            CallChoice("late", defer, LATE),
         ]
         return await world.call(self._actor, label, outcomes)
 
@@ -387,8 +387,8 @@
 class _Explorer:
     def __init__(
         self,
-        setup: Callable[[World], None],
-        check: Callable[[World], None],
+        setup: Callable[[ExploredSystem], None],
+        check: Callable[[ExploredSystem], None],
         budget: Mapping[str, int],
     ) -> None:
         self._setup = setup
@@ -400,7 +400,7 @@
 
     async def run(self, prefix: tuple[int, ...]) -> None:
         """Follow a sequence of choices, then always the first one."""
-        world = World(self._budget)
+        world = ExploredSystem(self._budget)
         self._setup(world)
         try:
             await self._follow(world, prefix)
@@ -411,7 +411,7 @@
             world.stop()
             await asyncio.sleep(SETTLE_SECONDS)
 
-    async def _follow(self, world: World, prefix: tuple[int, ...]) -> None:
+    async def _follow(self, world: ExploredSystem, prefix: tuple[int, ...]) -> None:
         path: list[int] = []
         await asyncio.sleep(SETTLE_SECONDS)
         while len(path) < MAX_STEPS:
@@ -420,13 +420,13 @@
             if len(path) < len(prefix):
                 chosen = prefix[len(path)]
             else:
-                state = world.signature()
+                state = world.fingerprint()
                 if state in self.seen:
                     return
                 self.seen.add(state)
                 self.stack += [(*path, i) for i in range(len(options) - 1, 0, -1)]
             path.append(chosen)
-            seconds = world.take(options[chosen])
+            seconds = world.step(options[chosen])
             if seconds < 0:
                 self.ends += 1
                 self._check(world)
@@ -436,17 +436,17 @@
 
 
 def explore(
-    setup: Callable[[World], None],
-    check: Callable[[World], None],
+    setup: Callable[[ExploredSystem], None],
+    check: Callable[[ExploredSystem], None],
     budget: Mapping[str, int],
     max_runs: int = 1_000_000,
-) -> Explored:
+) -> ExplorationStats:
     """Run tasks under every sequence of choices.
 
     Parameters
     ----------
     setup : callable
-        Starts the tasks of a run with `World.spawn`.
+        Starts the tasks of a run with `ExploredSystem.spawn`.
     check : callable
         Asserts what must hold where all is done; called at each end.
     budget : mapping of str to int
@@ -456,7 +456,7 @@
 
     Returns
     -------
-    Explored
+    ExplorationStats
         How much was explored.
 
     Raises
@@ -473,4 +473,4 @@
         with asyncio.Runner(loop_factory=virtual_loop) as runner:
             runner.run(explorer.run(explorer.stack.pop()))
         runs += 1
-    return Explored(len(explorer.seen), runs, explorer.ends)
+    return ExplorationStats(len(explorer.seen), runs, explorer.ends)
--- a/packages/standins/src/teaselledge_standins/exploredorders.py
+++ b/packages/standins/src/teaselledge_standins/exploredorders.py
@@ -21,7 +21,7 @@
 from teaselledge.version.document import Document, Endpoint, Kind, Service, Version
 from tornado.httputil import HTTPHeaders
 
-from teaselledge_standins.explore import Outcome, World
+from teaselledge_standins.explore import CallChoice, ExploredSystem
 from teaselledge_standins.objects import MemoryObjects
 from teaselledge_standins.virtual.fleet import MemorySink
 
@@ -86,7 +86,7 @@
 class _Client:
     """Runs each order that gets through, and notes it in the world's log."""
 
-    def __init__(self, world: World, actor: str) -> None:
+    def __init__(self, world: ExploredSystem, actor: str) -> None:
         self._world = world
         self._actor = actor
 
@@ -102,9 +102,9 @@
             return Error(SendFailure(True, "dropped"))
 
         outcomes = [
-            Outcome("run", run),
-            Outcome("drop", drop, DROP),
-            Outcome("refused", lambda: Error(SendFailure(False, "refused")), DOWN),
+            CallChoice("run", run),
+            CallChoice("drop", drop, DROP),
+            CallChoice("refused", lambda: Error(SendFailure(False, "refused")), DOWN),
         ]
         return await self._world.call(self._actor, "send", outcomes)
 
@@ -125,7 +125,9 @@
     )
 
 
-async def _place(world: World, desk: OrderExecutor, actor: str, seconds: float) -> None:
+async def _place(
+    world: ExploredSystem, desk: OrderExecutor, actor: str, seconds: float
+) -> None:
     sink = MemorySink()
     result = await desk.run(_request(seconds), sink)
     told = "answer" if result.is_ok() else result.error.ran.value
@@ -138,13 +140,13 @@
     names: Sequence[str],
     journal_class: type[Journal] = Journal,
     full: Sequence[str] = (),
-) -> Callable[[World], None]:
+) -> Callable[[ExploredSystem], None]:
     """Return a set-up with one attempt of the same order on each router.
 
     Routers that are ``full`` find no slot.
     """
 
-    def setup(world: World) -> None:
+    def setup(world: ExploredSystem) -> None:
         for i, name in enumerate(names):
             tables = world.tables_of(name)
             journal = journal_class(
@@ -163,7 +165,7 @@
     return setup
 
 
-def check_order(world: World) -> None:
+def check_order(world: ExploredSystem) -> None:
     """Check what callers were told against what the endpoint ran."""
     log = cast(list[tuple[str, ...]], world.log)
     runs = sum(1 for entry in log if entry[0] == "ran")
--- a/packages/standins/src/teaselledge_standins/faults.py
+++ b/packages/standins/src/teaselledge_standins/faults.py
@@ -54,7 +54,7 @@
     garbage: int = 0
     break_times: int = -1
 
-    def take_break(self) -> int:
+    def next_break_offset(self) -> int:
         """Return the bytes after which the next answer breaks; -1 never."""
         if self.break_times == 0:
             return -1
--- a/packages/standins/src/teaselledge_standins/fleet.py
+++ b/packages/standins/src/teaselledge_standins/fleet.py
@@ -13,7 +13,7 @@
 from teaselledge.version.store import unchecked_writes
 
 from teaselledge_standins.engine import EngineEndpoint
-from teaselledge_standins.meter import Meter
+from teaselledge_standins.meter import CountingProxy
 from teaselledge_standins.objects import MemoryObjects
 from teaselledge_standins.plain import PlainEndpoint
 from teaselledge_standins.platformserver import PlatformServer
@@ -49,7 +49,7 @@
         Slots of each endpoint.
     limits : Limits
         Limits of each router.
-    metered : bool
+    count_peer_bytes : bool
         Count the bytes between routers by relays.
     callers_tls, operators_tls : Tls or None
         TLS of the listeners.
@@ -65,7 +65,7 @@
     plain_zones: tuple[str, ...] = ("north-a",)
     slots: int = 4
     limits: Limits = field(default_factory=Limits)
-    metered: bool = False
+    count_peer_bytes: bool = False
     callers_tls: Tls | None = None
     operators_tls: Tls | None = None
 
@@ -83,7 +83,7 @@
     routers: dict[str, Router]
     platform: PlatformServer
     platform_address: str
-    meters: dict[str, Meter] = field(default_factory=dict)
+    meters: dict[str, CountingProxy] = field(default_factory=dict)
 
     def document(self) -> dict[str, Any]:
         """Return the configuration document of this fleet."""
@@ -175,12 +175,12 @@
 
     async def start_router(self, vm: str) -> Router:
         """Start a router and put it into the VM list."""
-        if self.plan.metered:
-            meter = self.meters[vm] = Meter()
+        if self.plan.count_peer_bytes:
+            meter = self.meters[vm] = CountingProxy()
             await meter.listen()
         router = Router.from_config(self.settings(vm))
         router.listen()
-        if self.plan.metered:
+        if self.plan.count_peer_bytes:
             meter.forward_to(router.listening_peer_address)
         zone = self.plan.routers[vm]
         self.vms.add(
--- a/packages/standins/src/teaselledge_standins/meter.py
+++ b/packages/standins/src/teaselledge_standins/meter.py
@@ -4,12 +4,12 @@
 
 from teaselledge_standins.loopback import LoopbackServer
 
-__all__ = ["Meter"]
+__all__ = ["CountingProxy"]
 
 READ_BYTES = 64 * 1024
 
 
-class Meter(LoopbackServer):
+class CountingProxy(LoopbackServer):
     """A relay before one router's peer port.
 
     Other routers are told its address, so that what they send to the router is
--- a/packages/standins/src/teaselledge_standins/plain.py
+++ b/packages/standins/src/teaselledge_standins/plain.py
@@ -7,7 +7,11 @@
 
 from absl import app, flags
 
-from teaselledge_standins.endpoint import BaseEndpoint, BaseEndpointHandler, Run
+from teaselledge_standins.endpoint import (
+    BaseEndpoint,
+    BaseEndpointHandler,
+    ExecutedRequest,
+)
 
 __all__ = ["PlainEndpoint"]
 
@@ -39,7 +43,9 @@
         request_id = self.request.headers.get("X-Request-Id", "")
         organisation = body.get("organisation", "")
         endpoint.runs.append(
-            Run(request_id, body["name"], organisation, started, ended, ended - started)
+            ExecutedRequest(
+                request_id, body["name"], organisation, started, ended, ended - started
+            )
         )
         if endpoint.faults.drop_after_run > 0:
             endpoint.faults.drop_after_run -= 1
--- a/packages/standins/src/teaselledge_standins/prefixcache.py
+++ b/packages/standins/src/teaselledge_standins/prefixcache.py
@@ -31,14 +31,14 @@
     ----------
     hits, misses : int
         Requests whose prefix was there, and whose was not.
-    lose_every : int
+    drop_every_nth : int
         Each so many-th event is not published; 0 publishes all.
     """
 
     def __init__(self) -> None:
         self.hits = 0
         self.misses = 0
-        self.lose_every = 0
+        self.drop_every_nth = 0
         self._held: OrderedDict[int, None] = OrderedDict()
         self._events: list[_Event] = []
 
@@ -63,7 +63,7 @@
     def published(self, after: int) -> list[dict[str, Any]]:
         """Return the events after a number, late and with gaps."""
         shown_until = asyncio.get_running_loop().time() - LAG_SECONDS
-        lose = self.lose_every
+        lose = self.drop_every_nth
         return [
             {"sequence": e.sequence, "stored": e.stored, "evicted": e.evicted}
             for e in self._events[max(0, after + 1) :]
--- a/packages/standins/src/teaselledge_standins/recorder.py
+++ b/packages/standins/src/teaselledge_standins/recorder.py
@@ -6,11 +6,11 @@
 from teaselledge.process.mesh import Handler, HandlerRegistry, Origin, unpack_body
 from teaselledge_wire.gen.router.ttypes import Message
 
-__all__ = ["RecordingMesh", "Sent"]
+__all__ = ["RecordingMesh", "SentMessage"]
 
 
 @dataclass(frozen=True)
-class Sent:
+class SentMessage:
     """A message that was sent."""
 
     vm: str
@@ -25,7 +25,7 @@
     def __init__(self, vm: str = "own", incarnation: int = 1) -> None:
         self._origin = Origin(vm, incarnation)
         self._registry = HandlerRegistry()
-        self.sent: list[Sent] = []
+        self.sent: list[SentMessage] = []
 
     @property
     def origin(self) -> Origin:
@@ -36,7 +36,7 @@
         """Keep a message."""
         found = unpack_body(message)
         if found is not None:
-            self.sent.append(Sent(vm, *found, message.zone_name or ""))
+            self.sent.append(SentMessage(vm, *found, message.zone_name or ""))
 
     def subscribe(self, body: str, handler: Handler) -> None:
         """Call a handler for each message with that body."""
@@ -46,7 +46,7 @@
         """Deliver a message as if it came from a router."""
         self._registry.deliver(origin, message)
 
-    def take(self, name: str) -> list[Sent]:
+    def pop_sent(self, name: str) -> list[SentMessage]:
         """Return the messages of one name and forget them."""
         found = [sent for sent in self.sent if sent.name == name]
         self.sent = [sent for sent in self.sent if sent.name != name]
--- a/packages/standins/src/teaselledge_standins/virtual/endpoint.py
+++ b/packages/standins/src/teaselledge_standins/virtual/endpoint.py
@@ -16,7 +16,7 @@
 from teaselledge.request.resume import RESUME_HEADER
 from tornado.httputil import HTTPHeaders
 
-from teaselledge_standins.endpoint import Run
+from teaselledge_standins.endpoint import ExecutedRequest
 from teaselledge_standins.faults import EndpointFaults
 from teaselledge_standins.virtual.network import VirtualNetwork
 
@@ -71,7 +71,7 @@
         self.faults = EndpointFaults()
         self.resumes = True
         self.progress: list[tuple[float, str, float]] = []
-        self.runs: list[Run] = []
+        self.runs: list[ExecutedRequest] = []
         self.running = 0
         self.network.zones[self.name] = self.zone
 
@@ -107,7 +107,7 @@
             self.running -= 1
             spent = cost * done / CHUNKS
             self.runs.append(
-                Run(
+                ExecutedRequest(
                     request_id,
                     body["name"],
                     body["organisation"],
@@ -143,11 +143,11 @@
         body = json.loads(request.body)
         sent = 0
         cut = False
-        stop = endpoint.faults.take_break()
+        stop = endpoint.faults.next_break_offset()
         identifier = request.headers.get("X-Request-Id", "")
         parts = endpoint.run(body, identifier, self._skip)
         async for chunk in parts:
-            if cut or not network.passes(endpoint.name, vm):
+            if cut or not network.is_connected(endpoint.name, vm):
                 # the endpoint goes on; nothing of it arrives, and what follows
                 # after the cut cannot join what came before
                 cut = True
@@ -193,7 +193,7 @@
         """Iterate over the parts."""
         while True:
             chunk = await self._queue.get()
-            await self._client.network.awake(self._client.vm)
+            await self._client.network.wait_until_resumed(self._client.vm)
             if chunk is None:
                 break
             yield chunk
@@ -222,13 +222,13 @@
     ) -> Result[EndpointResponse, SendFailure]:
         """Send a request; the address's host names the endpoint."""
         network = self.network
-        await network.awake(self.vm)
+        await network.wait_until_resumed(self.vm)
         endpoint = self._endpoints[address.partition(":")[0]]
         await asyncio.sleep(network.delay(self.vm, endpoint.name, len(request.body)))
-        await network.awake(self.vm)
+        await network.wait_until_resumed(self.vm)
         refused = endpoint.faults.refuse or not (
-            network.passes(self.vm, endpoint.name)
-            and network.passes(endpoint.name, self.vm)
+            network.is_connected(self.vm, endpoint.name)
+            and network.is_connected(endpoint.name, self.vm)
         )
         if refused:
             detail = "the endpoint refuses connections"
@@ -240,7 +240,7 @@
         except asyncio.CancelledError:
             answer.close()
             raise
-        await network.awake(self.vm)
+        await network.wait_until_resumed(self.vm)
         if not began:
             return Error(SendFailure(True, "the endpoint gave no answer"))
         return Ok(answer)
--- a/packages/standins/src/teaselledge_standins/virtual/fleet.py
+++ b/packages/standins/src/teaselledge_standins/virtual/fleet.py
@@ -44,7 +44,7 @@
 
 __all__ = [
     "MemorySink",
-    "Outcome",
+    "CallResult",
     "VirtualFleet",
     "VirtualPlan",
     "VirtualService",
@@ -120,7 +120,7 @@
     def __init__(self) -> None:
         self.status = 0
         self.body = b""
-        self.whole = False
+        self.complete = False
         self.aborted = False
 
     @property
@@ -138,7 +138,7 @@
 
     async def finish(self) -> None:
         """Note that the answer is whole."""
-        self.whole = True
+        self.complete = True
 
     def abort(self) -> None:
         """Note that the answer is visibly broken."""
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class CallResult:
     """What a caller of the virtual fleet got.
 
     Attributes
@@ -155,7 +155,7 @@
         The refusal, if any.
     sink : MemorySink
         What reached the caller.
-    right : bool
+    is_correct : bool
         Whether the answer is the whole answer to this request.
     seconds : float
         Time from call to end.
@@ -163,7 +163,7 @@
 
     fault: Fault | None
     sink: MemorySink
-    right: bool
+    is_correct: bool
     seconds: float
 
 
@@ -205,13 +205,13 @@
         """Wait for one way; return whether the network let it pass."""
         network = self._network
         way = (self._vm, "tables") if there else ("tables", self._vm)
-        await network.awake(self._vm)
-        if not network.passes(*way):
+        await network.wait_until_resumed(self._vm)
+        if not network.is_connected(*way):
             await asyncio.sleep(STORE_CALL_SECONDS)
-            await network.awake(self._vm)
+            await network.wait_until_resumed(self._vm)
             return False
         await asyncio.sleep(network.delay(self._vm, "tables"))
-        await network.awake(self._vm)
+        await network.wait_until_resumed(self._vm)
         return True
 
 
@@ -331,7 +331,7 @@
         cost: float,
         key: str | None = None,
         padding: int = 0,
-    ) -> Outcome:
+    ) -> CallResult:
         """Send a request to a router, as a caller would.
 
         Raises
@@ -362,8 +362,8 @@
         tokens = cost if self.plan.services[service].cost == "tokens" else 0
         expected = b"".join(answer_text(name, part, tokens) for part in range(CHUNKS))
         fault = result.error if result.is_error() else None
-        right = sink.whole and sink.body == expected
-        return Outcome(fault, sink, right, loop.time() - started)
+        right = sink.complete and sink.body == expected
+        return CallResult(fault, sink, right, loop.time() - started)
 
     async def stop(self) -> None:
         """Stop everything."""
--- a/packages/standins/src/teaselledge_standins/virtual/leaving.py
+++ b/packages/standins/src/teaselledge_standins/virtual/leaving.py
@@ -9,7 +9,7 @@
 from teaselledge.process.drain import DrainExit
 
 from teaselledge_standins.virtual.fleet import (
-    Outcome,
+    CallResult,
     VirtualFleet,
     VirtualPlan,
     VirtualService,
@@ -17,7 +17,7 @@
 )
 from teaselledge_standins.virtual.network import NetworkPlan
 
-__all__ = ["LeavingVerdict", "run_leaving"]
+__all__ = ["DrainReport", "run_drain_scenario"]
 
 REQUESTS = 60
 SPREAD_SECONDS = 30.0
@@ -82,7 +82,7 @@
     """Do nothing beside."""
 
 
-BESIDE: tuple[Callable[[VirtualFleet], None], ...] = (
+CONCURRENT_FAULTS: tuple[Callable[[VirtualFleet], None], ...] = (
     nothing,
     store_slow,
     store_down,
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True)
-class LeavingVerdict:
+class DrainReport:
     """What the callers of routers that left saw.
 
     Attributes
@@ -122,7 +122,7 @@
 
     name: str
     met: bool
-    outcome: Outcome | None = None
+    outcome: CallResult | None = None
 
 
 async def _send(fleet: VirtualFleet, random: Random, number: int) -> _Sent:
@@ -151,7 +151,7 @@
     return ended
 
 
-async def run_leaving(seed: int) -> LeavingVerdict:
+async def run_drain_scenario(seed: int) -> DrainReport:
     """Let two routers leave at random times, with a second fault beside.
 
     Parameters
@@ -170,14 +170,14 @@
             for number in range(REQUESTS)
         ]
         await asyncio.sleep(random.uniform(0, SPREAD_SECONDS))
-        BESIDE[seed % len(BESIDE)](fleet)
+        CONCURRENT_FAULTS[seed % len(CONCURRENT_FAULTS)](fleet)
         ends = await asyncio.gather(*leaving)
         sent = await asyncio.gather(*sending)
         ran = {run.name for e in fleet.endpoints.values() for run in e.runs}
     return _judge(list(sent), ran, list(ends))
 
 
-def _judge(sent: list[_Sent], ran: set[str], ends: list[DrainExit]) -> LeavingVerdict:
+def _judge(sent: list[_Sent], ran: set[str], ends: list[DrainExit]) -> DrainReport:
     met = [entry for entry in sent if entry.met]
     answered = refused = cut = false_no = 0
     for entry in met:
@@ -187,12 +187,12 @@
             continue
         fault = outcome.fault
         if fault is None:
-            answered += outcome.right
-            cut += not outcome.right
+            answered += outcome.is_correct
+            cut += not outcome.is_correct
             continue
         refused += 1
         false_no += fault.ran is Ran.NO and entry.name in ran
         # an order that the store holds up may be refused at its deadline
         cut += fault.kind not in (ErrorKind.LEAVING, ErrorKind.JOURNAL_UNAVAILABLE)
     not_whole = sum(end is not DrainExit.WHOLE for end in ends)
-    return LeavingVerdict(len(met), answered, refused, cut, false_no, not_whole)
+    return DrainReport(len(met), answered, refused, cut, false_no, not_whole)
--- a/packages/standins/src/teaselledge_standins/virtual/members.py
+++ b/packages/standins/src/teaselledge_standins/virtual/members.py
@@ -59,11 +59,11 @@
         if mesh is not None:
             mesh.close()
 
-    def knowing(self, vm: str) -> int:
+    def count_aware(self, vm: str) -> int:
         """Return how many routers have a router among the live ones."""
         return len(self._views_of(vm))
 
-    def staying(self, vm: str) -> int:
+    def count_not_leaving(self, vm: str) -> int:
         """Return how many routers would give a router new work."""
         return sum(not member.leaving for member in self._views_of(vm))
 
@@ -71,7 +71,7 @@
         found = (m.find(vm) for name, m in self.members.items() if name != vm)
         return [member for member in found if member is not None]
 
-    def acquaint(self) -> None:
+    def prefill_members(self) -> None:
         """Let every router know every other, as after a long time together."""
         now = asyncio.get_running_loop().time()
         rumours = [
@@ -81,7 +81,7 @@
         for vm, membership in self.members.items():
             membership.load_rumours([rumour for rumour in rumours if rumour.vm != vm])
 
-    async def until_agreed(self, seconds: float = 60.0) -> None:
+    async def wait_until_converged(self, seconds: float = 60.0) -> None:
         """Wait until every router knows every other."""
         async with asyncio.timeout(seconds):
             while any(
@@ -113,8 +113,8 @@
         for index in range(count):
             fleet.start(f"vm-{index:03d}", f"z{index % zones}")
         if acquainted:
-            fleet.acquaint()
-        await fleet.until_agreed()
+            fleet.prefill_members()
+        await fleet.wait_until_converged()
         yield fleet
     finally:
         for vm in list(fleet.members):
--- a/packages/standins/src/teaselledge_standins/virtual/mishaps.py
+++ b/packages/standins/src/teaselledge_standins/virtual/mishaps.py
@@ -7,7 +7,7 @@
 
 from teaselledge_standins.virtual.fleet import VirtualFleet
 
-__all__ = ["MISHAPS", "Mishap", "get_mishap_by_name"]
+__all__ = ["FAULT_INJECTIONS", "FaultInjection", "get_fault_injection_by_name"]
 
 CUT_AWAY = ("tables",)
 
@@ -15,23 +15,23 @@
 
 
 @dataclass(frozen=True)
-class Mishap:
+class FaultInjection:
     """One kind of fault.
 
     Attributes
     ----------
     begin : callable
         Starts the fault and returns what ends it.
-    least, most : float
+    min_seconds, max_seconds : float
         Bounds of its length in seconds.
     """
 
     begin: Callable[["VirtualFleet", Random], Undo]
-    least: float
-    most: float
+    min_seconds: float
+    max_seconds: float
 
 
-class MishapNotFoundError(LookupError):
+class FaultInjectionNotFoundError(LookupError):
     """There is no fault of that name."""
 
 
@@ -143,21 +143,21 @@
     return end
 
 
-MISHAPS: Mapping[str, Mishap] = {
-    "partition": Mishap(_cut_off, 2.0, 25.0),
-    "kill": Mishap(_kill, 0.5, 10.0),
-    "pause": Mishap(_pause, 0.5, 30.0),
-    "store-down": Mishap(_store_down, 1.0, 40.0),
-    "store-slow": Mishap(_store_slow, 2.0, 20.0),
-    "answers-lost": Mishap(_answers_lost, 1.0, 10.0),
-    "late-writes": Mishap(_late_writes, 1.0, 10.0),
-    "endpoint-drops": Mishap(_dropped, 1.0, 8.0),
-    "endpoint-slow": Mishap(_slow, 1.0, 20.0),
-    "endpoint-refuses": Mishap(_refusing, 1.0, 20.0),
+FAULT_INJECTIONS: Mapping[str, FaultInjection] = {
+    "partition": FaultInjection(_cut_off, 2.0, 25.0),
+    "kill": FaultInjection(_kill, 0.5, 10.0),
+    "pause": FaultInjection(_pause, 0.5, 30.0),
+    "store-down": FaultInjection(_store_down, 1.0, 40.0),
+    "store-slow": FaultInjection(_store_slow, 2.0, 20.0),
+    "answers-lost": FaultInjection(_answers_lost, 1.0, 10.0),
+    "late-writes": FaultInjection(_late_writes, 1.0, 10.0),
+    "endpoint-drops": FaultInjection(_dropped, 1.0, 8.0),
+    "endpoint-slow": FaultInjection(_slow, 1.0, 20.0),
+    "endpoint-refuses": FaultInjection(_refusing, 1.0, 20.0),
 }
 
 
-def get_mishap_by_name(name: str) -> Mishap:
+def get_fault_injection_by_name(name: str) -> FaultInjection:
     """Return a kind of fault.
 
     Raises
@@ -165,7 +165,7 @@
     MishapNotFoundError
         If there is none of that name.
     """
-    found = MISHAPS.get(name)
+    found = FAULT_INJECTIONS.get(name)
     if found is None:
-        raise MishapNotFoundError(name)
+        raise FaultInjectionNotFoundError(name)
     return found
--- a/packages/standins/src/teaselledge_standins/virtual/network.py
+++ b/packages/standins/src/teaselledge_standins/virtual/network.py
@@ -88,7 +88,7 @@
         self._link_free[link] = end
         return end - now + self.plan.region_delay
 
-    def passes(self, sender: str, receiver: str) -> bool:
+    def is_connected(self, sender: str, receiver: str) -> bool:
         """Return whether anything gets from one to the other."""
         return (sender, receiver) not in self.cuts
 
@@ -118,7 +118,7 @@
         if event is not None:
             event.set()
 
-    async def awake(self, vm: str) -> None:
+    async def wait_until_resumed(self, vm: str) -> None:
         """Wait while a VM is paused."""
         event = self._resumed.get(vm)
         if event is not None:
@@ -129,7 +129,7 @@
         sender = mesh.origin.vm
         self.sent_bytes[sender] += len(data)
         self.sent_frames[sender] += 1
-        if receiver not in self.zones or not self.passes(sender, receiver):
+        if receiver not in self.zones or not self.is_connected(sender, receiver):
             return
         here, there = self.region_of(sender), self.region_of(receiver)
         if here != there:
@@ -144,7 +144,7 @@
         loop.call_at(when, self._arrive, mesh.origin, receiver, data)
 
     def _arrive(self, origin: Origin, receiver: str, data: bytes) -> None:
-        if not self.passes(origin.vm, receiver):
+        if not self.is_connected(origin.vm, receiver):
             return
         event = self._resumed.get(receiver)
         if event is not None:
--- a/packages/standins/src/teaselledge_standins/virtual/outcomes.py
+++ b/packages/standins/src/teaselledge_standins/virtual/outcomes.py
@@ -17,10 +17,13 @@
 )
 
 from teaselledge_standins.virtual.fleet import VirtualFleet
-from teaselledge_standins.virtual.mishaps import MISHAPS, get_mishap_by_name
+from teaselledge_standins.virtual.mishaps import (
+    FAULT_INJECTIONS,
+    get_fault_injection_by_name,
+)
 from teaselledge_standins.virtual.orders import order_fleet
 
-__all__ = ["Verdict", "run_outcomes"]
+__all__ = ["OutcomeReport", "run_outcomes"]
 
 ORGANISATION = "amber"
 ORDERS = 30
@@ -64,7 +67,7 @@
 
 
 @dataclass(frozen=True)
-class Verdict:
+class OutcomeReport:
     """What one run showed; the endpoints' counts are the truth.
 
     Attributes
@@ -125,7 +128,7 @@
         self._orders: list[_Order] = []
         self._wrong = 0
 
-    async def carry_out(self) -> Verdict:
+    async def carry_out(self) -> OutcomeReport:
         """Place orders while faults come and go, and judge."""
         for node in self._fleet.nodes.values():
             self._prepare(node)
@@ -139,7 +142,7 @@
     async def _faults(self) -> None:
         random = self._random
         for _ in range(FAULT_PAIRS):
-            names = random.sample(sorted(MISHAPS), 2)
+            names = random.sample(sorted(FAULT_INJECTIONS), 2)
             await asyncio.gather(*(self._fault(name) for name in names))
         # nodes that were restarted come back before the callers' last calls
         for vm in self._fleet.plan.routers:
@@ -147,14 +150,14 @@
                 await asyncio.sleep(1.0)
 
     async def _fault(self, name: str) -> None:
-        mishap = get_mishap_by_name(name)
+        mishap = get_fault_injection_by_name(name)
         random = self._random
         await asyncio.sleep(random.uniform(0.0, 5.0))
         undo = mishap.begin(self._fleet, random)
         flood = None
         if random.random() < 0.3:  # noqa: PLR2004
             flood = asyncio.ensure_future(self._flood())
-        await asyncio.sleep(random.uniform(mishap.least, mishap.most))
+        await asyncio.sleep(random.uniform(mishap.min_seconds, mishap.max_seconds))
         undo()
         await asyncio.sleep(1.0)
         for node in self._fleet.nodes.values():
@@ -227,9 +230,9 @@
         call = self._fleet.call(vm, organisation, "ledger", kind, name, cost, key)
         with suppress(ConnectionError, TimeoutError):
             outcome = await asyncio.wait_for(call, patience)
-            if outcome.right:
+            if outcome.is_correct:
                 return "answered"
-            if outcome.sink.whole:
+            if outcome.sink.complete:
                 self._wrong += 1
                 return "wrong"
             if outcome.fault is None:
@@ -239,7 +242,7 @@
             return outcome.fault.ran.value
         return "cut"
 
-    def _judge(self) -> Verdict:
+    def _judge(self) -> OutcomeReport:
         runs: dict[str, list[float]] = {}
         for endpoint in self._fleet.endpoints.values():
             for run in endpoint.runs:
@@ -247,7 +250,7 @@
         states = Counter(order.state for order in self._orders)
         known = ("answered", "no", "yes", "unknown")
         reasons, stuck = self._reasons(runs)
-        return Verdict(
+        return OutcomeReport(
             len(self._orders),
             states["answered"],
             states["no"],
@@ -308,7 +311,7 @@
 
 async def run_outcomes(
     seed: int, prepare: Callable[[Node], None] = _as_it_is
-) -> Verdict:
+) -> OutcomeReport:
     """Run orders under faults, two at a time.
 
     Parameters
--- a/packages/standins/tests/test_engine.py
+++ b/packages/standins/tests/test_engine.py
@@ -1,6 +1,6 @@
 """Tests of the engine stand-in behind routers, over loopback."""
 
-from teaselledge_standins.caller import Caller, is_whole_completion
+from teaselledge_standins.caller import Caller, is_complete_response
 from teaselledge_standins.faults import EndpointFaults
 from teaselledge_standins.fleet import key_of
 
@@ -13,12 +13,12 @@
     """
     caller = Caller(key_of("amber"))
     address = fleet.routers["r1"].caller_address
-    whole = await caller.complete(address, "n", TOKENS, "amber")
-    assert is_whole_completion(whole, "n", TOKENS)
+    whole = await caller.request_completion(address, "n", TOKENS, "amber")
+    assert is_complete_response(whole, "n", TOKENS)
     for position in (0, 1, 40, len(whole.body) - 1):
         faults = EndpointFaults(break_after=position, break_times=1)
         for engine in fleet.engines.values():
             engine.faults = faults
-        reply = await caller.complete(address, "n", TOKENS, "amber")
+        reply = await caller.request_completion(address, "n", TOKENS, "amber")
         assert reply.body == whole.body, (position, reply)
         assert faults.break_times == 0
--- a/packages/standins/tests/test_virtual_fleet.py
+++ b/packages/standins/tests/test_virtual_fleet.py
@@ -22,7 +22,7 @@
         for vm in cellarwright.nodes
     ]
     outcomes = await asyncio.gather(*calls)
-    assert all(outcome.right for outcome in outcomes)
+    assert all(outcome.is_correct for outcome in outcomes)
 
 
 def test_a_run_is_the_same_each_time():
--- a/packages/standins/tests/test_virtual_leaving.py
+++ b/packages/standins/tests/test_virtual_leaving.py
@@ -4,7 +4,7 @@
 
 import looptime
 from teaselledge.process.drain import Drain
-from teaselledge_standins.virtual.leaving import run_leaving
+from teaselledge_standins.virtual.leaving import run_drain_scenario
 
 
 def verdict_of(seed):
@@ -12,7 +12,7 @@
         return looptime.new_event_loop(noop_cycles=0)
 
     with asyncio.Runner(loop_factory=loop) as runner:
-        return runner.run(run_leaving(seed))
+        return runner.run(run_drain_scenario(seed))
 
 
 def test_routers_that_leave_cut_nothing():
