--- a/packages/router/src/teaselledge/process/dispatch.py
+++ b/packages/router/src/teaselledge/process/dispatch.py
@@ -74,7 +74,7 @@
             mesh.subscribe(name, self._handler(method))
 
     @property
-    def dispatchers(self) -> list[Dispatcher]:
+    def running(self) -> list[Dispatcher]:
         """The dispatchers of this VM."""
         return list(self._by_shard.values())
 
@@ -105,7 +105,7 @@
 
     async def _pause(self) -> None:
         """Wait for the next tick, which may be late while there is no request."""
-        if any(d.waiting or d.running for d in self.dispatchers):
+        if any(d.waiting or d.running for d in self.running):
             await asyncio.sleep(TICK_SECONDS)
             return
         self._woken.clear()
@@ -118,14 +118,14 @@
         if self._placement.refresh():
             self._place()
         leaving = list(self._leaving())
-        for dispatcher in self.dispatchers:
+        for dispatcher in self.running:
             service = dispatcher.shard.service
             dispatcher.set_blocked_endpoints({e for s, e in leaving if s == service})
 
     def tick(self) -> None:
         """Do what is due in each dispatcher."""
         now = asyncio.get_running_loop().time()
-        for dispatcher in self.dispatchers:
+        for dispatcher in self.running:
             dispatcher.tick(now)
             idle = now - dispatcher.last_active > LINGER_SECONDS
             if idle and not self._falls_here(dispatcher.shard):
--- a/packages/router/src/teaselledge/process/enginefeed.py
+++ b/packages/router/src/teaselledge/process/enginefeed.py
@@ -136,7 +136,7 @@
             return
         reads = []
         read_now = set()
-        for dispatcher in self._dispatchers.dispatchers:
+        for dispatcher in self._dispatchers.running:
             shard = dispatcher.shard
             service = version.document.services.get(shard.service)
             if service is None or not service.reports_load:
--- a/packages/router/src/teaselledge/process/router.py
+++ b/packages/router/src/teaselledge/process/router.py
@@ -222,7 +222,7 @@
             lambda: node.config_watcher.state.known,
         )
         shares = DispatcherShares(
-            lambda: node.dispatchers.dispatchers, lambda: node.version
+            lambda: node.dispatchers.running, lambda: node.version
         )
         status = Status(
             node.config_watcher, node.membership, node.ingress, self._tally, shares
--- a/packages/router/tests/test_fair_failures.py
+++ b/packages/router/tests/test_fair_failures.py
@@ -163,7 +163,7 @@
     paused = [
         vm
         for vm, node in fleet.nodes.items()
-        if any(d.running for d in node.dispatchers.dispatchers)
+        if any(d.running for d in node.dispatchers.running)
     ]
     fleet.network.pause(paused[0])
     await asyncio.sleep(5.0)
--- a/packages/router/tests/test_status.py
+++ b/packages/router/tests/test_status.py
@@ -30,9 +30,7 @@
 
 
 def status_of(node, tally=None):
-    shares = DispatcherShares(
-        lambda: node.dispatchers.dispatchers, lambda: node.version
-    )
+    shares = DispatcherShares(lambda: node.dispatchers.running, lambda: node.version)
     tally = tally or RecordingMetrics(NullMetrics())
     return Status(node.config_watcher, node.membership, node.ingress, tally, shares)
 
