--- a/packages/router/tests/test_limits.py
+++ b/packages/router/tests/test_limits.py
@@ -5,7 +5,7 @@
 from contextlib import asynccontextmanager
 
 from teaselledge.process.settings import Limits
-from teaselledge_standins.caller import Caller, is_whole_completion
+from teaselledge_standins.caller import Caller, is_complete_response
 from teaselledge_standins.fleet import FleetPlan, key_of, running_fleet
 from teaselledge_standins.rawcaller import raw_caller
 
@@ -72,7 +72,7 @@
     )
     assert reply.status == 200, reply
     assert json.loads(reply.body)["received"] == len(body)
-    await until(lambda: uploading.routers["r1"].bodies.held == 0)
+    await until(lambda: uploading.routers["r1"].bodies.reserved_bytes == 0)
 
 
 async def test_chunked_body_that_grows_is_passed_on(uploading):
@@ -109,7 +109,7 @@
         ingress = uploading.routers["r1"].node.ingress
         await until(lambda: ingress.running == 1)
     await until(lambda: ingress.running == 0)
-    await until(lambda: uploading.routers["r1"].bodies.held == 0)
+    await until(lambda: uploading.routers["r1"].bodies.reserved_bytes == 0)
     assert not [r for p in uploading.plains.values() for r in p.runs]
 
 
@@ -131,7 +131,7 @@
         answer = await caller.read_all()
     assert answer.startswith(b"HTTP/1.1 502"), answer[:200]
     assert problem_of(answer)["ran"] == "no"
-    await until(lambda: uploading.routers["r1"].bodies.held == 0)
+    await until(lambda: uploading.routers["r1"].bodies.reserved_bytes == 0)
     await until(lambda: uploading.routers["r1"]._server.connections == 0)
 
 
@@ -151,14 +151,14 @@
     full of other bodies, and must not be told that the order has not run.
     """
     caller = Caller(key_of("amber"))
-    assert (await caller.order(address_of(small), "twice", "amber")).status == 200
+    assert (await caller.place_order(address_of(small), "twice", "amber")).status == 200
     async with raw_caller(address_of(small)) as other:
         await other.send(
             f"POST {ORDERS} HTTP/1.1",
             f"Authorization: Bearer {key_of('amber')}",
             "Content-Length: 2040",
         )
-        await until(lambda: small.routers["r1"].bodies.held == 2040)
+        await until(lambda: small.routers["r1"].bodies.reserved_bytes == 2040)
         body = json.dumps({"name": "twice", "padding": "x" * 1000}).encode()
         reply = await caller.call(address_of(small), "POST", ORDERS, body, "twice")
     assert (reply.kind, reply.ran) == ("router-full", "unknown")
@@ -190,7 +190,7 @@
             await caller.send_bytes(b"200\r\n" + b"x" * 512 + b"\r\n")
         answer = await caller.read_all()
     assert answer.startswith(b"HTTP/1.1 413"), answer
-    assert small.routers["r1"].bodies.held == 0
+    assert small.routers["r1"].bodies.reserved_bytes == 0
 
 
 async def test_headers_over_limit_are_refused(small):
@@ -214,7 +214,9 @@
             assert problem_of(answer)["kind"] == "router-full"
             third.close()
         await until(lambda: small.routers["r1"]._server.connections == 2)
-        reply = await Caller(key_of("amber")).order(address_of(small), "o", "amber")
+        reply = await Caller(key_of("amber")).place_order(
+            address_of(small), "o", "amber"
+        )
         assert reply.status == 200
 
 
@@ -229,13 +231,13 @@
     )
     async with raw_caller(address_of(small)) as first:
         await first.send(*head)
-        await until(lambda: small.routers["r1"].bodies.held == 2000)
+        await until(lambda: small.routers["r1"].bodies.reserved_bytes == 2000)
         async with raw_caller(address_of(small)) as second:
             await second.send(*head)
             answer = await second.read_all()
         assert problem_of(answer)["kind"] == "router-full"
-        assert small.routers["r1"].bodies.held == 2000
-    await until(lambda: small.routers["r1"].bodies.held == 0)
+        assert small.routers["r1"].bodies.reserved_bytes == 2000
+    await until(lambda: small.routers["r1"].bodies.reserved_bytes == 0)
 
 
 async def test_caller_that_leaves_while_queued_frees_its_place(single):
@@ -245,7 +247,9 @@
     caller = Caller(key_of("amber"))
     slots = single.plan.slots
     busy = [
-        asyncio.create_task(caller.complete(address_of(single), f"b{i}", 60, "amber"))
+        asyncio.create_task(
+            caller.request_completion(address_of(single), f"b{i}", 60, "amber")
+        )
         for i in range(slots)
     ]
     node = single.routers["r1"].node
@@ -283,10 +287,10 @@
     async with raw_caller(address_of(single)) as slow:
         await slow.post(COMPLETIONS, key_of("amber"), body)
         await slow.read_until(b"data:")
-        reply = await Caller(key_of("birch")).complete(
+        reply = await Caller(key_of("birch")).request_completion(
             address_of(single), "quick", 5, "birch"
         )
-    assert is_whole_completion(reply, "quick", 5)
+    assert is_complete_response(reply, "quick", 5)
 
 
 async def test_endpoint_that_sends_garbage(single):
@@ -296,10 +300,10 @@
     for plain in single.plains.values():
         plain.faults.garbage = 1
     caller = Caller(key_of("amber"))
-    reply = await caller.order(address_of(single), "g", "amber")
+    reply = await caller.place_order(address_of(single), "g", "amber")
     assert reply.status in (502, 504), reply
     assert reply.ran in ("unknown", "yes")
-    reply = await caller.order(address_of(single), "h", "amber")
+    reply = await caller.place_order(address_of(single), "h", "amber")
     assert reply.status == 200
 
 
@@ -310,6 +314,6 @@
     for engine in single.engines.values():
         engine.faults.break_after = 300
     caller = Caller(key_of("amber"))
-    reply = await caller.complete(address_of(single), "cut", 50, "amber")
-    assert not is_whole_completion(reply, "cut", 50)
+    reply = await caller.request_completion(address_of(single), "cut", 50, "amber")
+    assert not is_complete_response(reply, "cut", 50)
     assert reply.status != 200
--- a/packages/standins/src/teaselledge_standins/fleet.py
+++ b/packages/standins/src/teaselledge_standins/fleet.py
@@ -10,10 +10,10 @@
 from teaselledge.platform import VmEntry
 from teaselledge.process.router import Router
 from teaselledge.process.settings import Limits, Listener, Platform, Settings, Tls
-from teaselledge.version.store import plain_writes
+from teaselledge.version.store import unchecked_writes
 
 from teaselledge_standins.engine import EngineEndpoint
-from teaselledge_standins.meter import Meter
+from teaselledge_standins.meter import CountingProxy
 from teaselledge_standins.objects import MemoryObjects
 from teaselledge_standins.plain import PlainEndpoint
 from teaselledge_standins.platformserver import PlatformServer
@@ -49,7 +49,7 @@
         Slots of each endpoint.
     limits : Limits
         Limits of each router.
-    metered : bool
+    count_peer_bytes : bool
         Count the bytes between routers by relays.
     callers_tls, operators_tls : Tls or None
         TLS of the listeners.
@@ -65,7 +65,7 @@
     plain_zones: tuple[str, ...] = ("north-a",)
     slots: int = 4
     limits: Limits = field(default_factory=Limits)
-    metered: bool = False
+    count_peer_bytes: bool = False
     callers_tls: Tls | None = None
     operators_tls: Tls | None = None
 
@@ -83,7 +83,7 @@
     routers: dict[str, Router]
     platform: PlatformServer
     platform_address: str
-    meters: dict[str, Meter] = field(default_factory=dict)
+    meters: dict[str, CountingProxy] = field(default_factory=dict)
 
     def document(self) -> dict[str, Any]:
         """Return the configuration document of this fleet."""
@@ -171,16 +171,16 @@
 
     def publish(self, number: int) -> None:
         """Put the document into the table service, past all checks."""
-        self.tables.apply(plain_writes(self.document(), number))
+        self.tables.apply(unchecked_writes(self.document(), number))
 
     async def start_router(self, vm: str) -> Router:
         """Start a router and put it into the VM list."""
-        if self.plan.metered:
-            meter = self.meters[vm] = Meter()
+        if self.plan.count_peer_bytes:
+            meter = self.meters[vm] = CountingProxy()
             await meter.listen()
         router = Router.from_config(self.settings(vm))
         router.listen()
-        if self.plan.metered:
+        if self.plan.count_peer_bytes:
             meter.forward_to(router.listening_peer_address)
         zone = self.plan.routers[vm]
         self.vms.add(
@@ -193,7 +193,7 @@
     async def leave(self, vm: str) -> None:
         """Let a router finish what it has and stop, as a drain does."""
         router = self.routers[vm]
-        router.node.membership.leave()
+        router.node.membership.announce_leaving()
         await asyncio.sleep(2)
         while router.node.ingress.running or router.node.ingress.waiting:
             await asyncio.sleep(0.05)
--- a/packages/standins/src/teaselledge_standins/virtual/naive.py
+++ b/packages/standins/src/teaselledge_standins/virtual/naive.py
@@ -1,15 +1,15 @@
 """A naive order desk: it tries again on errors and journals after the fact."""
 
 from expression import Error, Ok, Result
-from teaselledge.connection.endpoint import BrokenAnswerError, Outbound
+from teaselledge.connection.endpoint import IncompleteResponseError, OutboundRequest
 from teaselledge.errors import ErrorKind, Fault
 from teaselledge.metrics import NullMetrics
 from teaselledge.platform import ANY, Write
-from teaselledge.process.drain import Gate
-from teaselledge.process.ingress import Ticket
+from teaselledge.process.drain import DrainGate
+from teaselledge.process.ingress import SlotRequest
 from teaselledge.process.node import Node
 from teaselledge.request.context import CallerRequest, Sink
-from teaselledge.request.order import OrderDesk
+from teaselledge.request.order import OrderExecutor
 from teaselledge.request.record import ORDERS_TABLE, order_row
 from tornado.httputil import HTTPHeaders
 
@@ -18,7 +18,7 @@
 ATTEMPTS = 3
 
 
-class NaiveDesk(OrderDesk):
+class NaiveOrderExecutor(OrderExecutor):
     """Looks for a stored answer, else sends until one comes, then stores it."""
 
     def __init__(self, node: Node) -> None:
@@ -50,7 +50,7 @@
 
     async def _try_once(self, request: CallerRequest) -> bytes | None:
         tools = self.tools
-        ticket = Ticket(
+        ticket = SlotRequest(
             request.organisation,
             request.service,
             request.kind,
@@ -63,31 +63,31 @@
         granted = acquired.ok
         try:
             endpoint = request.service_entry.endpoints[granted.endpoint]
-            outbound = Outbound(
+            outbound = OutboundRequest(
                 request.method, request.path, request.headers, request.body
             )
             sent = await tools.client.send(endpoint.address, outbound)
             if sent.is_error():
                 return None
             return b"".join([chunk async for chunk in sent.ok.chunks()])
-        except BrokenAnswerError:
+        except IncompleteResponseError:
             return None
         finally:
             tools.ingress.release(granted, 0.0, False)
 
 
-class NaiveGate(Gate):
+class NaiveGate(DrainGate):
     """Gives orders to a naive desk, and all else to the router's own runner."""
 
     def __init__(self, node: Node) -> None:
-        super().__init__(node.forwarder, node.orders)
-        self._desk = NaiveDesk(node)
+        super().__init__(node.request_runner, node.orders)
+        self._desk = NaiveOrderExecutor(node)
 
     @classmethod
     def install(cls, node: Node) -> None:
         """Put a naive desk into a node, once."""
-        if not isinstance(node.forwarder, cls):
-            node.forwarder = cls(node)
+        if not isinstance(node.request_runner, cls):
+            node.request_runner = cls(node)
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
         """Answer a request."""
