--- a/packages/ctl/tests/test_explain.py
+++ b/packages/ctl/tests/test_explain.py
@@ -11,7 +11,7 @@
 from teaselctl.story import read_story
 from teaselledge_fleet.faults import Fault, FaultKind
 from teaselledge_fleet.log import LineWriter
-from teaselledge_fleet.version.routes import Repeat
+from teaselledge_fleet.version.routes import RetryPolicy
 from teaselledge_standins.routes import ask, make_route, serving
 from teaselledge_standins.scripted import ScriptedEndpoint, answer_bytes, reset
 
@@ -45,7 +45,7 @@
 
 
 async def test_a_refused_request_tells_why(logs):
-    async with serving(make_route(Repeat.NEVER)) as served:
+    async with serving(make_route(RetryPolicy.NEVER)) as served:
 
         async def full(context):
             return Error(Fault(FaultKind.OVER_CAPACITY, 0.5))
@@ -68,7 +68,7 @@
         reset(writer)
 
     async with ScriptedEndpoint(crash) as endpoint:
-        route = make_route(Repeat.NEVER, stream=True)
+        route = make_route(RetryPolicy.NEVER, stream=True)
         async with serving(route, endpoint.address) as served:
             await ask(served.port, "POST", body=b"prompt")
             await asyncio.sleep(0.05)
@@ -80,7 +80,7 @@
 
 
 async def test_a_router_without_configuration_tells_so(logs):
-    async with serving(make_route(Repeat.ANY)) as served:
+    async with serving(make_route(RetryPolicy.ANY)) as served:
         served.server.routing = None
         await ask(served.port)
     (line,) = read_story("q1", logs.texts()).lines
--- a/packages/ctl/tests/test_routers.py
+++ b/packages/ctl/tests/test_routers.py
@@ -7,7 +7,7 @@
 from teaselctl.options import FLAGS
 from teaselctl.output import CommandError
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_fleet.version.routes import Repeat
+from teaselledge_fleet.version.routes import RetryPolicy
 from teaselledge_standins.fleetrouters import REGION, ZONE, running_routers
 from teaselledge_standins.processes import free_ports
 from teaselledge_standins.routes import make_route, make_routing
@@ -22,7 +22,7 @@
         Endpoint("e1", "books", "127.0.0.1:1", ZONE, 4),
         Endpoint("e2", "books", "127.0.0.1:2", ZONE, 4, leaving=True),
     ]
-    routing = make_routing(make_route(Repeat.ANY))
+    routing = make_routing(make_route(RetryPolicy.ANY))
     async with running_routers(ROUTERS, routing, endpoints) as routers:
         await asyncio.sleep(SETTLED_SECONDS)
         peers = routers[1].router._members.own.peers
--- a/packages/fleet/src/teaselledge_fleet/connection/endpoint.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/endpoint.py
@@ -10,7 +10,7 @@
 from expression import Error, Ok, Result
 from tornado.iostream import IOStream, StreamClosedError
 
-from teaselledge_fleet.request.call import Call, Dialect, EndpointHead
+from teaselledge_fleet.request.call import CallerRequest, HeaderCodec, ResponseHead
 
 __all__ = [
     "BrokenAnswerError",
@@ -99,7 +99,7 @@
     fault: SendFault
 
 
-_Part = EndpointHead | bytes | _End | _Failed
+_Part = ResponseHead | bytes | _End | _Failed
 
 
 class Exchange:
@@ -110,7 +110,10 @@
     """
 
     def __init__(
-        self, connection: "EndpointConnection", call: Call, dialect: Dialect
+        self,
+        connection: "EndpointConnection",
+        call: CallerRequest,
+        dialect: HeaderCodec,
     ) -> None:
         self._connection = connection
         self._call = call
@@ -140,10 +143,10 @@
         self._request = (request, body)
         return self._send(self._http)
 
-    async def head(self) -> Result[EndpointHead, SendFailure]:
+    async def head(self) -> Result[ResponseHead, SendFailure]:
         """Wait for the head of the answer."""
         part = await self._parts.get()
-        if isinstance(part, EndpointHead):
+        if isinstance(part, ResponseHead):
             return Ok(part)
         fault = part.fault if isinstance(part, _Failed) else SendFault.CLOSED
         return Error(SendFailure(fault, True, self._connection.reused))
@@ -229,8 +232,10 @@
             (n.decode("latin1"), v.decode("latin1"))
             for n, v in response.headers.raw_items()
         ]
-        head = self._dialect.read_head(self._call, response.status_code, headers)
-        if head.own:
+        head = self._dialect.decode_response_head(
+            self._call, response.status_code, headers
+        )
+        if head.matches_request:
             self._began = True
             self._connection.note_head(headers)
             await self._put(head)
@@ -333,7 +338,11 @@
         return Ok(cls(stream, address))
 
     def start(
-        self, call: Call, dialect: Dialect, headers: list[tuple[str, str]], body: bytes
+        self,
+        call: CallerRequest,
+        dialect: HeaderCodec,
+        headers: list[tuple[str, str]],
+        body: bytes,
     ) -> Exchange:
         """Send a request."""
         self._served += 1
--- a/packages/fleet/src/teaselledge_fleet/process/belief.py
+++ b/packages/fleet/src/teaselledge_fleet/process/belief.py
@@ -9,7 +9,7 @@
 from teaselledge_fleet.process.endpoints import EndpointView, Entry
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.store import EndpointRows
-from teaselledge_fleet.version.routes import Routing
+from teaselledge_fleet.version.routes import RoutingConfiguration
 
 __all__ = ["Belief"]
 
@@ -43,7 +43,7 @@
 GONE_KEPT = 200
 """Entries of gone endpoints that are remembered, so that old news can't revive them."""
 
-Decode = Callable[[bytes], Routing | None]
+Decode = Callable[[bytes], RoutingConfiguration | None]
 
 
 class Belief:
@@ -70,7 +70,7 @@
         self._vm = vm
         self._decode = decode
         self.view = EndpointView()
-        self.routing: Routing | None = None
+        self.routing: RoutingConfiguration | None = None
         self.configuration = b""
         self.follower = ""
         self.era: int | None = None
@@ -109,7 +109,7 @@
             before=self.version,
             source=source,
             routes=len(routing.routes),
-            tokens_per_second=routing.limits.tokens_per_second,
+            tokens_per_second=routing.limits.capacity_tokens_per_second,
         )
         self.routing = routing
         self.configuration = data
--- a/packages/fleet/src/teaselledge_fleet/process/choosing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/choosing.py
@@ -119,7 +119,7 @@
         cls, context: RequestContext, endpoints: Sequence[Endpoint]
     ) -> "Demand":
         """Return the demand of a request with a prompt; its holders are not known."""
-        prompt = context.call.prompt
+        prompt = context.request.prompt
         assert prompt is not None
         part = shared_part(prompt)
         shared = shared_tokens(prompt)
@@ -127,9 +127,9 @@
         return cls(
             part,
             shared,
-            prompt.tokens - shared,
+            prompt.input_tokens - shared,
             (len(context.body) + answer) / BYTES_PER_KILOBYTE,
-            ranked(part or context.call.id, endpoints)[:MOST_CANDIDATES],
+            ranked(part or context.request.id, endpoints)[:MOST_CANDIDATES],
         )
 
     def source(self, endpoint: Endpoint) -> Endpoint | None:
@@ -209,16 +209,19 @@
         """Return what delay, failures and bytes on the way cost, in seconds."""
         failing = self._results.failing(endpoint.id) * FAILING_SECONDS
         delay = wait + self._distance.seconds(endpoint.zone)
-        overrun = max(0.0, delay - EASY_PART * context.route.objective)
+        overrun = max(0.0, delay - EASY_PART * context.route.latency_objective)
         paid = self._distance.paid(endpoint.zone, kilobytes)
         return failing + paid + DELAY_WEIGHT * delay + OVERRUN_WEIGHT * overrun
 
 
 def output_tokens(prompt: Prompt) -> int:
     """Return how many tokens an answer is expected to have."""
-    if prompt.output_hint is not None:
-        return min(prompt.output_hint, prompt.max_output or prompt.output_hint)
-    return prompt.max_output
+    if prompt.expected_output_tokens is not None:
+        return min(
+            prompt.expected_output_tokens,
+            prompt.max_output_tokens or prompt.expected_output_tokens,
+        )
+    return prompt.max_output_tokens
 
 
 def _tie_break() -> float:
--- a/packages/fleet/src/teaselledge_fleet/process/placing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/placing.py
@@ -27,9 +27,9 @@
 from teaselledge_fleet.process.shares import OrganisationShares, Standing
 from teaselledge_fleet.process.waiting import WaitBounds
 from teaselledge_fleet.process.work import FleetWork, Work, key_of
-from teaselledge_fleet.request.call import Call, Prompt
+from teaselledge_fleet.request.call import CallerRequest, Prompt
 from teaselledge_fleet.request.context import Outcome, Placement, RequestContext
-from teaselledge_fleet.version.routes import Organisation, Routing
+from teaselledge_fleet.version.routes import Organisation, RoutingConfiguration
 
 __all__ = ["FleetPlacer"]
 
@@ -149,26 +149,26 @@
         """
         self._prompt_since = prompt_since
 
-    def use(self, routing: Routing) -> None:
+    def use(self, routing: RoutingConfiguration) -> None:
         """Take a version of the configuration."""
         self._bounds.use(routing)
-        self._shares.promise(routing.limits.tokens_per_second)
+        self._shares.promise(routing.limits.capacity_tokens_per_second)
 
     def locate_with(self, locator: "Locator") -> None:
         """Have the fleet's directory of parts asked."""
         self._locator = locator
 
-    def note_asked(
-        self, call: Call, organisation: Organisation | None, times: int = 1
+    def record_demand(
+        self, call: CallerRequest, organisation: Organisation | None, weight: int = 1
     ) -> None:
         """Count the work that a request asks for."""
         if call.prompt is not None:
             owner = organisation.name if organisation is not None else ""
-            self._shares.ask(owner, times * _weight(call.prompt))
+            self._shares.ask(owner, weight * _weight(call.prompt))
 
     async def place(self, context: RequestContext) -> Result[Placement, Fault]:
         """Return the endpoint for the next attempt."""
-        prompt = context.call.prompt
+        prompt = context.request.prompt
         endpoints = self._usable(context)
         if not endpoints:
             return Error(Fault(FaultKind.NO_ENDPOINT, 0.5))
@@ -177,7 +177,7 @@
             self._begin(context, best)
             return Ok(self._placement(context, best))
         demand = await self._demand(context, endpoints)
-        if context.sends:
+        if context.send_count:
             best = self._chooser.engines(context, demand)[0]
             self._begin(context, best)
             return Ok(self._placement_of_prompt(context, best, demand))
@@ -208,14 +208,14 @@
         weighed with a copy of it. It must not be the only one that is asked: callers
         would be refused while engines beside it have nothing to do.
         """
-        standing = self._shares.standing(context.owner, SHARE_MARGIN)
+        standing = self._shares.standing(context.organisation_name, SHARE_MARGIN)
         over = standing is not Standing.INSIDE
         bound = self._bounds.most_wait(context.route, context.service, standing)
         asked: set[str] = set()
         best = self._chooser.engines(context, demand)[0]
         while len(asked) < MOST_ASKED:
             asked.add(best.endpoint.id)
-            left = context.arrived + bound - self._now()
+            left = context.arrived_at + bound - self._now()
             admitted = await self._admit(context, best, left)
             if admitted is not None:
                 return Ok(self._placement_of_prompt(context, admitted, demand))
@@ -230,7 +230,7 @@
         kind = FaultKind.OVER_SHARE if over else FaultKind.OVER_CAPACITY
         _log.info(
             "request not placed",
-            id=context.call.id,
+            id=context.request.id,
             fault=kind.value,
             endpoint=best.endpoint.id,
             asked=len(asked),
@@ -243,7 +243,7 @@
         """Return when a refused caller should come back, in seconds."""
         latest = RETRY_LATEST
         if over:
-            latest = max(latest, self._shares.seconds_over(context.owner))
+            latest = max(latest, self._shares.seconds_over(context.organisation_name))
         return random.uniform(RETRY_SOONEST, latest)
 
     async def _admit(
@@ -268,7 +268,7 @@
                 wait = engine_wait(before, best.endpoint.slots)
                 admitted = replace(best, wait=wait)
                 sent = _Sent(best.reading, self._now(), wait)
-                self._sent[context.call.id, name] = sent
+                self._sent[context.request.id, name] = sent
             return admitted
         finally:
             # also where the caller leaves while the answer is awaited
@@ -281,25 +281,25 @@
     def _placement_of_prompt(
         self, context: RequestContext, best: Candidate, demand: Demand
     ) -> Placement:
-        prompt = context.call.prompt
+        prompt = context.request.prompt
         assert prompt is not None
-        context.reading = best.reading
+        context.prefill_seconds = best.reading
         if demand.part is not None:
             self._parts.note(key_of(demand.part), key_of(best.endpoint.id))
             if demand.shared >= LOCATED_TOKENS:
                 self._locator.tell(demand.part, demand.engines[0], best.endpoint)
-        if not context.sends:
-            self._shares.receive(context.owner, _weight(prompt))
+        if not context.send_count:
+            self._shares.receive(context.organisation_name, _weight(prompt))
         return self._placement(context, best)
 
-    def takes_work(self, endpoint: Endpoint) -> bool:
+    def accepts_requests(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint is there still and not leaving."""
         known = self._view.get(endpoint.id)
         return known is not None and not known.leaving
 
-    def began(self, context: RequestContext, endpoint: Endpoint) -> None:
+    def on_response_started(self, context: RequestContext, endpoint: Endpoint) -> None:
         """Note the first part of an answer."""
-        key = (context.call.id, endpoint.id)
+        key = (context.request.id, endpoint.id)
         sent = self._sent.get(key)
         if sent is None:
             return
@@ -311,14 +311,14 @@
     def _learn(self, context: RequestContext, endpoint: Endpoint, sent: _Sent) -> None:
         """Learn how long an endpoint took to begin an answer."""
         taken = self._now() - sent.at
-        if context.call.prompt is None:
+        if context.request.prompt is None:
             self._chooser.plain.observe(endpoint.id, taken)
             return
         reading = sent.wait * BUSY_PART + sent.reading
         taken -= self._distance.seconds(endpoint.zone)
         self._chooser.reading.observe(endpoint.service, reading, taken)
 
-    def ended(
+    def on_attempt_ended(
         self, context: RequestContext, endpoint: Endpoint, outcome: Outcome
     ) -> None:
         """Note the end of an attempt."""
@@ -350,7 +350,7 @@
         fresh = [
             endpoint
             for endpoint in self._view.of_service(context.service)
-            if endpoint.id not in context.tried
+            if endpoint.id not in context.attempted_endpoints
         ]
         reached = [e for e in fresh if not self._results.avoided(e.id)]
         return reached or fresh
@@ -372,10 +372,10 @@
     def _begin(self, context: RequestContext, best: Candidate) -> None:
         self._work.add(best.endpoint.id, 1, best.reading)
         sent = _Sent(best.reading, self._now(), best.wait)
-        self._sent[context.call.id, best.endpoint.id] = sent
+        self._sent[context.request.id, best.endpoint.id] = sent
 
     def _count_out(self, context: RequestContext, endpoint: Endpoint) -> None:
-        sent = self._sent.pop((context.call.id, endpoint.id), None)
+        sent = self._sent.pop((context.request.id, endpoint.id), None)
         if sent is not None:
             self._work.add(endpoint.id, -1, -sent.reading)
 
@@ -389,4 +389,4 @@
     Shared parts are kept and not read again; counted, they would make organisations
     whose prompts share much look as if they had received more than the others.
     """
-    return prompt.tokens - shared_tokens(prompt) + 2 * output_tokens(prompt)
+    return prompt.input_tokens - shared_tokens(prompt) + 2 * output_tokens(prompt)
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -32,7 +32,7 @@
 from teaselledge_fleet.process.settings import FleetSettings
 from teaselledge_fleet.process.spreading import Spreading
 from teaselledge_fleet.process.store import StateStore
-from teaselledge_fleet.request.call import Dialect
+from teaselledge_fleet.request.call import HeaderCodec
 from teaselledge_fleet.request.serving import Server
 from teaselledge_fleet.version.routes import CallerLimits
 
@@ -91,7 +91,7 @@
         self,
         settings: FleetSettings,
         store: StateStore,
-        dialect: Dialect,
+        dialect: HeaderCodec,
         pages: Pages,
         decode: Decode,
     ) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/waiting.py
+++ b/packages/fleet/src/teaselledge_fleet/process/waiting.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from teaselledge_fleet.process.shares import Standing
-from teaselledge_fleet.version.routes import Route, Routing
+from teaselledge_fleet.version.routes import Route, RoutingConfiguration
 
 __all__ = ["WaitBounds"]
 
@@ -55,15 +55,15 @@
     def __init__(self) -> None:
         self._shortest: Mapping[str, float] = {}
 
-    def use(self, routing: Routing) -> None:
+    def use(self, routing: RoutingConfiguration) -> None:
         """Take the objectives of a version of the configuration."""
         shortest: dict[str, float] = {}
         for route in routing.routes:
-            if not route.prompt:
+            if not route.carries_prompt:
                 continue
             for target in route.targets:
-                known = shortest.get(target.service, route.objective)
-                shortest[target.service] = min(known, route.objective)
+                known = shortest.get(target.service, route.latency_objective)
+                shortest[target.service] = min(known, route.latency_objective)
         self._shortest = shortest
 
     def most_wait(self, route: Route, service: str, standing: Standing) -> float:
@@ -78,5 +78,8 @@
         standing : Standing
             What its organisation received, against what all ask for.
         """
-        objective = min(route.objective, self._shortest.get(service, route.objective))
+        objective = min(
+            route.latency_objective,
+            self._shortest.get(service, route.latency_objective),
+        )
         return objective * WAIT_PARTS[standing]
--- a/packages/fleet/src/teaselledge_fleet/request/call.py
+++ b/packages/fleet/src/teaselledge_fleet/request/call.py
@@ -6,10 +6,10 @@
 from tornado.httputil import HTTPHeaders
 
 __all__ = [
-    "Call",
-    "Dialect",
-    "EndpointHead",
-    "Onward",
+    "CallerRequest",
+    "HeaderCodec",
+    "ResponseHead",
+    "ForwardingInfo",
     "Prompt",
     "PromptPart",
 ]
@@ -37,24 +37,24 @@
 
     Attributes
     ----------
-    tokens : int
+    input_tokens : int
         Tokens to be read.
-    max_output : int
+    max_output_tokens : int
         Most tokens to be generated.
     parts : tuple of PromptPart
         The prompt's parts in order; the last is the request's own.
-    output_hint : int or None
+    expected_output_tokens : int or None
         The caller's estimate of the tokens generated; right at the median.
     """
 
-    tokens: int
-    max_output: int
+    input_tokens: int
+    max_output_tokens: int
     parts: tuple[PromptPart, ...] = ()
-    output_hint: int | None = None
+    expected_output_tokens: int | None = None
 
 
 @dataclass(frozen=True)
-class Call:
+class CallerRequest:
     """A caller's request, decoded.
 
     Attributes
@@ -67,7 +67,7 @@
         Headers that go on to the endpoint unchanged.
     key : str or None
         Bearer key.
-    patience : float or None
+    timeout_seconds : float or None
         Seconds that the caller waits.
     prompt : Prompt or None
         Set for requests to model engines.
@@ -81,7 +81,7 @@
     host: str
     headers: HTTPHeaders
     key: str | None = None
-    patience: float | None = None
+    timeout_seconds: float | None = None
     prompt: Prompt | None = None
     resume_after: str | None = None
 
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True)
-class Onward:
+class ForwardingInfo:
     """What the router adds to a request on its way to an endpoint.
 
     Attributes
@@ -101,7 +101,7 @@
         Id of the endpoint that is meant; any other one must decline.
     organisation : str or None
         The caller's organisation.
-    seconds : float or None
+    timeout_seconds : float or None
         Time left for the answer.
     resume_after : str or None
         Id of the last event that reached the caller.
@@ -111,13 +111,13 @@
 
     endpoint: str
     organisation: str | None
-    seconds: float | None
+    timeout_seconds: float | None
     resume_after: str | None = None
     fetch_from: str | None = None
 
 
 @dataclass(frozen=True)
-class EndpointHead:
+class ResponseHead:
     """The head of an endpoint's answer, decoded.
 
     Attributes
@@ -126,34 +126,38 @@
         HTTP status.
     headers : HTTPHeaders
         Headers that go on to the caller.
-    own : bool
+    matches_request : bool
         Whether it answers this request, not another one.
     declined : bool
         The endpoint says that it has not run the request and never will.
-    sound : bool
+    authentic : bool
         False for an answer that can't be the endpoint's own.
     """
 
     status: int
     headers: HTTPHeaders
-    own: bool
+    matches_request: bool
     declined: bool
-    sound: bool
+    authentic: bool
 
 
-class Dialect(Protocol):
+class HeaderCodec(Protocol):
     """Translates between wire names and the types of this module."""
 
-    def read_call(self, method: str, target: str, headers: HTTPHeaders) -> Call:
+    def decode_request(
+        self, method: str, target: str, headers: HTTPHeaders
+    ) -> CallerRequest:
         """Decode a caller's request."""
 
-    def onward_headers(self, call: Call, onward: Onward) -> list[tuple[str, str]]:
+    def endpoint_request_headers(
+        self, request: CallerRequest, forwarding: ForwardingInfo
+    ) -> list[tuple[str, str]]:
         """Return all headers for an endpoint but those of the body's length."""
 
-    def read_head(
-        self, call: Call, status: int, headers: list[tuple[str, str]]
-    ) -> EndpointHead:
+    def decode_response_head(
+        self, request: CallerRequest, status: int, headers: list[tuple[str, str]]
+    ) -> ResponseHead:
         """Decode the head of an endpoint's answer."""
 
-    def refusal_headers(self, call: Call) -> HTTPHeaders:
+    def local_reply_headers(self, request: CallerRequest) -> HTTPHeaders:
         """Return the headers of an answer that the router makes itself."""
--- a/packages/fleet/src/teaselledge_fleet/request/context.py
+++ b/packages/fleet/src/teaselledge_fleet/request/context.py
@@ -8,7 +8,7 @@
 
 from teaselledge_fleet.faults import Fault
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_fleet.request.call import Call
+from teaselledge_fleet.request.call import CallerRequest
 from teaselledge_fleet.version.routes import Organisation, Route
 
 __all__ = ["RequestContext", "Outcome", "Placement", "Placer"]
@@ -45,7 +45,7 @@
 
     Attributes
     ----------
-    call : Call
+    request : Call
         The request.
     body : bytes
         Its body.
@@ -55,41 +55,41 @@
         The service it goes to.
     organisation : Organisation or None
         Whose it is.
-    arrived, deadline : float
+    arrived_at, deadline : float
         Loop times.
-    tried : list of str
+    attempted_endpoints : list of str
         Ids of the endpoints it was sent to, or that could not be reached.
-    sends : int
+    send_count : int
         How often it was sent.
     may_have_run : bool
         Whether any attempt may have run.
-    begun : float or None
+    first_event_at : float or None
         Loop time of the first event of a stream.
-    longest_pause : float
+    longest_event_gap : float
         Longest time between two parts of a stream, in seconds.
     version : int
         Configuration under which it runs.
-    reading : float
+    prefill_seconds : float
         Time that the engine is expected to read its prompt, in seconds.
     """
 
-    call: Call
+    request: CallerRequest
     body: bytes
     route: Route
     service: str
     organisation: Organisation | None
-    arrived: float
+    arrived_at: float
     deadline: float
-    tried: list[str] = field(default_factory=list)
-    sends: int = 0
+    attempted_endpoints: list[str] = field(default_factory=list)
+    send_count: int = 0
     may_have_run: bool = False
-    begun: float | None = None
-    longest_pause: float = 0.0
+    first_event_at: float | None = None
+    longest_event_gap: float = 0.0
     version: int = 0
-    reading: float = 0.0
+    prefill_seconds: float = 0.0
 
     @property
-    def owner(self) -> str:
+    def organisation_name(self) -> str:
         """Name of the organisation, empty without one."""
         return self.organisation.name if self.organisation is not None else ""
 
@@ -104,20 +104,20 @@
         Runs it.
     fetch_from : str or None
         Address of an engine that may keep the shared parts of the prompt.
-    reasons : dict of str to float
+    log_fields : dict of str to float
         Figures that decided it, for the log.
     """
 
     endpoint: Endpoint
     fetch_from: str | None = None
-    reasons: dict[str, float] = field(default_factory=dict)
+    log_fields: dict[str, float] = field(default_factory=dict)
 
 
 class Placer(Protocol):
     """Decides where and when a request runs."""
 
-    def note_asked(
-        self, call: Call, organisation: Organisation | None, times: int = 1
+    def record_demand(
+        self, call: CallerRequest, organisation: Organisation | None, weight: int = 1
     ) -> None:
         """Count a request that an organisation may make, also one that is refused.
 
@@ -127,13 +127,13 @@
     async def place(self, context: RequestContext) -> Result[Placement, Fault]:
         """Return the endpoint for the next attempt, or why there is none."""
 
-    def takes_work(self, endpoint: Endpoint) -> bool:
+    def accepts_requests(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint is there still and not leaving."""
 
-    def began(self, context: RequestContext, endpoint: Endpoint) -> None:
+    def on_response_started(self, context: RequestContext, endpoint: Endpoint) -> None:
         """Note the first part of an answer."""
 
-    def ended(
+    def on_attempt_ended(
         self, context: RequestContext, endpoint: Endpoint, outcome: Outcome
     ) -> None:
         """Note the end of an attempt."""
--- a/packages/fleet/src/teaselledge_fleet/request/owndialect.py
+++ b/packages/fleet/src/teaselledge_fleet/request/defaultcodec.py
@@ -4,20 +4,20 @@
 
 from tornado.httputil import HTTPHeaders
 
-from teaselledge_fleet.request.call import Call, EndpointHead, Onward
+from teaselledge_fleet.request.call import CallerRequest, ForwardingInfo, ResponseHead
 from teaselledge_fleet.request.headers import from_pairs
 
-__all__ = ["OwnDialect"]
+__all__ = ["DefaultHeaderCodec"]
 
 REQUEST_ID = "X-Request-Id"
-PATIENCE = "X-Deadline-Seconds"
+DEADLINE = "X-Deadline-Seconds"
 ENDPOINT = "X-Endpoint"
 ORGANISATION = "X-Organisation"
 NOT_RUN = "X-Not-Run"
 LAST_EVENT = "Last-Event-Id"
 FETCH_FROM = "X-Fetch-From"
 
-OWN = frozenset(
+STRIPPED_HEADERS = frozenset(
     name.lower()
     for name in (
         "Authorization",
@@ -28,7 +28,7 @@
         "Keep-Alive",
         "Transfer-Encoding",
         "Upgrade",
-        PATIENCE,
+        DEADLINE,
         ENDPOINT,
         ORGANISATION,
         LAST_EVENT,
@@ -41,63 +41,69 @@
 SUCCESS = range(200, 300)
 
 
-class OwnDialect:
+class DefaultHeaderCodec:
     """Reads and writes the product's own headers."""
 
-    def read_call(self, method: str, target: str, headers: HTTPHeaders) -> Call:
+    def decode_request(
+        self, method: str, target: str, headers: HTTPHeaders
+    ) -> CallerRequest:
         """Decode a caller's request; one without an id is given one."""
         passed = HTTPHeaders()
         for name, value in headers.get_all():
-            if name.lower() not in OWN:
+            if name.lower() not in STRIPPED_HEADERS:
                 passed.add(name, value)
         request_id = headers.get(REQUEST_ID) or secrets.token_hex(ID_BYTES)
         passed[REQUEST_ID] = request_id
         scheme, _, key = headers.get("Authorization", "").partition(" ")
-        return Call(
+        return CallerRequest(
             id=request_id,
             method=method,
             target=target,
             host=headers.get("Host", "").split(":", 1)[0],
             headers=passed,
             key=key.strip() if scheme.lower() == "bearer" else None,
-            patience=_seconds(headers.get(PATIENCE)),
+            timeout_seconds=_seconds(headers.get(DEADLINE)),
             resume_after=headers.get(LAST_EVENT),
         )
 
-    def onward_headers(self, call: Call, onward: Onward) -> list[tuple[str, str]]:
+    def endpoint_request_headers(
+        self, request: CallerRequest, forwarding: ForwardingInfo
+    ) -> list[tuple[str, str]]:
         """Return all headers for an endpoint but those of the body's length."""
-        result = [("Host", call.host), *call.headers.get_all()]
-        result.append((ENDPOINT, onward.endpoint))
+        result = [("Host", request.host), *request.headers.get_all()]
+        result.append((ENDPOINT, forwarding.endpoint))
         optional = {
-            ORGANISATION: onward.organisation,
-            PATIENCE: f"{onward.seconds:.3f}" if onward.seconds is not None else None,
-            LAST_EVENT: onward.resume_after or call.resume_after,
-            FETCH_FROM: onward.fetch_from,
+            ORGANISATION: forwarding.organisation,
+            DEADLINE: f"{forwarding.timeout_seconds:.3f}"
+            if forwarding.timeout_seconds is not None
+            else None,
+            LAST_EVENT: forwarding.resume_after or request.resume_after,
+            FETCH_FROM: forwarding.fetch_from,
         }
         result += [(name, value) for name, value in optional.items() if value]
         return result
 
-    def read_head(
-        self, call: Call, status: int, headers: list[tuple[str, str]]
-    ) -> EndpointHead:
+    def decode_response_head(
+        self, request: CallerRequest, status: int, headers: list[tuple[str, str]]
+    ) -> ResponseHead:
         """Decode the head of an endpoint's answer."""
         fields = from_pairs(headers)
         passed = HTTPHeaders()
         for name, value in fields.get_all():
-            if name.lower() not in OWN or name.lower() == "content-length":
+            if name.lower() not in STRIPPED_HEADERS or name.lower() == "content-length":
                 passed.add(name, value)
         declined = NOT_RUN in fields
-        return EndpointHead(
+        return ResponseHead(
             status=status,
             headers=passed,
-            own=fields.get(REQUEST_ID, call.id) == call.id,
+            matches_request=fields.get(REQUEST_ID, request.id) == request.id,
             declined=declined,
-            sound=REQUEST_ID in fields or status not in SUCCESS,
+            authentic=REQUEST_ID in fields or status not in SUCCESS,
         )
 
-    def refusal_headers(self, call: Call) -> HTTPHeaders:
+    def local_reply_headers(self, request: CallerRequest) -> HTTPHeaders:
         """Return the headers of an answer that the router makes itself."""
-        return HTTPHeaders({REQUEST_ID: call.id})
+        return HTTPHeaders({REQUEST_ID: request.id})
 
 
 def _seconds(text: str | None) -> float | None:
--- a/packages/fleet/src/teaselledge_fleet/request/events.py
+++ b/packages/fleet/src/teaselledge_fleet/request/events.py
@@ -4,7 +4,7 @@
 
 __all__ = ["EventSplitter"]
 
-EDGE = re.compile(rb"\r?\n\r?\n")
+EVENT_BOUNDARY = re.compile(rb"\r?\n\r?\n")
 """A blank line ends an event (HTML standard, section 9.2.5)."""
 
 
@@ -26,7 +26,7 @@
         return self._last_id
 
     @property
-    def partial(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether a part of an event is held."""
         return bool(self._held.strip())
 
@@ -34,13 +34,13 @@
         """Take bytes and return the whole events."""
         held = self._held + data
         end = 0
-        for edge in EDGE.finditer(held):
+        for edge in EVENT_BOUNDARY.finditer(held):
             self._note(held[end : edge.end()])
             end = edge.end()
         self._held = held[end:]
         return held[:end]
 
-    def drop(self) -> None:
+    def discard_partial_event(self) -> None:
         """Forget the event that was not completed."""
         self._held = b""
 
--- a/packages/fleet/src/teaselledge_fleet/request/headers.py
+++ b/packages/fleet/src/teaselledge_fleet/request/headers.py
@@ -4,7 +4,7 @@
 
 from tornado.httputil import HTTPHeaders
 
-__all__ = ["HOP_BY_HOP", "from_pairs", "passed_on"]
+__all__ = ["HOP_BY_HOP", "from_pairs", "forwardable_headers"]
 
 HOP_BY_HOP = frozenset(
     {
@@ -32,16 +32,18 @@
     return result
 
 
-def passed_on(headers: HTTPHeaders, dropped: Collection[str] = ()) -> HTTPHeaders:
+def forwardable_headers(
+    headers: HTTPHeaders, excluded: Collection[str] = ()
+) -> HTTPHeaders:
     """Return the headers without those of one connection and some others.
 
     Parameters
     ----------
     headers : HTTPHeaders
         As they came; ``Connection`` may name more that are for one connection.
-    dropped : collection of str
+    excluded : collection of str
         Others to be left out, in lower case.
     """
     named = {n.strip().lower() for n in headers.get("Connection", "").split(",")}
-    skipped = HOP_BY_HOP | named | frozenset(dropped)
+    skipped = HOP_BY_HOP | named | frozenset(excluded)
     return from_pairs(p for p in headers.get_all() if p[0].lower() not in skipped)
--- a/packages/fleet/src/teaselledge_fleet/request/serving.py
+++ b/packages/fleet/src/teaselledge_fleet/request/serving.py
@@ -17,10 +17,20 @@
 from teaselledge_fleet.process.budget import RepeatBudget
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.metrics import FleetMetrics
-from teaselledge_fleet.request.call import Call, Dialect, EndpointHead, Onward
+from teaselledge_fleet.request.call import (
+    CallerRequest,
+    ForwardingInfo,
+    HeaderCodec,
+    ResponseHead,
+)
 from teaselledge_fleet.request.context import Outcome, Placement, Placer, RequestContext
 from teaselledge_fleet.request.events import EventSplitter
-from teaselledge_fleet.version.routes import Organisation, Repeat, Route, Routing
+from teaselledge_fleet.version.routes import (
+    Organisation,
+    RetryPolicy,
+    Route,
+    RoutingConfiguration,
+)
 
 __all__ = ["Server"]
 
@@ -46,13 +56,13 @@
 
 
 def permit(
-    routing: Routing, call: Call
+    routing: RoutingConfiguration, call: CallerRequest
 ) -> Result[tuple[Route, Organisation | None], Fault]:
     """Return the route of a request and whose it is, or why it is not allowed."""
-    route = routing.route_of(call.host, call.path)
+    route = routing.find_route(call.host, call.path)
     if route is None:
         return Error(Fault(FaultKind.NO_ROUTE))
-    organisation = routing.holder_of(call.key) if call.key else None
+    organisation = routing.find_organisation(call.key) if call.key else None
     if organisation is None and routing.organisations and not route.public:
         return Error(Fault(FaultKind.UNKNOWN_KEY))
     return Ok((route, organisation))
@@ -75,7 +85,7 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        dialect: HeaderCodec,
         pool: ConnectionPool,
         placer: Placer,
         budget: RepeatBudget,
@@ -86,13 +96,13 @@
         self._placer = placer
         self._budget = budget
         self._metrics = metrics or FleetMetrics()
-        self.routing: Routing | None = None
+        self.routing: RoutingConfiguration | None = None
         self.leaving = False
         self.late: Callable[[], bool] = lambda: False
 
     async def serve(self, incoming: Incoming, sink: CallerSink) -> None:
         """Run a request and answer it."""
-        call = self._dialect.read_call(
+        call = self._dialect.decode_request(
             incoming.method, incoming.target, incoming.headers
         )
         admitted = self._admit(call, incoming)
@@ -103,7 +113,9 @@
         context = admitted.ok
         await _Run(self, context, sink).go()
 
-    def _admit(self, call: Call, incoming: Incoming) -> Result[RequestContext, Fault]:
+    def _admit(
+        self, call: CallerRequest, incoming: Incoming
+    ) -> Result[RequestContext, Fault]:
         routing = self.routing
         origin = incoming.origin
         if routing is None or routing.version < (origin.least_version or 0):
@@ -112,7 +124,7 @@
         if permitted.is_ok():
             # before anything is refused: whoever is refused most would otherwise look
             # as if it asked for least, and its share would go to the others
-            self._placer.note_asked(call, permitted.ok[1], origin.stands_for)
+            self._placer.record_demand(call, permitted.ok[1], origin.stands_for)
         if self.leaving:
             return Error(Fault(FaultKind.LEAVING, LEAVING_RETRY_SECONDS))
         if self.late() or origin.crowded:
@@ -121,15 +133,15 @@
             return Error(permitted.error)
         route, organisation = permitted.ok
         seconds = route.timeout
-        if call.patience is not None:
-            seconds = min(seconds, call.patience)
+        if call.timeout_seconds is not None:
+            seconds = min(seconds, call.timeout_seconds)
         draw = hash(call.id) % 997 / 997
         return Ok(
             RequestContext(
                 call,
                 incoming.body,
                 route,
-                route.target(draw),
+                route.choose_service(draw),
                 organisation,
                 incoming.arrived,
                 incoming.arrived + seconds,
@@ -137,11 +149,11 @@
             )
         )
 
-    def _tell_refusal(self, call: Call, caller: str, fault: Fault) -> None:
+    def _tell_refusal(self, call: CallerRequest, caller: str, fault: Fault) -> None:
         kind = fault.kind.value
         organisation = None
         if self.routing is not None and call.key:
-            organisation = self.routing.holder_of(call.key)
+            organisation = self.routing.find_organisation(call.key)
         self._metrics.count("requests", outcome="refused", fault=kind, service="")
         _log.info(
             "request refused",
@@ -155,13 +167,15 @@
             retry_after=fault.retry_after,
         )
 
-    async def _refuse(self, call: Call, sink: CallerSink, fault: Fault) -> None:
+    async def _refuse(
+        self, call: CallerRequest, sink: CallerSink, fault: Fault
+    ) -> None:
         if fault.kind is FaultKind.ROUTER_BUSY:
             # callers that keep their connections here would find it busy again, while
             # other routers of the zone have room
             sink.moving = 1.0
         body = body_of(fault)
-        headers = head_of(fault, self._dialect.refusal_headers(call), len(body))
+        headers = head_of(fault, self._dialect.local_reply_headers(call), len(body))
         chunk = None if call.method == "HEAD" else body
         await sink.start(ANSWERS[fault.kind].status, headers, chunk)
         sink.finish()
@@ -203,7 +217,7 @@
             try:
                 outcome = await self._attempt(placed.ok)
             finally:
-                self._server._placer.ended(context, endpoint, outcome)
+                self._server._placer.on_attempt_ended(context, endpoint, outcome)
                 self._server._metrics.count(
                     "attempts", outcome=outcome.name.lower(), service=context.service
                 )
@@ -217,37 +231,39 @@
         endpoint = placement.endpoint
         context = self._context
         server = self._server
-        context.tried.append(endpoint.id)
-        once = context.route.repeat is not Repeat.ANY
+        context.attempted_endpoints.append(endpoint.id)
+        once = context.route.retry_policy is not RetryPolicy.ANY
         taken = await server._pool.take(endpoint.address, once)
         if taken.is_error():
             return Outcome.UNSENT
         if self._sink.gone:
             return Outcome.ABANDONED
-        if not server._placer.takes_work(endpoint):
-            _log.info("endpoint left", id=context.call.id, endpoint=endpoint.id)
+        if not server._placer.accepts_requests(endpoint):
+            _log.info("endpoint left", id=context.request.id, endpoint=endpoint.id)
             return Outcome.UNSENT
         outdated = self._outdated()
         if outdated is not None:
             await self._give_up(outdated)
             return Outcome.ABANDONED
-        if context.sends == 0:
+        if context.send_count == 0:
             server._budget.note_first(context.service)
-        context.sends += 1
+        context.send_count += 1
         _log.info(
             "attempt sent",
-            id=context.call.id,
+            id=context.request.id,
             endpoint=endpoint.id,
             address=endpoint.address,
-            send=context.sends,
+            send=context.send_count,
             fetch_from=placement.fetch_from,
-            **placement.reasons,
+            **placement.log_fields,
         )
         before = context.may_have_run
         context.may_have_run = True
         onward = self._onward(placement)
-        headers = server._dialect.onward_headers(context.call, onward)
-        exchange = taken.ok.start(context.call, server._dialect, headers, context.body)
+        headers = server._dialect.endpoint_request_headers(context.request, onward)
+        exchange = taken.ok.start(
+            context.request, server._dialect, headers, context.body
+        )
         try:
             head = await exchange.head()
             if head.is_error():
@@ -266,9 +282,9 @@
         see an old version in force, and engines get requests of routes that are gone.
         """
         context, routing = self._context, self._server.routing
-        if routing is None or routing.version == context.version or context.sends:
+        if routing is None or routing.version == context.version or context.send_count:
             return None
-        permitted = permit(routing, context.call)
+        permitted = permit(routing, context.request)
         if permitted.is_error():
             return permitted.error
         route, _ = permitted.ok
@@ -276,13 +292,13 @@
             return Fault(FaultKind.NOT_CONFIGURED, STARTING_RETRY_SECONDS)
         return None
 
-    def _onward(self, placement: Placement) -> Onward:
+    def _onward(self, placement: Placement) -> ForwardingInfo:
         context = self._context
         left = context.deadline - asyncio.get_running_loop().time()
         after = self._splitter.last_id if self._splitter is not None else None
-        return Onward(
+        return ForwardingInfo(
             placement.endpoint.id,
-            context.owner or None,
+            context.organisation_name or None,
             max(0.001, left - HAND_OVER_SECONDS),
             after,
             placement.fetch_from,
@@ -291,16 +307,16 @@
     def _lost(self, failure: SendFailure) -> Outcome:
         _log.info(
             "attempt lost",
-            id=self._context.call.id,
+            id=self._context.request.id,
             fault=failure.fault.value,
             reused=failure.reused,
         )
         return Outcome.BROKEN if self._sink.started else Outcome.LOST
 
     async def _pass_on(
-        self, endpoint: Endpoint, head: EndpointHead, exchange: Exchange
+        self, endpoint: Endpoint, head: ResponseHead, exchange: Exchange
     ) -> Outcome:
-        if not head.sound:
+        if not head.authentic:
             return Outcome.BROKEN if self._sink.started else Outcome.LOST
         failed = head.status >= SERVER_ERROR or head.status in PROMISES
         if failed and (self._sink.started or self._may_repeat(Outcome.FAILED)):
@@ -314,7 +330,7 @@
         return await self._relay_events(endpoint, head, exchange)
 
     async def _relay(
-        self, endpoint: Endpoint, head: EndpointHead, exchange: Exchange
+        self, endpoint: Endpoint, head: ResponseHead, exchange: Exchange
     ) -> Outcome:
         """Pass on an answer whose parts have no edges."""
         if self._sink.started:
@@ -325,7 +341,7 @@
                 parts.append(part)
         except BrokenAnswerError:
             return Outcome.LOST
-        self._server._placer.began(self._context, endpoint)
+        self._server._placer.on_response_started(self._context, endpoint)
         body = b"".join(parts)
         headers = head.headers.copy()
         if head.status not in NO_BODY and "Content-Length" not in headers:
@@ -335,7 +351,7 @@
         return Outcome.WHOLE if head.status < SERVER_ERROR else Outcome.FAILED
 
     async def _relay_events(
-        self, endpoint: Endpoint, head: EndpointHead, exchange: Exchange
+        self, endpoint: Endpoint, head: ResponseHead, exchange: Exchange
     ) -> Outcome:
         """Pass on whole events as they come."""
         splitter = self._splitter
@@ -346,24 +362,24 @@
                 if events:
                     await self._put(endpoint, head, events)
         except BrokenAnswerError:
-            splitter.drop()
+            splitter.discard_partial_event()
             return Outcome.BROKEN if self._sink.started else Outcome.LOST
-        if splitter.partial:
-            splitter.drop()
+        if splitter.has_partial_event:
+            splitter.discard_partial_event()
             return Outcome.BROKEN if self._sink.started else Outcome.LOST
         if not self._sink.started:
             await self._put(endpoint, head, b"")
         self._sink.finish()
         return Outcome.WHOLE
 
-    async def _put(self, endpoint: Endpoint, head: EndpointHead, events: bytes) -> None:
+    async def _put(self, endpoint: Endpoint, head: ResponseHead, events: bytes) -> None:
         self._note_pause()
         if self._sink.started:
             await self._sink.write(events)
             return
         context = self._context
-        context.begun = asyncio.get_running_loop().time()
-        self._server._placer.began(context, endpoint)
+        context.first_event_at = asyncio.get_running_loop().time()
+        self._server._placer.on_response_started(context, endpoint)
         headers = head.headers.copy()
         # the whole may come from several endpoints
         headers.pop("Content-Length", None)
@@ -373,7 +389,9 @@
         now = asyncio.get_running_loop().time()
         if self._last_part is not None:
             pause = now - self._last_part
-            self._context.longest_pause = max(self._context.longest_pause, pause)
+            self._context.longest_event_gap = max(
+                self._context.longest_event_gap, pause
+            )
         self._last_part = now
 
     def _again(self, outcome: Outcome) -> bool:
@@ -387,12 +405,12 @@
         context = self._context
         route = context.route
         if outcome is Outcome.UNSENT:
-            return len(context.tried) - context.sends < MAX_UNREACHED
-        if context.sends >= route.attempts:
+            return len(context.attempted_endpoints) - context.send_count < MAX_UNREACHED
+        if context.send_count >= route.attempts:
             return False
         if outcome is Outcome.DECLINED:
             return True
-        return route.repeat is not Repeat.NEVER
+        return route.retry_policy is not RetryPolicy.NEVER
 
     def _last_fault(self, outcome: Outcome) -> Fault:
         context = self._context
@@ -412,7 +430,7 @@
             # an earlier attempt may have run, so no promise can be made
             fault = Fault(FaultKind.ENDPOINT_FAILED)
         self._fault = fault
-        await self._server._refuse(self._context.call, self._sink, fault)
+        await self._server._refuse(self._context.request, self._sink, fault)
 
     async def _time_out(self) -> None:
         if self._context.may_have_run:
@@ -427,36 +445,38 @@
         metrics.count(
             "requests", outcome=outcome.name.lower(), fault=fault, service=service
         )
-        metrics.observe("request_seconds", now - context.arrived, service=service)
-        if context.begun is not None:
-            first = context.begun - context.arrived
+        metrics.observe("request_seconds", now - context.arrived_at, service=service)
+        if context.first_event_at is not None:
+            first = context.first_event_at - context.arrived_at
             metrics.observe("first_event_seconds", first, service=service)
-            metrics.observe("pause_seconds", context.longest_pause, service=service)
+            metrics.observe("pause_seconds", context.longest_event_gap, service=service)
 
     def _tell(self, outcome: Outcome, endpoint: Endpoint | None) -> None:
         context = self._context
         now = asyncio.get_running_loop().time()
         self._count(outcome, now)
         first = None
-        if context.begun is not None:
-            first = round((context.begun - context.arrived) * 1000)
+        if context.first_event_at is not None:
+            first = round((context.first_event_at - context.arrived_at) * 1000)
         _log.info(
             "request ended",
-            id=context.call.id,
+            id=context.request.id,
             route=context.route.name,
-            organisation=context.owner,
+            organisation=context.organisation_name,
             version=context.version,
             outcome=outcome.name.lower(),
             fault=self._fault.kind.value if self._fault is not None else None,
             endpoint=endpoint.id if endpoint is not None else None,
-            tried=context.tried,
-            prompt=context.call.prompt.tokens if context.call.prompt else None,
-            reading_ms=round(context.reading * 1000),
+            tried=context.attempted_endpoints,
+            prompt=context.request.prompt.input_tokens
+            if context.request.prompt
+            else None,
+            reading_ms=round(context.prefill_seconds * 1000),
             retry_after=self._fault.retry_after if self._fault is not None else None,
-            sends=context.sends,
+            sends=context.send_count,
             first_ms=first,
-            pause_ms=round(context.longest_pause * 1000),
-            ms=round((now - context.arrived) * 1000),
+            pause_ms=round(context.longest_event_gap * 1000),
+            ms=round((now - context.arrived_at) * 1000),
             left_ms=round((context.deadline - now) * 1000),
         )
 
--- a/packages/fleet/src/teaselledge_fleet/version/routes.py
+++ b/packages/fleet/src/teaselledge_fleet/version/routes.py
@@ -7,15 +7,15 @@
 __all__ = [
     "CallerLimits",
     "Organisation",
-    "Repeat",
+    "RetryPolicy",
     "Route",
-    "Routing",
-    "ServiceEntry",
+    "RoutingConfiguration",
+    "ServiceConfiguration",
     "Target",
 ]
 
 
-class Repeat(Enum):
+class RetryPolicy(Enum):
     """What may be done again when an attempt fails."""
 
     ANY = "any"
@@ -54,20 +54,20 @@
         Unique within a version.
     host, prefix : str
         Select the route: the longest prefix of the path on that host.
-    repeat : Repeat
+    retry_policy : Repeat
         What may be repeated.
     stream : bool
         Whether the answer is a series of events.
-    prompt : bool
+    carries_prompt : bool
         Whether requests carry a prompt for a model engine.
-    timeout, objective : float
+    timeout, latency_objective : float
         Longest time to a final answer, and the time aimed at, in seconds. For
         a stream the objective is the time to its first event.
-    max_pause : float
+    event_gap_objective : float
         Longest pause between events that is still on time, in seconds.
     attempts : int
         Most endpoints that one request is sent to.
-    rank : int
+    priority : int
         0 is the most urgent.
     public : bool
         Whether no key is needed.
@@ -78,20 +78,20 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    retry_policy: RetryPolicy
     stream: bool
-    prompt: bool
+    carries_prompt: bool
     timeout: float
-    objective: float
-    max_pause: float
+    latency_objective: float
+    event_gap_objective: float
     attempts: int
-    rank: int
+    priority: int
     public: bool
     targets: tuple[Target, ...]
 
-    def target(self, draw: float) -> str:
+    def choose_service(self, fraction: float) -> str:
         """Return the service for a request, given a number from 0 to below 1."""
-        left = draw * sum(target.weight for target in self.targets)
+        left = fraction * sum(target.weight for target in self.targets)
         for target in self.targets:
             left -= target.weight
             if left < 0:
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True)
-class ServiceEntry:
+class ServiceConfiguration:
     """A service and what its endpoints accept.
 
     Attributes
@@ -128,13 +128,13 @@
         Unique within a version.
     keys : tuple of str
         Bearer keys.
-    rank : int or None
+    priority : int or None
         Replaces the rank of the route.
     """
 
     name: str
     keys: tuple[str, ...]
-    rank: int | None = None
+    priority: int | None = None
 
 
 @dataclass(frozen=True)
@@ -147,7 +147,7 @@
         Largest headers and body.
     header_seconds, idle_seconds : float
         Longest time for the headers, and between requests.
-    tokens_per_second : float
+    capacity_tokens_per_second : float
         What all model engines do together, a token read counting one and a
         token generated two; 0 where it is not told.
     """
@@ -156,11 +156,11 @@
     body_bytes: int = 4 << 20
     header_seconds: float = 3.0
     idle_seconds: float = 15.0
-    tokens_per_second: float = 0.0
+    capacity_tokens_per_second: float = 0.0
 
 
 @dataclass(frozen=True)
-class Routing:
+class RoutingConfiguration:
     """A whole version.
 
     Attributes
@@ -179,7 +179,7 @@
 
     version: int
     routes: tuple[Route, ...]
-    services: Mapping[str, ServiceEntry]
+    services: Mapping[str, ServiceConfiguration]
     organisations: tuple[Organisation, ...]
     limits: CallerLimits = field(default_factory=CallerLimits)
 
@@ -193,7 +193,7 @@
         object.__setattr__(self, "_by_host", by_host)
         object.__setattr__(self, "_holders", holders)
 
-    def route_of(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of a path, None without one."""
         by_host: dict[str, list[Route]] = self._by_host  # type: ignore[attr-defined]
         for route in by_host.get(host, ()):
@@ -201,7 +201,7 @@
                 return route
         return None
 
-    def holder_of(self, key: str) -> Organisation | None:
+    def find_organisation(self, key: str) -> Organisation | None:
         """Return the organisation that holds a key."""
         holders: dict[str, Organisation] = self._holders  # type: ignore[attr-defined]
         return holders.get(key)
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -7,9 +7,9 @@
 from teaselledge_fleet.process.reading import BUSY_PART, FIRST_SECONDS
 from teaselledge_fleet.process.waiting import WAIT_PART
 from teaselledge_fleet.process.work import Work, key_of
-from teaselledge_fleet.request.call import Call, Prompt, PromptPart
+from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptPart
 from teaselledge_fleet.request.context import Outcome, RequestContext
-from teaselledge_fleet.version.routes import Organisation, Repeat
+from teaselledge_fleet.version.routes import Organisation, RetryPolicy
 from teaselledge_standins.routes import make_route
 from teaselledge_standins.spreadfleet import SpreadFleet, spread_fleet
 from teaselledge_standins.statestore import decode_number, store_of
@@ -26,8 +26,12 @@
     """Return a prompt that an engine reads in 45 ms."""
     parts = (PromptPart("p1", 13_000), PromptPart(f"own{number}", 3_700))
     prompt = Prompt(16_700, 120, parts)
-    call = Call(f"q{number}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt)
-    route = make_route(Repeat.NEVER, stream=True, prompt=True, objective=OBJECTIVE)
+    call = CallerRequest(
+        f"q{number}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt
+    )
+    route = make_route(
+        RetryPolicy.NEVER, stream=True, carries_prompt=True, latency_objective=OBJECTIVE
+    )
     now = asyncio.get_running_loop().time()
     owner = Organisation("cellar", ())
     return RequestContext(call, b"", route, "books", owner, now, now + 8.0)
@@ -211,8 +215,8 @@
             assert loop.time() - started <= 0.31
             context = make_context(number)
             engine = placed.ok.endpoint
-            lonely.placer.began(context, engine)
-            lonely.placer.ended(context, engine, Outcome.WHOLE)
+            lonely.placer.on_response_started(context, engine)
+            lonely.placer.on_attempt_ended(context, engine, Outcome.WHOLE)
 
 
 async def test_a_caller_that_leaves_while_asking_leaves_nothing_behind():
@@ -226,7 +230,7 @@
             if task.done():
                 # it admits there itself and asks nobody: its request has begun
                 sent = task.result().ok.endpoint
-                router.placer.ended(context, sent, Outcome.ABANDONED)
+                router.placer.on_attempt_ended(context, sent, Outcome.ABANDONED)
             task.cancel()
         await asyncio.sleep(1.0)
         for engine in ENGINES:
--- a/packages/fleet/tests/test_events.py
+++ b/packages/fleet/tests/test_events.py
@@ -12,7 +12,7 @@
     """
     splitter = EventSplitter()
     assert splitter.feed(WHOLE + b"id: 3\nda") == WHOLE
-    assert splitter.partial
+    assert splitter.has_partial_event
     assert splitter.last_id == "2"
 
 
@@ -22,13 +22,13 @@
         parts = [WHOLE[at : at + size] for at in range(0, len(WHOLE), size)]
         assert b"".join(splitter.feed(part) for part in parts) == WHOLE
         assert splitter.last_id == "2"
-        assert not splitter.partial
+        assert not splitter.has_partial_event
 
 
 def test_a_dropped_event_does_not_join_the_next():
     splitter = EventSplitter()
     splitter.feed(b"id: 1\n\nid: 2\nda")
-    splitter.drop()
+    splitter.discard_partial_event()
     assert splitter.feed(b"id: 2\ndata: b\n\n") == b"id: 2\ndata: b\n\n"
 
 
--- a/packages/fleet/tests/test_one_router_flooded.py
+++ b/packages/fleet/tests/test_one_router_flooded.py
@@ -22,10 +22,10 @@
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.shares import Use
 from teaselledge_fleet.process.work import key_of
-from teaselledge_fleet.request.call import Call, Prompt
-from teaselledge_fleet.request.owndialect import OwnDialect
+from teaselledge_fleet.request.call import CallerRequest, Prompt
+from teaselledge_fleet.request.defaultcodec import DefaultHeaderCodec
 from teaselledge_fleet.request.serving import Server
-from teaselledge_fleet.version.routes import Repeat
+from teaselledge_fleet.version.routes import RetryPolicy
 from teaselledge_standins.fleetrouters import running_routers
 from teaselledge_standins.routes import ask, make_route, make_routing
 from teaselledge_standins.scripted import Received, ScriptedEndpoint, answer_bytes
@@ -44,7 +44,7 @@
 async def test_neighbours_serve_the_callers_of_a_router_without_processor_time():
     async with ScriptedEndpoint(echo) as engine:
         endpoints = [Endpoint("e1", "books", engine.address, "north-a", 40)]
-        routing = make_routing(make_route(Repeat.ANY))
+        routing = make_routing(make_route(RetryPolicy.ANY))
         async with running_routers(3, routing, endpoints) as routers:
             flooded = routers[0]
             flooded.use_up()
@@ -58,13 +58,17 @@
     assert served >= REQUESTS / 2, f"{served} of {REQUESTS} served"
 
 
-class PromptDialect(OwnDialect):
+class PromptDialect(DefaultHeaderCodec):
     """Reads a prompt of 1,000 tokens, of which 100 are generated."""
 
-    def read_call(self, method: str, target: str, headers: HTTPHeaders) -> Call:
+    def decode_request(
+        self, method: str, target: str, headers: HTTPHeaders
+    ) -> CallerRequest:
         """Return a request with a prompt."""
         prompt = Prompt(1000, 100)
-        return Call("q", method, target, "books.example", headers, "key-1", 5.0, prompt)
+        return CallerRequest(
+            "q", method, target, "books.example", headers, "key-1", 5.0, prompt
+        )
 
 
 class Refusals:
@@ -87,7 +91,9 @@
     """
     placer = FleetPlacer(EndpointView(), "north-a", {"north-a": "north"})
     server = Server(PromptDialect(), ConnectionPool(), placer, RepeatBudget())
-    server.routing = make_routing(make_route(Repeat.ANY, prompt=True, public=False))
+    server.routing = make_routing(
+        make_route(RetryPolicy.ANY, carries_prompt=True, public=False)
+    )
     server.late = lambda: True
     line = RequestStartLine("GET", "/r/1", "HTTP/1.1")
     now = asyncio.get_running_loop().time()
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -11,9 +11,9 @@
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.shares import Use
 from teaselledge_fleet.process.work import Work, key_of
-from teaselledge_fleet.request.call import Call, Prompt, PromptPart
+from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptPart
 from teaselledge_fleet.request.context import Outcome, RequestContext
-from teaselledge_fleet.version.routes import Organisation, Repeat
+from teaselledge_fleet.version.routes import Organisation, RetryPolicy
 from teaselledge_standins.routes import make_route
 from tornado.httputil import HTTPHeaders
 
@@ -41,9 +41,13 @@
         self.asked += 1
         parts = (PromptPart(part, shared), PromptPart(f"own{self.asked}", own))
         prompt = Prompt(shared + own, 120, parts)
-        call = Call(f"q{self.asked}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt)
+        call = CallerRequest(
+            f"q{self.asked}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt
+        )
         now = asyncio.get_running_loop().time()
-        route = make_route(Repeat.NEVER, stream=True, prompt=True, objective=0.8)
+        route = make_route(
+            RetryPolicy.NEVER, stream=True, carries_prompt=True, latency_objective=0.8
+        )
         owner = Organisation(more.get("owner", "cellar"), ())
         body = b"x" * more.get("size", 17_000)
         return RequestContext(call, body, route, "books", owner, now, now + 8.0)
@@ -66,7 +70,7 @@
         for _ in range(5):
             context = desk.context(part)
             chosen.add(await placed(desk, context))
-            desk.placer.began(context, desk.view.get(next(iter(chosen))))
+            desk.placer.on_response_started(context, desk.view.get(next(iter(chosen))))
         assert chosen == {ranked(part, ENGINES)[0].id}
 
 
@@ -176,7 +180,7 @@
     for outcome in Outcome:
         context = desk.context()
         name = await placed(desk, context)
-        desk.placer.ended(context, desk.view.get(name), outcome)
+        desk.placer.on_attempt_ended(context, desk.view.get(name), outcome)
         await asyncio.sleep(60)
     for engine in ENGINES:
         total = desk.placer.work.total(engine.id)
@@ -187,7 +191,7 @@
     desk = Desk()
     context = desk.context("p1")
     home = await placed(desk, context)
-    desk.placer.ended(context, desk.view.get(home), Outcome.UNSENT)
+    desk.placer.on_attempt_ended(context, desk.view.get(home), Outcome.UNSENT)
     assert await placed(desk, desk.context("p1")) != home
     await asyncio.sleep(5)
     assert await placed(desk, desk.context("p1")) == home
@@ -242,7 +246,7 @@
     kept = desk.context("p1", shared=13_000, own=3_700)
     desk.placer.locate_with(Directory([key_of(ranked("p1", ENGINES)[0].id)]))
     await placed(desk, kept)
-    assert context.reading > 2 * kept.reading
+    assert context.prefill_seconds > 2 * kept.prefill_seconds
 
 
 async def test_without_a_directory_the_first_choice_is_taken_to_keep_a_part():
@@ -308,8 +312,8 @@
         context = desk.context(own=12_000)
         engine = desk.view.get(await placed(desk, context))
         await asyncio.sleep(3.0)
-        desk.placer.began(context, engine)
-        desk.placer.ended(context, engine, Outcome.WHOLE)
+        desk.placer.on_response_started(context, engine)
+        desk.placer.on_attempt_ended(context, engine, Outcome.WHOLE)
     return desk.placer._chooser.reading.factor("books")
 
 
--- a/packages/fleet/tests/test_pool.py
+++ b/packages/fleet/tests/test_pool.py
@@ -4,7 +4,7 @@
 from contextlib import asynccontextmanager
 
 from teaselledge_fleet.connection.pool import ConnectionPool, PoolLimits
-from teaselledge_fleet.request.owndialect import OwnDialect
+from teaselledge_fleet.request.defaultcodec import DefaultHeaderCodec
 from teaselledge_standins.scripted import ScriptedEndpoint, answer_bytes
 from tornado.httputil import HTTPHeaders
 
@@ -24,8 +24,8 @@
 
 async def send(pool: ConnectionPool, address: str, once: bool = False):
     connection = (await pool.take(address, once)).ok
-    dialect = OwnDialect()
-    call = dialect.read_call("GET", "/r/1", HTTPHeaders({"Host": "h"}))
+    dialect = DefaultHeaderCodec()
+    call = dialect.decode_request("GET", "/r/1", HTTPHeaders({"Host": "h"}))
     exchange = connection.start(
         call, dialect, [("Host", "h"), ("X-Request-Id", call.id)], b""
     )
--- a/packages/fleet/tests/test_refusing.py
+++ b/packages/fleet/tests/test_refusing.py
@@ -4,7 +4,7 @@
 import json
 
 from teaselledge_fleet.connection.accepting import SAMPLED
-from teaselledge_fleet.version.routes import Repeat
+from teaselledge_fleet.version.routes import RetryPolicy
 from teaselledge_standins.routes import HOST, ask, make_route, serving
 from teaselledge_standins.scripted import Received, ScriptedEndpoint, answer_bytes
 
@@ -21,7 +21,7 @@
     """The router has no time; its answer must be understood like any other refusal."""
     async with (
         ScriptedEndpoint(echo) as endpoint,
-        serving(make_route(Repeat.NEVER), endpoint.address) as served,
+        serving(make_route(RetryPolicy.NEVER), endpoint.address) as served,
     ):
         served.front.acceptor.has_time = lambda: False
         for _ in range(2 * SAMPLED):
@@ -38,7 +38,7 @@
 
 async def test_caller_with_a_large_body_gets_the_answer():
     """A connection closed with bytes unread is reset, and the answer may be lost."""
-    async with serving(make_route(Repeat.NEVER)) as served:
+    async with serving(make_route(RetryPolicy.NEVER)) as served:
         served.front.acceptor.has_time = lambda: False
         served.front.acceptor.sampled = 1
         answered = await ask(served.port, "POST", body=LARGE)
@@ -46,7 +46,7 @@
 
 
 async def test_request_that_comes_later_is_answered_as_well():
-    async with serving(make_route(Repeat.NEVER)) as served:
+    async with serving(make_route(RetryPolicy.NEVER)) as served:
         served.front.acceptor.has_time = lambda: False
         served.front.acceptor.sampled = 1
         reader, writer = await asyncio.open_connection("127.0.0.1", served.port)
@@ -58,7 +58,7 @@
 
 
 async def test_connection_without_a_request_is_closed():
-    async with serving(make_route(Repeat.NEVER)) as served:
+    async with serving(make_route(RetryPolicy.NEVER)) as served:
         served.front.acceptor.has_time = lambda: False
         served.front.acceptor.sampled = 1
         reader, writer = await asyncio.open_connection("127.0.0.1", served.port)
--- a/packages/fleet/tests/test_relay.py
+++ b/packages/fleet/tests/test_relay.py
@@ -8,7 +8,7 @@
 from teaselledge_fleet.connection.relay import RelayPool, preface, read_preface
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.passingrate import PassingRate
-from teaselledge_fleet.version.routes import Repeat
+from teaselledge_fleet.version.routes import RetryPolicy
 from teaselledge_standins.fleetrouters import RunningRouter, running_routers
 from teaselledge_standins.routes import HOST, ask, make_route, make_routing
 from teaselledge_standins.scripted import Received, ScriptedEndpoint, answer_bytes
@@ -49,7 +49,7 @@
 async def pair():
     async with ScriptedEndpoint(echo) as engine:
         endpoints = [Endpoint("e1", "books", engine.address, "north-a", 40)]
-        routing = make_routing(make_route(Repeat.NEVER, stream=True), VERSION)
+        routing = make_routing(make_route(RetryPolicy.NEVER, stream=True), VERSION)
         async with running_routers(2, routing, endpoints) as (crowded, neighbour):
             crowded.use_up()
             await asyncio.sleep(SETTLED_SECONDS)
--- a/packages/fleet/tests/test_serving.py
+++ b/packages/fleet/tests/test_serving.py
@@ -4,7 +4,7 @@
 import socket
 
 from teaselledge_fleet.process.budget import RepeatBudget, RepeatLimits
-from teaselledge_fleet.version.routes import Repeat, Target
+from teaselledge_fleet.version.routes import RetryPolicy, Target
 from teaselledge_standins.routes import ask, make_route, make_routing, serving
 from teaselledge_standins.scripted import (
     Received,
@@ -43,7 +43,7 @@
 
 async def test_an_answer_comes_back_unchanged():
     async with ScriptedEndpoint(sends(GOOD)) as endpoint:
-        route = make_route(Repeat.NEVER)
+        route = make_route(RetryPolicy.NEVER)
         async with serving(route, endpoint.address) as served:
             answered = await ask(served.port, "POST", body=b"order")
     assert (answered.status, answered.body, answered.whole) == (200, b"fine", True)
@@ -61,7 +61,7 @@
         ScriptedEndpoint(sends(then=reset)) as first,
         ScriptedEndpoint(sends(GOOD)) as second,
     ):
-        route = make_route(Repeat.NEVER)
+        route = make_route(RetryPolicy.NEVER)
         async with serving(route, first.address, second.address) as served:
             answered = await ask(served.port, "POST", body=b"order")
     assert answered.status == 502
@@ -75,7 +75,7 @@
         ScriptedEndpoint(sends(then=reset)) as first,
         ScriptedEndpoint(sends(GOOD)) as second,
     ):
-        route = make_route(Repeat.ANY)
+        route = make_route(RetryPolicy.ANY)
         async with serving(route, first.address, second.address) as served:
             answered = await ask(served.port)
     assert (answered.status, answered.body) == (200, b"fine")
@@ -88,7 +88,7 @@
         ScriptedEndpoint(sends(declined)) as first,
         ScriptedEndpoint(sends(GOOD)) as second,
     ):
-        route = make_route(Repeat.NEVER)
+        route = make_route(RetryPolicy.NEVER)
         async with serving(route, first.address, second.address) as served:
             answered = await ask(served.port, "POST", body=b"order")
     assert (answered.status, answered.body) == (200, b"fine")
@@ -100,7 +100,7 @@
     Passed on, the status would promise the caller that it may be filed again.
     """
     async with ScriptedEndpoint(sends(answer_bytes(503, OWN_ID, b""))) as endpoint:
-        route = make_route(Repeat.NEVER, attempts=1)
+        route = make_route(RetryPolicy.NEVER, attempts=1)
         async with serving(route, endpoint.address) as served:
             answered = await ask(served.port, "POST", body=b"order")
     assert answered.status == 502
@@ -109,7 +109,7 @@
 async def test_a_declined_order_is_refused_with_a_time_to_return():
     declined = answer_bytes(503, NOT_RUN, b"")
     async with ScriptedEndpoint(sends(declined)) as endpoint:
-        route = make_route(Repeat.NEVER, attempts=1)
+        route = make_route(RetryPolicy.NEVER, attempts=1)
         async with serving(route, endpoint.address) as served:
             answered = await ask(served.port, "POST", body=b"order")
     assert answered.status == 503
@@ -123,7 +123,7 @@
     """
     foreign = answer_bytes(200, {"X-Request-Id": "q0"}, b"not yours")
     async with ScriptedEndpoint(sends(foreign + GOOD)) as endpoint:
-        route = make_route(Repeat.NEVER)
+        route = make_route(RetryPolicy.NEVER)
         async with serving(route, endpoint.address) as served:
             answered = await ask(served.port, "POST", body=b"order")
     assert (answered.status, answered.body) == (200, b"fine")
@@ -133,7 +133,7 @@
     """Bytes follow a whole answer, at once or later, and belong to no request."""
     for script in (sends(GOOD + GOOD), sends(GOOD, GOOD)):
         async with ScriptedEndpoint(script) as endpoint:
-            route = make_route(Repeat.ANY)
+            route = make_route(RetryPolicy.ANY)
             async with serving(route, endpoint.address) as served:
                 await ask(served.port)
                 await asyncio.sleep(0.05)
@@ -151,7 +151,7 @@
     unframed = answer_bytes(200, OWN_ID, b"fine", length=False)
     for then, status in ((close, 200), (reset, 502)):
         async with ScriptedEndpoint(sends(unframed, then=then)) as endpoint:
-            route = make_route(Repeat.NEVER)
+            route = make_route(RetryPolicy.NEVER)
             async with serving(route, endpoint.address) as served:
                 answered = await ask(served.port, "POST", body=b"order")
         assert answered.status == status
@@ -160,7 +160,7 @@
 async def test_a_truncated_answer_is_a_failure():
     truncated = GOOD[:-2]
     async with ScriptedEndpoint(sends(truncated, then=close)) as endpoint:
-        route = make_route(Repeat.NEVER)
+        route = make_route(RetryPolicy.NEVER)
         async with serving(route, endpoint.address) as served:
             answered = await ask(served.port, "POST", body=b"order")
     assert answered.status == 502
@@ -168,7 +168,7 @@
 
 async def test_bytes_that_are_no_answer_are_a_failure():
     async with ScriptedEndpoint(sends(b"\x00\x01nonsense\r\n\r\n")) as endpoint:
-        route = make_route(Repeat.NEVER)
+        route = make_route(RetryPolicy.NEVER)
         async with serving(route, endpoint.address) as served:
             answered = await ask(served.port, "POST", body=b"order")
     assert answered.status == 502
@@ -193,7 +193,7 @@
         ScriptedEndpoint(sends(first_part, then=reset)) as first,
         ScriptedEndpoint(sends(rest, then=close)) as second,
     ):
-        route = make_route(Repeat.RESUME, stream=True)
+        route = make_route(RetryPolicy.RESUME, stream=True)
         async with serving(route, first.address, second.address) as served:
             answered = await ask(served.port, "POST", body=b"prompt")
     assert (answered.body, answered.whole) == (events(1, 2, 3, 4), True)
@@ -206,7 +206,7 @@
         ScriptedEndpoint(sends(first_part, then=reset)) as first,
         ScriptedEndpoint(sends(GOOD)) as second,
     ):
-        route = make_route(Repeat.NEVER, stream=True)
+        route = make_route(RetryPolicy.NEVER, stream=True)
         async with serving(route, first.address, second.address) as served:
             answered = await ask(served.port, "POST", body=b"prompt")
     assert answered.body == events(1, 2)
@@ -220,7 +220,7 @@
     The engine would go on for nobody, and others would wait for its slot.
     """
     async with ScriptedEndpoint(hangs) as endpoint:
-        route = make_route(Repeat.NEVER)
+        route = make_route(RetryPolicy.NEVER)
         async with serving(route, endpoint.address) as served:
             asking = asyncio.create_task(ask(served.port, "POST", body=b"order"))
             while not endpoint.received:
@@ -232,7 +232,7 @@
 
 async def test_an_engine_is_released_when_the_time_is_over():
     async with ScriptedEndpoint(hangs) as endpoint:
-        route = make_route(Repeat.NEVER, timeout=0.2)
+        route = make_route(RetryPolicy.NEVER, timeout=0.2)
         async with serving(route, endpoint.address) as served:
             async with asyncio.timeout(0.7):
                 answered = await ask(served.port, "POST", body=b"order")
@@ -242,7 +242,7 @@
 
 async def test_the_time_given_to_an_endpoint_is_what_is_left():
     async with ScriptedEndpoint(sends(GOOD)) as endpoint:
-        route = make_route(Repeat.NEVER)
+        route = make_route(RetryPolicy.NEVER)
         async with serving(route, endpoint.address) as served:
             await ask(served.port, "POST", {"X-Deadline-Seconds": "2"}, b"order")
     left = float(endpoint.received[0].headers["x-deadline-seconds"])
@@ -253,7 +253,7 @@
     """No endpoint accepts a connection, so nothing can have run."""
     async with ScriptedEndpoint(sends(GOOD)) as endpoint:
         address = endpoint.address
-    route = make_route(Repeat.NEVER)
+    route = make_route(RetryPolicy.NEVER)
     async with serving(route, address) as served:
         answered = await ask(served.port, "POST", body=b"order")
     assert answered.status == 503
@@ -263,7 +263,7 @@
     """All endpoints fail; repeats must not add to their load without bound."""
     failing = sends(answer_bytes(500, OWN_ID, b"no"))
     async with ScriptedEndpoint(failing) as first, ScriptedEndpoint(failing) as second:
-        route = make_route(Repeat.ANY)
+        route = make_route(RetryPolicy.ANY)
         async with serving(route, first.address, second.address) as served:
             served.server._budget = RepeatBudget(RepeatLimits(0.2, 4.0, 10.0, 1.0))
             for _ in range(30):
@@ -276,14 +276,14 @@
 
     A 401 or 404 would tell callers not to come back.
     """
-    async with serving(make_route(Repeat.ANY)) as served:
+    async with serving(make_route(RetryPolicy.ANY)) as served:
         served.server.routing = None
         answered = await ask(served.port)
     assert answered.status == 503
 
 
 async def test_unknown_keys_and_routes_are_denied():
-    route = make_route(Repeat.ANY, public=False)
+    route = make_route(RetryPolicy.ANY, public=False)
     async with (
         ScriptedEndpoint(sends(GOOD)) as endpoint,
         serving(route, endpoint.address) as served,
@@ -302,7 +302,7 @@
     A request would reach an engine after its caller has given up.
     """
     async with ScriptedEndpoint(sends(GOOD)) as endpoint:
-        route = make_route(Repeat.NEVER)
+        route = make_route(RetryPolicy.NEVER)
         async with serving(route, endpoint.address) as served:
             served.server.late = lambda: True
             answered = await ask(served.port, "POST", body=b"order")
@@ -314,7 +314,7 @@
 async def test_callers_are_moved_away_from_a_crowded_router():
     """A caller keeps all its connections at one router, which can't keep up."""
     async with ScriptedEndpoint(sends(GOOD)) as endpoint:
-        route = make_route(Repeat.ANY)
+        route = make_route(RetryPolicy.ANY)
         async with serving(route, endpoint.address) as served:
             calm = await ask(served.port)
             served.front.moving = lambda: 1.0
@@ -330,7 +330,7 @@
     The engine would work for nobody, on a router and at a moment that have no room.
     """
     async with ScriptedEndpoint(sends(GOOD)) as endpoint:
-        route = make_route(Repeat.ANY)
+        route = make_route(RetryPolicy.ANY)
         async with serving(route, endpoint.address) as served:
             # a kept connection, so that the next request goes out at once
             await ask(served.port)
@@ -354,7 +354,7 @@
         ScriptedEndpoint(sends(GOOD)) as first,
         ScriptedEndpoint(sends(GOOD)) as second,
     ):
-        route = make_route(Repeat.NEVER)
+        route = make_route(RetryPolicy.NEVER)
         async with serving(route, first.address, second.address) as served:
             served.placer.leaving.add("e1")
             answered = await ask(served.port, "POST", body=b"order")
@@ -369,7 +369,7 @@
     It is named to nobody any more and refuses them, and they come back to it each time:
     their organisation gets a tenth of what others get.
     """
-    route = make_route(Repeat.ANY)
+    route = make_route(RetryPolicy.ANY)
     async with (
         ScriptedEndpoint(sends(GOOD)) as endpoint,
         serving(route, endpoint.address) as served,
@@ -398,14 +398,14 @@
 
 async def test_a_route_that_is_dropped_meanwhile_is_not_used():
     """A version that drops a route comes between choosing an endpoint and sending."""
-    kept = make_route(Repeat.NEVER, prefix="/other/")
+    kept = make_route(RetryPolicy.NEVER, prefix="/other/")
     for routing, status in (
         (make_routing(kept, 2), 404),
-        (make_routing(make_route(Repeat.NEVER, targets=(Target("new"),)), 2), 503),
-        (make_routing(make_route(Repeat.NEVER, public=False), 2), 401),
-        (make_routing(make_route(Repeat.NEVER), 2), 200),
+        (make_routing(make_route(RetryPolicy.NEVER, targets=(Target("new"),)), 2), 503),
+        (make_routing(make_route(RetryPolicy.NEVER, public=False), 2), 401),
+        (make_routing(make_route(RetryPolicy.NEVER), 2), 200),
     ):
-        before = make_route(Repeat.NEVER)
+        before = make_route(RetryPolicy.NEVER)
         async with (
             ScriptedEndpoint(sends(GOOD)) as endpoint,
             serving(before, endpoint.address) as served,
--- a/packages/fleet/tests/test_waiting.py
+++ b/packages/fleet/tests/test_waiting.py
@@ -10,17 +10,22 @@
     WAIT_PART_OVER_SHARE,
     WaitBounds,
 )
-from teaselledge_fleet.version.routes import Repeat, Route, Routing, Target
+from teaselledge_fleet.version.routes import (
+    RetryPolicy,
+    Route,
+    RoutingConfiguration,
+    Target,
+)
 from teaselledge_standins.routes import make_route
 
 
 def route(name: str, objective: float, service: str = "books", prompt: bool = True):
     return make_route(
-        Repeat.NEVER,
+        RetryPolicy.NEVER,
         stream=True,
         name=name,
-        prompt=prompt,
-        objective=objective,
+        carries_prompt=prompt,
+        latency_objective=objective,
         targets=(Target(service),),
     )
 
@@ -35,7 +40,7 @@
 def bounds() -> WaitBounds:
     """Return the bounds of a version with all routes."""
     made = WaitBounds()
-    made.use(Routing(1, ROUTES, {}, ()))
+    made.use(RoutingConfiguration(1, ROUTES, {}, ()))
     return made
 
 
--- a/packages/router/src/teaselledge/connection/headers.py
+++ b/packages/router/src/teaselledge/connection/headers.py
@@ -1,6 +1,6 @@
 """Which headers pass from one side of the router to the other."""
 
-from teaselledge_fleet.request.headers import passed_on as without_hop
+from teaselledge_fleet.request.headers import forwardable_headers as without_hop
 from tornado.httputil import HTTPHeaders
 
 __all__ = ["header_size", "passed_on"]
--- a/packages/standins/src/teaselledge_standins/fleetrouters.py
+++ b/packages/standins/src/teaselledge_standins/fleetrouters.py
@@ -8,8 +8,8 @@
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.router import FleetRouter
 from teaselledge_fleet.process.settings import FleetSettings, Listeners, Place
-from teaselledge_fleet.request.owndialect import OwnDialect
-from teaselledge_fleet.version.routes import Routing
+from teaselledge_fleet.request.defaultcodec import DefaultHeaderCodec
+from teaselledge_fleet.version.routes import RoutingConfiguration
 
 from teaselledge_standins.processes import free_ports
 from teaselledge_standins.statestore import StoreClient, store_of
@@ -82,7 +82,7 @@
 
 @asynccontextmanager
 async def running_routers(
-    count: int, routing: Routing, endpoints: Iterable[Endpoint]
+    count: int, routing: RoutingConfiguration, endpoints: Iterable[Endpoint]
 ) -> AsyncIterator[list[RunningRouter]]:
     """Run so many routers of one zone."""
     store = store_of(endpoints)
@@ -93,7 +93,7 @@
         router = FleetRouter(
             settings,
             StoreClient(store, settings.place.vm),
-            OwnDialect(),
+            DefaultHeaderCodec(),
             LocalPages(),
             lambda data: routing,
         )
--- a/packages/standins/src/teaselledge_standins/routes.py
+++ b/packages/standins/src/teaselledge_standins/routes.py
@@ -11,16 +11,16 @@
 from teaselledge_fleet.faults import Fault, FaultKind
 from teaselledge_fleet.process.budget import RepeatBudget
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_fleet.request.call import Call
+from teaselledge_fleet.request.call import CallerRequest
 from teaselledge_fleet.request.context import Outcome, Placement, RequestContext
-from teaselledge_fleet.request.owndialect import OwnDialect
+from teaselledge_fleet.request.defaultcodec import DefaultHeaderCodec
 from teaselledge_fleet.request.serving import Server
 from teaselledge_fleet.version.routes import (
     Organisation,
-    Repeat,
+    RetryPolicy,
     Route,
-    Routing,
-    ServiceEntry,
+    RoutingConfiguration,
+    ServiceConfiguration,
     Target,
 )
 
@@ -37,32 +37,32 @@
 HOST = "books.example"
 
 
-def make_route(repeat: Repeat, stream: bool = False, **changes: object) -> Route:
+def make_route(repeat: RetryPolicy, stream: bool = False, **changes: object) -> Route:
     """Return a route to the service ``books``."""
     fields: dict[str, object] = {
         "name": "r",
         "host": HOST,
         "prefix": "/r/",
-        "repeat": repeat,
+        "retry_policy": repeat,
         "stream": stream,
-        "prompt": False,
+        "carries_prompt": False,
         "timeout": 5.0,
-        "objective": 0.5,
-        "max_pause": 0.4,
+        "latency_objective": 0.5,
+        "event_gap_objective": 0.4,
         "attempts": 2,
-        "rank": 1,
+        "priority": 1,
         "public": True,
         "targets": (Target("books"),),
     }
     return Route(**{**fields, **changes})  # type: ignore[arg-type]
 
 
-def make_routing(route: Route, version: int = 1) -> Routing:
+def make_routing(route: Route, version: int = 1) -> RoutingConfiguration:
     """Return a version with one route."""
-    return Routing(
+    return RoutingConfiguration(
         version,
         (route,),
-        {"books": ServiceEntry("books", "/healthz", 10)},
+        {"books": ServiceConfiguration("books", "/healthz", 10)},
         (Organisation("cellar", ("key-1",)),),
     )
 
@@ -75,26 +75,26 @@
     outcomes: list[Outcome] = field(default_factory=list)
     leaving: set[str] = field(default_factory=set)
 
-    def note_asked(
-        self, call: Call, organisation: Organisation | None, times: int = 1
+    def record_demand(
+        self, call: CallerRequest, organisation: Organisation | None, weight: int = 1
     ) -> None:
         """Do nothing."""
 
     async def place(self, context: RequestContext) -> Result[Placement, Fault]:
         """Return the first endpoint that was not tried."""
         for endpoint in self.endpoints:
-            if endpoint.id not in context.tried:
+            if endpoint.id not in context.attempted_endpoints:
                 return Ok(Placement(endpoint))
         return Error(Fault(FaultKind.NO_ENDPOINT, 0.5))
 
-    def takes_work(self, endpoint: Endpoint) -> bool:
+    def accepts_requests(self, endpoint: Endpoint) -> bool:
         """Whether the endpoint is not leaving."""
         return endpoint.id not in self.leaving
 
-    def began(self, context: RequestContext, endpoint: Endpoint) -> None:
+    def on_response_started(self, context: RequestContext, endpoint: Endpoint) -> None:
         """Do nothing."""
 
-    def ended(
+    def on_attempt_ended(
         self, context: RequestContext, endpoint: Endpoint, outcome: Outcome
     ) -> None:
         """Note the outcome."""
@@ -120,7 +120,7 @@
     ]
     pool = ConnectionPool()
     placer = InOrder(endpoints)
-    server = Server(OwnDialect(), pool, placer, RepeatBudget())
+    server = Server(DefaultHeaderCodec(), pool, placer, RepeatBudget())
     server.routing = make_routing(route)
     front = FrontServer(server.serve, 1 << 16, 1 << 20, 15.0)
     front.listen("127.0.0.1", 0)
--- a/packages/standins/src/teaselledge_standins/statestore.py
+++ b/packages/standins/src/teaselledge_standins/statestore.py
@@ -12,7 +12,7 @@
     StoredConfiguration,
     StoreFault,
 )
-from teaselledge_fleet.version.routes import Routing
+from teaselledge_fleet.version.routes import RoutingConfiguration
 
 __all__ = [
     "MemoryStateStore",
@@ -171,9 +171,9 @@
         return True
 
 
-def decode_number(data: bytes) -> Routing | None:
+def decode_number(data: bytes) -> RoutingConfiguration | None:
     """Read a configuration that is only the number of its version."""
-    return Routing(int(data), (), {}, ()) if data.isdigit() else None
+    return RoutingConfiguration(int(data), (), {}, ()) if data.isdigit() else None
 
 
 def store_of(endpoints: Iterable[Endpoint]) -> MemoryStateStore:
