--- a/packages/fleet/src/teaselledge_fleet/connection/accepting.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/accepting.py
@@ -11,27 +11,33 @@
 from tornado.iostream import IOStream, StreamClosedError, UnsatisfiableReadError
 from tornado.netutil import add_accept_handler, bind_sockets
 
-from teaselledge_fleet.connection.refusing import QuickRefusals
+from teaselledge_fleet.connection.refusing import LoadShedder
 from teaselledge_fleet.connection.relay import (
     PREFACE_BYTES,
     RelayPool,
     preface,
     read_preface,
 )
-from teaselledge_fleet.faults import ANSWERS, Fault, FaultKind, body_of, head_of
+from teaselledge_fleet.faults import (
+    FAULT_RESPONSES,
+    Fault,
+    FaultKind,
+    fault_body,
+    fault_headers,
+)
 from teaselledge_fleet.log import get_log
 
-__all__ = ["OWN_CALLER", "SAMPLED", "Acceptor", "Origin"]
+__all__ = ["DIRECT_ORIGIN", "REFUSALS_PER_SAMPLE", "Acceptor", "ConnectionOrigin"]
 
 _log = get_log("accepting")
 
 PREFACE_SECONDS = 1.0
 """A router sends its preface with the connection; callers wait no longer either."""
 
-SAMPLED = 8
+REFUSALS_PER_SAMPLE = 8
 """Of so many connections that are refused for want of time, one is read."""
 
-SOONEST_RETRY, LATEST_RETRY, RETRY_STEPS = 0.5, 1.5, 11
+MIN_RETRY_SECONDS, MAX_RETRY_SECONDS, RETRY_STEPS = 0.5, 1.5, 11
 """Seconds after which callers come back that were refused unread. All of them may come
 back to this router, so they are spread over the time in which its streams end."""
 
@@ -41,26 +47,26 @@
 
 
 @dataclass(frozen=True)
-class Origin:
+class ConnectionOrigin:
     """How a connection came to this router.
 
     Attributes
     ----------
-    least_version : int or None
+    min_version : int or None
         Configuration in force at the router that passed it on; None where a caller
         connected here.
-    stands_for : int
+    sample_weight : int
         Requests that it is a sample of; the others were refused unread.
-    crowded : bool
+    overloaded : bool
         Whether this router has no time for it; it is read all the same.
     """
 
-    least_version: int | None = None
-    stands_for: int = 1
-    crowded: bool = False
+    min_version: int | None = None
+    sample_weight: int = 1
+    overloaded: bool = False
 
 
-OWN_CALLER = Origin()
+DIRECT_ORIGIN = ConnectionOrigin()
 
 
 @dataclass(frozen=True)
@@ -81,21 +87,21 @@
 
     Attributes
     ----------
-    accepted, passed_on : int
+    accepted, relayed : int
         Connections that callers have opened, and those that other routers took over.
     sampled : int
         Connections that were refused and read all the same.
-    choose_router : callable
+    choose_relay_target : callable
         Returns where another router takes over a new connection, None where it is to
         be served here.
-    may_pass_on : callable
+    peers_have_capacity : callable
         Whether other routers are taken to have room for one more connection.
-    on_passed_on, on_refused : callable
+    on_relayed, on_relay_refused : callable
         Called for each connection that is passed on, with where to, and for each of
         them that the other router refuses.
     version : callable
         Returns the version of the configuration in force.
-    has_time : callable
+    has_capacity : callable
         Whether the router has time for one more connection.
     """
 
@@ -103,29 +109,31 @@
         self, serve: Callable[[IOStream, Any], object], idle_seconds: float
     ) -> None:
         self._serve = serve
-        self.choose_router: Callable[[], str | None] = lambda: None
-        self.may_pass_on: Callable[[], bool] = lambda: True
-        self.on_passed_on: Callable[[str], None] = lambda router: None
-        self.on_refused: Callable[[], None] = lambda: None
+        self.choose_relay_target: Callable[[], str | None] = lambda: None
+        self.peers_have_capacity: Callable[[], bool] = lambda: True
+        self.on_relayed: Callable[[str], None] = lambda router: None
+        self.on_relay_refused: Callable[[], None] = lambda: None
         self.version: Callable[[], int] = lambda: 0
-        self.has_time: Callable[[], bool] = lambda: True
+        self.has_capacity: Callable[[], bool] = lambda: True
         self.accepted = 0
-        self.passed_on = 0
+        self.relayed = 0
         self.sampled = 0
         self._relays = RelayPool(idle_seconds)
-        self._relays.on_refused = lambda: self.on_refused()
-        self._refusals = QuickRefusals(_refusals())
-        self._origins: WeakKeyDictionary[IOStream, Origin] = WeakKeyDictionary()
+        self._relays.on_relay_refused = lambda: self.on_relay_refused()
+        self._refusals = LoadShedder(_refusals())
+        self._origins: WeakKeyDictionary[IOStream, ConnectionOrigin] = (
+            WeakKeyDictionary()
+        )
         self._listeners: list[_Listener] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def refused(self) -> int:
         """Connections refused for want of time."""
-        return self._refusals.count + self.sampled
+        return self._refusals.refused + self.sampled
 
     @property
-    def passing(self) -> int:
+    def active_relays(self) -> int:
         """Connections that are being passed on."""
         return self._relays.running
 
@@ -133,13 +141,13 @@
         """Listen on an address for callers; return the ports."""
         return self._listen(host, port, self._accept)
 
-    def listen_to_routers(self, host: str, port: int) -> None:
+    def listen_for_relays(self, host: str, port: int) -> None:
         """Listen on an address for connections that other routers pass on."""
         self._listen(host, port, self._accept_passed_on)
 
-    def origin_of(self, stream: IOStream | None) -> Origin:
+    def origin_of(self, stream: IOStream | None) -> ConnectionOrigin:
         """Return how a connection came here."""
-        return self._origins.get(stream, OWN_CALLER) if stream else OWN_CALLER
+        return self._origins.get(stream, DIRECT_ORIGIN) if stream else DIRECT_ORIGIN
 
     def stop(self) -> None:
         """Take no new connections."""
@@ -166,17 +174,17 @@
 
     def _accept(self, connection: socket.socket, address: Any) -> None:
         self.accepted += 1
-        if not self.has_time():
+        if not self.has_capacity():
             self._refuse(connection, address)
             return
-        router = None if self._relays.full else self.choose_router()
+        router = None if self._relays.full else self.choose_relay_target()
         if router is None:
             self._serve(IOStream(connection), address)
             return
-        if not self.may_pass_on():
+        if not self.peers_have_capacity():
             self._refuse(connection, address)
             return
-        self.on_passed_on(router)
+        self.on_relayed(router)
         self._start(self._pass_on(connection, address, router))
 
     def _refuse(self, connection: socket.socket, address: Any) -> None:
@@ -184,11 +192,13 @@
 
         Some are read, so that it is known whose requests these are.
         """
-        if self.refused % SAMPLED:
+        if self.refused % REFUSALS_PER_SAMPLE:
             self._refusals.refuse(connection)
             return
         stream = IOStream(connection)
-        self._origins[stream] = Origin(stands_for=SAMPLED, crowded=True)
+        self._origins[stream] = ConnectionOrigin(
+            sample_weight=REFUSALS_PER_SAMPLE, overloaded=True
+        )
         self.sampled += 1
         self._serve(stream, address)
 
@@ -197,8 +207,8 @@
     ) -> None:
         connection.setblocking(False)
         greeting = preface(self.version())
-        if await self._relays.pass_on(connection, router, greeting):
-            self.passed_on += 1
+        if await self._relays.relay(connection, router, greeting):
+            self.relayed += 1
             return
         self._serve(IOStream(connection), address)
 
@@ -218,8 +228,10 @@
             stream.close()
             return
         # the router that passed it on has chosen by what it heard some pulses ago
-        crowded = not self.has_time()
-        self._origins[stream] = Origin(least_version=version, crowded=crowded)
+        crowded = not self.has_capacity()
+        self._origins[stream] = ConnectionOrigin(
+            min_version=version, overloaded=crowded
+        )
         self._serve(stream, address)
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
@@ -233,11 +245,11 @@
     found = []
     for step in range(RETRY_STEPS):
         part = step / (RETRY_STEPS - 1)
-        seconds = SOONEST_RETRY + part * (LATEST_RETRY - SOONEST_RETRY)
+        seconds = MIN_RETRY_SECONDS + part * (MAX_RETRY_SECONDS - MIN_RETRY_SECONDS)
         fault = Fault(FaultKind.ROUTER_BUSY, seconds)
-        body = body_of(fault)
-        headers = head_of(fault, HTTPHeaders({"Connection": "close"}), len(body))
-        status = ANSWERS[fault.kind].status
+        body = fault_body(fault)
+        headers = fault_headers(fault, HTTPHeaders({"Connection": "close"}), len(body))
+        status = FAULT_RESPONSES[fault.kind].status
         lines = [f"HTTP/1.1 {status} {responses[status]}"]
         lines += [f"{name}: {value}" for name, value in headers.get_all()]
         found.append("\r\n".join([*lines, "", ""]).encode() + body)
--- a/packages/fleet/src/teaselledge_fleet/connection/endpoint.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/endpoint.py
@@ -13,7 +13,7 @@
 from teaselledge_fleet.request.call import CallerRequest, HeaderCodec, ResponseHead
 
 __all__ = [
-    "BrokenAnswerError",
+    "IncompleteResponseError",
     "EndpointConnection",
     "Exchange",
     "SendFailure",
@@ -28,7 +28,7 @@
 choice.
 """
 
-UNACKED_MILLISECONDS = 1500
+TCP_USER_TIMEOUT_MS = 1500
 """Time after which data that the endpoint's host does not acknowledge ends it.
 
 A connection can go silent for good without a reset. Without this limit a request on
@@ -41,11 +41,11 @@
 """Probes of a connection on which nothing moves, for the same reason."""
 
 READ_BYTES = 64 * 1024
-QUEUED_PARTS = 8
+MAX_QUEUED_CHUNKS = 8
 """Parts of an answer that wait for a slow caller; then reading stops."""
 
 MAX_HEAD_BYTES = 64 * 1024
-MAX_FOREIGN_ANSWERS = 2
+MAX_SKIPPED_RESPONSES = 2
 """Answers to other requests that are skipped before a connection is given up."""
 
 
@@ -84,7 +84,7 @@
     reused: bool = False
 
 
-class BrokenAnswerError(Exception):
+class IncompleteResponseError(Exception):
     """The endpoint stopped in the middle of its answer."""
 
 
@@ -118,7 +118,7 @@
         self._connection = connection
         self._call = call
         self._dialect = dialect
-        self._parts: asyncio.Queue[_Part] = asyncio.Queue(maxsize=QUEUED_PARTS)
+        self._parts: asyncio.Queue[_Part] = asyncio.Queue(maxsize=MAX_QUEUED_CHUNKS)
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
@@ -129,7 +129,7 @@
         self._dropped = False
         self._began = False
 
-    def begin(self, headers: list[tuple[str, str]], body: bytes) -> bytes:
+    def encode_request(self, headers: list[tuple[str, str]], body: bytes) -> bytes:
         """Return the bytes of the request."""
         call = self._call
         encoded = [(n.encode("latin1"), v.encode("latin1")) for n, v in headers]
@@ -152,7 +152,7 @@
         return Error(SendFailure(fault, True, self._connection.reused))
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Iterate over the body; raises `BrokenAnswerError` where it stops short."""
+        """Iterate over the body; `IncompleteResponseError` where it stops short."""
         while True:
             part = await self._parts.get()
             if isinstance(part, bytes):
@@ -160,7 +160,7 @@
                 continue
             if isinstance(part, _End) and part.whole:
                 return
-            raise BrokenAnswerError(part.detail if isinstance(part, _End) else "")
+            raise IncompleteResponseError(part.detail if isinstance(part, _End) else "")
 
     def cancel(self) -> None:
         """Drop the exchange and its connection; the endpoint stops its work."""
@@ -180,12 +180,12 @@
         except h11.RemoteProtocolError as error:
             await self._fail(SendFault.GARBAGE if data else SendFault.CLOSED, error)
 
-    def refuse(self) -> None:
+    def fail_unsent(self) -> None:
         """End it because the connection had closed before."""
         self._ended = True
         self._parts.put_nowait(_Failed(SendFault.CLOSED))
 
-    async def reset(self) -> None:
+    async def on_connection_reset(self) -> None:
         """Take the news that the connection broke without a clean end."""
         await self._fail(SendFault.CLOSED, None)
 
@@ -237,12 +237,12 @@
         )
         if head.matches_request:
             self._began = True
-            self._connection.note_head(headers)
+            self._connection.update_keep_alive(headers)
             await self._put(head)
             return
         self._skipping = True
         self._skipped += 1
-        if self._skipped > MAX_FOREIGN_ANSWERS:
+        if self._skipped > MAX_SKIPPED_RESPONSES:
             await self._fail(SendFault.GARBAGE, None)
 
     def _restart(self) -> None:
@@ -314,7 +314,7 @@
         return self._idle_since
 
     @property
-    def idle_seconds(self) -> float | None:
+    def keep_alive_seconds(self) -> float | None:
         """Time after which the endpoint closes it, where it told."""
         return self._idle_seconds
 
@@ -337,7 +337,7 @@
             raise
         return Ok(cls(stream, address))
 
-    def start(
+    def send_request(
         self,
         call: CallerRequest,
         dialect: HeaderCodec,
@@ -347,17 +347,17 @@
         """Send a request."""
         self._served += 1
         exchange = self._exchange = Exchange(self, call, dialect)
-        data = exchange.begin(headers, body)
+        data = exchange.encode_request(headers, body)
         if self._stream.closed():
             self._exchange = None
-            exchange.refuse()
+            exchange.fail_unsent()
             return exchange
         future = self._stream.write(data)
         # the reading task tells how the connection ended
         future.add_done_callback(lambda done: done.cancelled() or done.exception())
         return exchange
 
-    def note_head(self, headers: list[tuple[str, str]]) -> None:
+    def update_keep_alive(self, headers: list[tuple[str, str]]) -> None:
         """Learn for how long the endpoint keeps the connection open."""
         for name, value in headers:
             if name.lower() == "keep-alive":
@@ -395,16 +395,14 @@
         if clean:
             await exchange.feed(b"")
         else:
-            await exchange.reset()
+            await exchange.on_connection_reset()
 
 
 def _new_socket() -> socket.socket:
     created = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     created.setblocking(False)
     created.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    created.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MILLISECONDS
-    )
+    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
     created.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     created.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_SECONDS)
     created.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS)
--- a/packages/fleet/src/teaselledge_fleet/connection/figures.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/figures.py
@@ -12,14 +12,14 @@
 from teaselledge_fleet.process.work import Work, key_of
 
 __all__ = [
-    "pack_ages",
-    "pack_alive",
-    "pack_marks",
-    "pack_uses",
+    "pack_member_ages",
+    "pack_member_statuses",
+    "pack_pulse_marks",
+    "pack_usage",
     "pack_work",
-    "unpack_alive",
-    "unpack_marks",
-    "unpack_uses",
+    "unpack_member_statuses",
+    "unpack_pulse_marks",
+    "unpack_usage",
     "unpack_work",
 ]
 
@@ -32,25 +32,27 @@
 ALIVE = struct.Struct("!IBB")
 """Router, its state, and the part of its cores in use in percent."""
 
-AGE_SECONDS = 0.01
-OLDEST = 255
+AGE_UNIT_SECONDS = 0.01
+MAX_AGE = 255
 """Unit of an age, and the largest that a byte holds: 2.55 s, more than counts."""
 
 MILLISECONDS = 1000
 PERCENT = 100
-SHORT = 0xFFFF
-LONG = 0xFFFFFFFF
-MOST_BYTES = 1000
+MAX_UINT16 = 0xFFFF
+MAX_UINT32 = 0xFFFFFFFF
+MAX_PACKED_BYTES = 1000
 """Figures beyond this are left out, the smallest first, so that a datagram is whole."""
 
 
 def pack_work(work: dict[int, Work]) -> bytes:
     """Return the work at endpoints as bytes."""
     rows = sorted(work.items(), key=lambda item: -item[1].running)
-    rows = rows[: MOST_BYTES // WORK.size]
+    rows = rows[: MAX_PACKED_BYTES // WORK.size]
     return b"".join(
         WORK.pack(
-            key, _cut(each.running, SHORT), _cut(each.reading * MILLISECONDS, SHORT)
+            key,
+            _cut(each.running, MAX_UINT16),
+            _cut(each.reading * MILLISECONDS, MAX_UINT16),
         )
         for key, each in rows
     )
@@ -65,17 +67,17 @@
     }
 
 
-def pack_uses(uses: dict[int, Use]) -> bytes:
+def pack_usage(uses: dict[int, Use]) -> bytes:
     """Return the use of organisations as bytes."""
     rows = sorted(uses.items(), key=lambda item: -item[1].asked)
-    rows = rows[: MOST_BYTES // USE.size]
+    rows = rows[: MAX_PACKED_BYTES // USE.size]
     return b"".join(
-        USE.pack(key, _cut(use.asked, LONG), _cut(use.received, LONG))
+        USE.pack(key, _cut(use.asked, MAX_UINT32), _cut(use.received, MAX_UINT32))
         for key, use in rows
     )
 
 
-def unpack_uses(data: bytes) -> dict[int, Use]:
+def unpack_usage(data: bytes) -> dict[int, Use]:
     """Return the use that bytes tell of; what does not fit is ignored."""
     whole = data[: len(data) - len(data) % USE.size]
     return {
@@ -83,7 +85,7 @@
     }
 
 
-def pack_alive(reports: list[Report]) -> bytes:
+def pack_member_statuses(reports: list[Report]) -> bytes:
     """Return which routers answer, as bytes."""
     return b"".join(
         ALIVE.pack(
@@ -91,31 +93,33 @@
             int(report.member.state),
             _cut(report.member.busy * PERCENT, PERCENT),
         )
-        for report in reports[: MOST_BYTES // ALIVE.size]
+        for report in reports[: MAX_PACKED_BYTES // ALIVE.size]
     )
 
 
-def pack_ages(reports: list[Report]) -> bytes:
+def pack_member_ages(reports: list[Report]) -> bytes:
     """Return how long ago these routers were heard, as bytes in the same order."""
     return bytes(
-        OLDEST if report.silent is None else _cut(report.silent / AGE_SECONDS, OLDEST)
-        for report in reports[: MOST_BYTES // ALIVE.size]
+        MAX_AGE
+        if report.silent is None
+        else _cut(report.silent / AGE_UNIT_SECONDS, MAX_AGE)
+        for report in reports[: MAX_PACKED_BYTES // ALIVE.size]
     )
 
 
-def pack_marks(marks: list[int]) -> bytes:
+def pack_pulse_marks(marks: list[int]) -> bytes:
     """Return the marks of what routers told, in the order in which they are told."""
-    return bytes(marks[: MOST_BYTES // ALIVE.size])
+    return bytes(marks[: MAX_PACKED_BYTES // ALIVE.size])
 
 
-def unpack_marks(data: bytes, marks: bytes) -> dict[int, int]:
+def unpack_pulse_marks(data: bytes, marks: bytes) -> dict[int, int]:
     """Return the marks by the routers' keys."""
     whole = data[: len(data) - len(data) % ALIVE.size]
     keys = [key for key, _, _ in ALIVE.iter_unpack(whole)]
     return dict(zip(keys, marks, strict=False))
 
 
-def unpack_alive(data: bytes, ages: bytes) -> dict[int, Status]:
+def unpack_member_statuses(data: bytes, ages: bytes) -> dict[int, Status]:
     """Return what bytes tell of routers, by key.
 
     A sender of an earlier release tells no ages; it names a router for as long as one
@@ -128,7 +132,7 @@
             continue
         silent = SILENT_SECONDS
         if place < len(ages):
-            silent = ages[place] * AGE_SECONDS
+            silent = ages[place] * AGE_UNIT_SECONDS
         found[key] = Status(MemberState(state), busy / PERCENT, silent)
     return found
 
--- a/packages/fleet/src/teaselledge_fleet/connection/front.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/front.py
@@ -20,14 +20,18 @@
 )
 from tornado.iostream import StreamClosedError
 
-from teaselledge_fleet.connection.accepting import OWN_CALLER, Acceptor, Origin
+from teaselledge_fleet.connection.accepting import (
+    DIRECT_ORIGIN,
+    Acceptor,
+    ConnectionOrigin,
+)
 from teaselledge_fleet.log import get_log
 
-__all__ = ["CallerSink", "FrontServer", "Incoming"]
+__all__ = ["ResponseWriter", "FrontServer", "ReceivedRequest"]
 
 _log = get_log("front")
 
-STALL_SECONDS = 5.0
+WRITE_TIMEOUT_SECONDS = 5.0
 """A caller that takes nothing for so long is cut off.
 
 It would hold a slot of an engine that others wait for. Callers give up a stream
@@ -35,7 +39,7 @@
 """
 
 
-class Incoming:
+class ReceivedRequest:
     """A request that was read in full.
 
     Attributes
@@ -46,9 +50,9 @@
         All headers.
     body : bytes
         The whole body.
-    arrived : float
+    arrived_at : float
         Loop time at which its headers were read.
-    caller : str
+    remote_ip : str
         IP number from which it came; another router's where that one passed it on.
     origin : Origin
         What is known of its connection.
@@ -58,38 +62,40 @@
         self,
         line: RequestStartLine,
         headers: HTTPHeaders,
-        arrived: float,
-        caller: str = "",
-        origin: Origin = OWN_CALLER,
+        arrived_at: float,
+        remote_ip: str = "",
+        origin: ConnectionOrigin = DIRECT_ORIGIN,
     ) -> None:
         self.method = line.method
         self.target = line.path
         self.headers = headers
         self.body = b""
-        self.arrived = arrived
-        self.caller = caller
+        self.arrived_at = arrived_at
+        self.remote_ip = remote_ip
         self.origin = origin
 
 
-class CallerSink:
+class ResponseWriter:
     """The caller's side of an answer.
 
     Attributes
     ----------
     started, finished : bool
         Whether the head and the end have been written.
-    moving : float
+    reconnect_probability : float
         Part of the callers that are asked to connect anew, 0 to 1.
     """
 
-    def __init__(self, connection: HTTP1Connection, moving: float = 0.0) -> None:
+    def __init__(
+        self, connection: HTTP1Connection, reconnect_probability: float = 0.0
+    ) -> None:
         self._connection = connection
-        self.moving = moving
+        self.reconnect_probability = reconnect_probability
         self.started = False
         self.finished = False
 
     @property
-    def gone(self) -> bool:
+    def disconnected(self) -> bool:
         """Whether the caller has closed its connection.
 
         A router that is late reads a request and its caller's close at the same time,
@@ -111,7 +117,7 @@
     ) -> None:
         """Write the head, and a first part of the body with it."""
         self.started = True
-        if random.random() < self.moving:
+        if random.random() < self.reconnect_probability:
             # the caller's next request goes to a router with more room
             headers["Connection"] = "close"
         line = ResponseStartLine("HTTP/1.1", status, responses.get(status, "Unknown"))
@@ -142,14 +148,14 @@
             written.result()
             return
         try:
-            async with asyncio.timeout(STALL_SECONDS):
+            async with asyncio.timeout(WRITE_TIMEOUT_SECONDS):
                 await written
         except TimeoutError:
             self.abort()
             raise StreamClosedError from None
 
 
-Serve = Callable[[Incoming, CallerSink], Awaitable[None]]
+Serve = Callable[[ReceivedRequest, ResponseWriter], Awaitable[None]]
 
 
 class _Reader(HTTPMessageDelegate):
@@ -158,7 +164,7 @@
     def __init__(self, server: "FrontServer", connection: HTTP1Connection) -> None:
         self._server = server
         self._connection = connection
-        self._incoming: Incoming | None = None
+        self._incoming: ReceivedRequest | None = None
         self._parts: list[bytes] = []
         self._task: asyncio.Task[None] | None = None
 
@@ -166,8 +172,8 @@
         now = asyncio.get_running_loop().time()
         caller = getattr(self._connection.context, "remote_ip", "")
         origin = self._server.acceptor.origin_of(self._connection.stream)
-        self._incoming = Incoming(start_line, headers, now, caller, origin)
-        self._server.note_reading(self)
+        self._incoming = ReceivedRequest(start_line, headers, now, caller, origin)
+        self._server.add_running(self)
 
     def data_received(self, chunk: bytes) -> None:
         self._parts.append(chunk)
@@ -180,18 +186,18 @@
         self._task = asyncio.create_task(self._run(self._incoming))
 
     def on_connection_close(self) -> None:
-        self._server.note_done(self)
+        self._server.discard_running(self)
         if self._task is not None:
             self._task.cancel()
 
-    async def _run(self, incoming: Incoming) -> None:
-        moving = self._server.moving()
-        if incoming.origin.least_version is not None:
+    async def _run(self, incoming: ReceivedRequest) -> None:
+        moving = self._server.reconnect_probability()
+        if incoming.origin.min_version is not None:
             # each request is passed on by itself, as the versions may change
             moving = 1.0
-        sink = CallerSink(self._connection, moving)
+        sink = ResponseWriter(self._connection, moving)
         try:
-            await self._server.serve(incoming, sink)
+            await self._server.handler(incoming, sink)
         except StreamClosedError:
             # the caller left while its answer was written
             return
@@ -199,7 +205,7 @@
             _log.exception("request failed by a fault of the router")
             sink.abort()
         finally:
-            self._server.note_done(self)
+            self._server.discard_running(self)
 
 
 class FrontServer(HTTPServerConnectionDelegate):
@@ -207,7 +213,7 @@
 
     Parameters
     ----------
-    serve : callable
+    handler : callable
         Runs one request; it is cancelled when the caller leaves.
     header_bytes, body_bytes : int
         Largest headers and body.
@@ -218,15 +224,15 @@
     ----------
     acceptor : Acceptor
         Decides what becomes of new connections.
-    moving : callable
+    reconnect_probability : callable
         Returns the part of the callers that are asked to connect anew, 0 to 1.
     """
 
     def __init__(
-        self, serve: Serve, header_bytes: int, body_bytes: int, idle_seconds: float
+        self, handler: Serve, header_bytes: int, body_bytes: int, idle_seconds: float
     ) -> None:
-        self.serve = serve
-        self.moving: Callable[[], float] = lambda: 0.0
+        self.handler = handler
+        self.reconnect_probability: Callable[[], float] = lambda: 0.0
         self._running: set[_Reader] = set()
         self._ports: list[int] = []
         self._http = HTTPServer(
@@ -245,7 +251,7 @@
     @property
     def running(self) -> int:
         """Requests that are being read or answered."""
-        return len(self._running) + self.acceptor.passing
+        return len(self._running) + self.acceptor.active_relays
 
     def listen(self, host: str, port: int) -> None:
         """Listen on an address for callers."""
@@ -259,15 +265,15 @@
         request_conn.stream.set_nodelay(True)
         return _Reader(self, request_conn)
 
-    def note_reading(self, reader: _Reader) -> None:
+    def add_running(self, reader: _Reader) -> None:
         """Count a request whose headers were read."""
         self._running.add(reader)
 
-    def note_done(self, reader: _Reader) -> None:
+    def discard_running(self, reader: _Reader) -> None:
         """Stop counting a request."""
         self._running.discard(reader)
 
-    def end_kept_connections(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Close each connection after the next answer on it."""
         self._http.conn_params.no_keep_alive = True
 
--- a/packages/fleet/src/teaselledge_fleet/connection/pages.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/pages.py
@@ -22,16 +22,16 @@
         HTTP status.
     body : bytes
         The content.
-    kind : str
+    content_type : str
         Its media type.
     """
 
     status: int
     body: bytes = b""
-    kind: str = "text/plain"
+    content_type: str = "text/plain"
 
 
-Answer = Callable[[str, dict[str, str]], Page]
+PageHandler = Callable[[str, dict[str, str]], Page]
 """Returns the page for a path and the query's arguments."""
 
 REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
@@ -40,8 +40,8 @@
 class PageServer:
     """Answers requests for pages."""
 
-    def __init__(self, answer: Answer) -> None:
-        self._answer = answer
+    def __init__(self, handler: PageHandler) -> None:
+        self._answer = handler
         self._http = HTTPServer(self._serve, idle_connection_timeout=IDLE_SECONDS)
 
     def listen(self, host: str, port: int) -> None:
@@ -60,7 +60,7 @@
         }
         page = self._answer(request.path, arguments)
         headers = HTTPHeaders()
-        headers["Content-Type"] = page.kind
+        headers["Content-Type"] = page.content_type
         headers["Content-Length"] = str(len(page.body))
         line = ResponseStartLine(
             "HTTP/1.1", page.status, REASONS.get(page.status, "Unknown")
--- a/packages/fleet/src/teaselledge_fleet/connection/peers.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/peers.py
@@ -41,7 +41,7 @@
         self.sent_bytes = 0
 
     @property
-    def malformed(self) -> int:
+    def malformed_count(self) -> int:
         """Datagrams that could not be read."""
         return self._malformed
 
--- a/packages/fleet/src/teaselledge_fleet/connection/pool.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/pool.py
@@ -24,14 +24,14 @@
         A connection is not used in the last part of the time that the endpoint
         told: its close and the request could cross on the way, which takes at most
         23 ms, and the endpoint counts from the last byte that it sent.
-    once_seconds : float
+    at_most_once_idle_seconds : float
         Longest idle time before a request that runs at most once. Endpoints drop
         idle connections early at times, and such a request could not be sent again.
     """
 
     idle_seconds: float = 4.0
     margin_seconds: float = 0.5
-    once_seconds: float = 0.8
+    at_most_once_idle_seconds: float = 0.8
 
 
 class ConnectionPool:
@@ -52,8 +52,8 @@
         """Return the open connections to an endpoint."""
         return len(self._sweep(address))
 
-    async def take(
-        self, address: str, once: bool
+    async def acquire(
+        self, address: str, at_most_once: bool
     ) -> Result[EndpointConnection, SendFailure]:
         """Return an idle connection or a new one.
 
@@ -61,10 +61,10 @@
         ----------
         address : str
             The endpoint's ``host:port``.
-        once : bool
+        at_most_once : bool
             Whether the request may run at most once.
         """
-        connection = self._find(address, once)
+        connection = self._find(address, at_most_once)
         if connection is not None:
             return Ok(connection)
         self._shrink(address, self._caps.get(address, 1))
@@ -75,16 +75,16 @@
         self._open[address].append(opened.ok)
         return Ok(opened.ok)
 
-    def use_caps(self, caps: Mapping[str, int]) -> None:
+    def set_connection_limits(self, limits: Mapping[str, int]) -> None:
         """Take how many connections to keep open, by address of the endpoint.
 
         An endpoint accepts a number of connections from all routers together and
         resets those beyond it, with the requests on them. Idle connections to
         addresses without a number are closed: another endpoint may take them over.
         """
-        self._caps = caps
+        self._caps = limits
         for address in list(self._open):
-            self._shrink(address, caps.get(address, 0))
+            self._shrink(address, limits.get(address, 0))
 
     def _shrink(self, address: str, cap: int) -> None:
         """Close the longest idle connections beyond a number."""
@@ -112,7 +112,7 @@
             if idle > self._longest(connection):
                 connection.close()
                 continue
-            if once and idle > self._limits.once_seconds:
+            if once and idle > self._limits.at_most_once_idle_seconds:
                 continue
             # the latest one, so that the others can time out
             if found is None or connection.idle_since > found.idle_since:
@@ -120,7 +120,7 @@
         return found
 
     def _longest(self, connection: EndpointConnection) -> float:
-        told = connection.idle_seconds
+        told = connection.keep_alive_seconds
         if told is None:
             return self._limits.idle_seconds
         return max(0.0, told - self._limits.margin_seconds)
--- a/packages/fleet/src/teaselledge_fleet/connection/refusing.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/refusing.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-__all__ = ["QuickRefusals"]
+__all__ = ["LoadShedder"]
 
 LINGER_SECONDS = 1.0
 """Time for which a refused connection stays open. Closed with bytes unread, it would be
@@ -23,31 +23,31 @@
     connection: socket.socket
 
 
-class QuickRefusals:
+class LoadShedder:
     """Answers connections without reading what their requests are.
 
     Parameters
     ----------
-    answers : sequence of bytes
+    responses : sequence of bytes
         Whole answers, one of which is drawn for each request. They must promise that
         the request has not run, and end the connection.
 
     Attributes
     ----------
-    count : int
+    refused : int
         Connections refused so far.
     """
 
-    def __init__(self, answers: Sequence[bytes]) -> None:
-        self._answers = answers
+    def __init__(self, responses: Sequence[bytes]) -> None:
+        self._answers = responses
         self._waiting: set[socket.socket] = set()
         self._refused: deque[_Refused] = deque()
         self._sweeping: asyncio.TimerHandle | None = None
-        self.count = 0
+        self.refused = 0
 
     def refuse(self, connection: socket.socket) -> None:
         """Answer a connection as soon as a request comes, and close it."""
-        self.count += 1
+        self.refused += 1
         connection.setblocking(False)
         self._keep(connection)
         if not self._answer(connection):
--- a/packages/fleet/src/teaselledge_fleet/connection/relay.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/relay.py
@@ -11,11 +11,11 @@
 """A router of the same zone answers within some milliseconds; after this the connection
 is served here."""
 
-MOST_RELAYS = 1000
+MAX_RELAYS = 1000
 """Connections passed on at the same time, each with two descriptors and up to two
 buffers."""
 
-REFUSALS = (b"HTTP/1.1 429", b"HTTP/1.1 503")
+NOT_RUN_STATUS_LINES = (b"HTTP/1.1 429", b"HTTP/1.1 503")
 """Beginnings of answers that promise that a request has not run."""
 
 PREFACE = b"relayed %d\n"
@@ -51,14 +51,14 @@
 
     Attributes
     ----------
-    on_refused : callable
+    on_relay_refused : callable
         Called where the other router's answer is a refusal.
     """
 
     def __init__(self, idle_seconds: float) -> None:
         self._idle_seconds = idle_seconds
         self._relays: set[_Relay] = set()
-        self.on_refused: Callable[[], None] = lambda: None
+        self.on_relay_refused: Callable[[], None] = lambda: None
 
     @property
     def running(self) -> int:
@@ -68,10 +68,10 @@
     @property
     def full(self) -> bool:
         """Whether no more connections may be passed on."""
-        return len(self._relays) >= MOST_RELAYS
+        return len(self._relays) >= MAX_RELAYS
 
-    async def pass_on(
-        self, connection: socket.socket, address: str, greeting: bytes
+    async def relay(
+        self, connection: socket.socket, address: str, preface_line: bytes
     ) -> bool:
         """Connect to a router and pass on what either side sends.
 
@@ -81,7 +81,7 @@
             A caller's connection of which nothing has been read.
         address : str
             Where the other router takes over connections.
-        greeting : bytes
+        preface_line : bytes
             Sent before the caller's bytes.
 
         Returns
@@ -91,13 +91,13 @@
         """
         loop = asyncio.get_running_loop()
         host, _, port = address.rpartition(":")
-        relay = _Relay(self._relays, self.on_refused)
+        relay = _Relay(self._relays, self.on_relay_refused)
         try:
             async with asyncio.timeout(CONNECT_SECONDS):
                 await loop.create_connection(lambda: relay.router, host, int(port))
         except (OSError, TimeoutError):
             return False
-        relay.router.write(greeting)
+        relay.router.write(preface_line)
         try:
             await loop.connect_accepted_socket(lambda: relay.caller, connection)
         except OSError:
@@ -151,7 +151,7 @@
         self.active = asyncio.get_running_loop().time()
         if side is self.router and not self._answered:
             self._answered = True
-            if data.startswith(REFUSALS):
+            if data.startswith(NOT_RUN_STATUS_LINES):
                 self._on_refused()
         self.other(side).write(data)
 
--- a/packages/fleet/src/teaselledge_fleet/connection/replies.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/replies.py
@@ -26,7 +26,7 @@
         finally:
             del self._waiting[sequence]
 
-    def take(self, sequence: int, reply: ReplyT) -> None:
+    def resolve(self, sequence: int, reply: ReplyT) -> None:
         """Hand a reply to whoever waits; one that came too late is dropped."""
         future = self._waiting.get(sequence)
         if future is not None and not future.done():
--- a/packages/fleet/src/teaselledge_fleet/faults.py
+++ b/packages/fleet/src/teaselledge_fleet/faults.py
@@ -6,7 +6,14 @@
 
 from tornado.httputil import HTTPHeaders
 
-__all__ = ["ANSWERS", "Answer", "Fault", "FaultKind", "body_of", "head_of"]
+__all__ = [
+    "FAULT_RESPONSES",
+    "FaultResponse",
+    "Fault",
+    "FaultKind",
+    "fault_body",
+    "fault_headers",
+]
 
 
 class FaultKind(Enum):
@@ -28,7 +35,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class FaultResponse:
     """How an error kind is told to the caller.
 
     Attributes
@@ -44,20 +51,20 @@
     title: str
 
 
-ANSWERS: dict[FaultKind, Answer] = {
-    FaultKind.BAD_REQUEST: Answer(400, "The request is malformed"),
-    FaultKind.UNKNOWN_KEY: Answer(401, "The key is missing or unknown"),
-    FaultKind.NO_ROUTE: Answer(404, "No route leads there"),
-    FaultKind.NOT_CONFIGURED: Answer(503, "The router has no configuration yet"),
-    FaultKind.LEAVING: Answer(503, "This router is leaving"),
-    FaultKind.ROUTER_BUSY: Answer(503, "This router is held up"),
-    FaultKind.NO_ENDPOINT: Answer(503, "No endpoint can be reached"),
-    FaultKind.OVER_CAPACITY: Answer(503, "No endpoint has room"),
-    FaultKind.OVER_SHARE: Answer(429, "The organisation is over its share"),
-    FaultKind.NOT_IN_TIME: Answer(503, "No endpoint was free in time"),
-    FaultKind.ENDPOINT_DECLINED: Answer(503, "The endpoints declined"),
-    FaultKind.ENDPOINT_FAILED: Answer(502, "The endpoint failed"),
-    FaultKind.ENDPOINT_TIMEOUT: Answer(504, "The endpoint took too long"),
+FAULT_RESPONSES: dict[FaultKind, FaultResponse] = {
+    FaultKind.BAD_REQUEST: FaultResponse(400, "The request is malformed"),
+    FaultKind.UNKNOWN_KEY: FaultResponse(401, "The key is missing or unknown"),
+    FaultKind.NO_ROUTE: FaultResponse(404, "No route leads there"),
+    FaultKind.NOT_CONFIGURED: FaultResponse(503, "The router has no configuration yet"),
+    FaultKind.LEAVING: FaultResponse(503, "This router is leaving"),
+    FaultKind.ROUTER_BUSY: FaultResponse(503, "This router is held up"),
+    FaultKind.NO_ENDPOINT: FaultResponse(503, "No endpoint can be reached"),
+    FaultKind.OVER_CAPACITY: FaultResponse(503, "No endpoint has room"),
+    FaultKind.OVER_SHARE: FaultResponse(429, "The organisation is over its share"),
+    FaultKind.NOT_IN_TIME: FaultResponse(503, "No endpoint was free in time"),
+    FaultKind.ENDPOINT_DECLINED: FaultResponse(503, "The endpoints declined"),
+    FaultKind.ENDPOINT_FAILED: FaultResponse(502, "The endpoint failed"),
+    FaultKind.ENDPOINT_TIMEOUT: FaultResponse(504, "The endpoint took too long"),
 }
 
 
@@ -77,14 +84,14 @@
     retry_after: float | None = None
 
 
-def body_of(fault: Fault) -> bytes:
+def fault_body(fault: Fault) -> bytes:
     """Return the body of a fault's answer, a problem object (RFC 9457)."""
-    answer = ANSWERS[fault.kind]
+    answer = FAULT_RESPONSES[fault.kind]
     fields = {"title": answer.title, "status": answer.status, "kind": fault.kind.value}
     return json.dumps(fields).encode()
 
 
-def head_of(fault: Fault, headers: HTTPHeaders, length: int) -> HTTPHeaders:
+def fault_headers(fault: Fault, headers: HTTPHeaders, length: int) -> HTTPHeaders:
     """Return the headers of a fault's answer."""
     result = headers.copy()
     result["Content-Type"] = "application/problem+json"
--- a/packages/fleet/src/teaselledge_fleet/process/asking.py
+++ b/packages/fleet/src/teaselledge_fleet/process/asking.py
@@ -232,7 +232,7 @@
     def _take_reply(self, reply: AdmissionReply, sender: str) -> None:
         others = Work(reply.running or 0, (reply.reading or 0) / MILLISECONDS)
         answer = Answer(bool(reply.admitted), others)
-        self._replies.take(reply.sequence or 0, answer)
+        self._replies.resolve(reply.sequence or 0, answer)
 
 
 def _to_wire(question: Question) -> AdmissionRequest:
--- a/packages/fleet/src/teaselledge_fleet/process/leaving.py
+++ b/packages/fleet/src/teaselledge_fleet/process/leaving.py
@@ -4,7 +4,7 @@
 
 from teaselledge_fleet.connection.front import FrontServer
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.request.serving import Server
+from teaselledge_fleet.request.serving import RequestProxy
 
 __all__ = ["Leaving"]
 
@@ -31,7 +31,7 @@
     """Lets requests end, and refuses those that could not end in time."""
 
     def __init__(
-        self, grace_seconds: float, front: FrontServer, server: Server
+        self, grace_seconds: float, front: FrontServer, server: RequestProxy
     ) -> None:
         self._grace = grace_seconds
         self._front = front
@@ -40,7 +40,7 @@
 
     def begin(self) -> None:
         """Begin to leave; further calls do nothing."""
-        self._front.end_kept_connections()
+        self._front.disable_keep_alive()
         self._begun.set()
 
     async def wait(self) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/locating.py
+++ b/packages/fleet/src/teaselledge_fleet/process/locating.py
@@ -91,7 +91,7 @@
         self._socket.send(sender, PartReply(request.sequence, holders[:MOST_TOLD]))
 
     def _take_reply(self, reply: PartReply, sender: str) -> None:
-        self._replies.take(reply.sequence or 0, list(reply.endpoints or ()))
+        self._replies.resolve(reply.sequence or 0, list(reply.endpoints or ()))
 
     def _take_note(self, note: PartNote, sender: str) -> None:
         self._directory.note(note.part or 0, note.endpoint or 0)
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -33,7 +33,7 @@
 from teaselledge_fleet.process.spreading import Spreading
 from teaselledge_fleet.process.store import StateStore
 from teaselledge_fleet.request.call import HeaderCodec
-from teaselledge_fleet.request.serving import Server
+from teaselledge_fleet.request.serving import RequestProxy
 from teaselledge_fleet.version.routes import CallerLimits
 
 __all__ = ["FleetRouter", "Pages"]
@@ -117,28 +117,30 @@
         self._placer = FleetPlacer(self._belief.view, place.zone, settings.zones)
         self._placer.learn_if(lambda at: self._busyness.prompt_since(at))
         self._metrics = FleetMetrics()
-        self._server = Server(
+        self._server = RequestProxy(
             dialect, self._pool, self._placer, self._budget, self._metrics
         )
-        self._server.late = lambda: self._busyness.late or self._busyness.overloaded
+        self._server.is_overloaded = lambda: (
+            self._busyness.late or self._busyness.overloaded
+        )
         limits = CallerLimits()
         self._front = FrontServer(
-            self._server.serve,
+            self._server.handle,
             limits.header_bytes * 2,
             limits.body_bytes,
             limits.idle_seconds,
         )
-        self._front.moving = lambda: self._busyness.crowded
+        self._front.reconnect_probability = lambda: self._busyness.crowded
         acceptor = self._front.acceptor
         acceptor.version = lambda: self._belief.version
         self._offloading = Offloading(self._members)
-        acceptor.choose_router = self._choose_router
+        acceptor.choose_relay_target = self._choose_router
         self._passing = PassingRate()
-        acceptor.may_pass_on = lambda: self._passing.allows
-        acceptor.on_passed_on = self._note_passed_on
-        acceptor.on_refused = self._passing.note_refused
+        acceptor.peers_have_capacity = lambda: self._passing.allows
+        acceptor.on_relayed = self._note_passed_on
+        acceptor.on_relay_refused = self._passing.note_refused
         self._limit = ConnectionLimit()
-        acceptor.has_time = lambda: self._limit.allows(self._front.running)
+        acceptor.has_capacity = lambda: self._limit.allows(self._front.running)
         asks_seeds = bool(settings.seeds) and own.peers not in settings.seeds
         self._follower = StoreFollower(place.vm, store, self._belief, asks_seeds)
         self._registration = Registration(store, self._members, self._belief)
@@ -177,7 +179,7 @@
         listeners = self._settings.listeners
         self._front.listen(*_split(listeners.callers))
         if listeners.relays:
-            self._front.acceptor.listen_to_routers(*_split(listeners.relays))
+            self._front.acceptor.listen_for_relays(*_split(listeners.relays))
         self._listen(listeners.ready, self._answer_ready)
         if listeners.addresses:
             self._listen(listeners.addresses, self._answer_addresses)
@@ -286,7 +288,7 @@
             if service is not None:
                 part = CONNECTIONS_KEPT * service.max_connections / routers
                 caps[endpoint.address] = max(1, int(part))
-        self._pool.use_caps(caps)
+        self._pool.set_connection_limits(caps)
 
     def _answer_ready(self, path: str, arguments: dict[str, str]) -> Page:
         ready = self._members.own.state is MemberState.READY
@@ -318,7 +320,7 @@
         metrics.set("running", self._front.running)
         metrics.set("busy", self._busyness.busy)
         metrics.set("caller_connections", self._front.acceptor.accepted)
-        metrics.set("connections_passed_on", self._front.acceptor.passed_on)
+        metrics.set("connections_passed_on", self._front.acceptor.relayed)
         metrics.set("connections_refused", self._front.acceptor.refused)
         metrics.set("version", self._belief.version)
         metrics.set("store_age_seconds", -1.0 if age is None else age)
@@ -330,7 +332,7 @@
         metrics.set("admissions_asked", self._asking.asked)
         metrics.set("admissions_unanswered", self._asking.unanswered)
         metrics.set("peer_sent_bytes", self._socket.sent_bytes)
-        metrics.set("peer_malformed", self._socket.malformed)
+        metrics.set("peer_malformed", self._socket.malformed_count)
         page = import_module(METRICS_PAGE).metrics_page(metrics)
         return Page(200, page, METRICS_TYPE)
 
--- a/packages/fleet/src/teaselledge_fleet/process/spreading.py
+++ b/packages/fleet/src/teaselledge_fleet/process/spreading.py
@@ -15,14 +15,14 @@
 
 from teaselledge_fleet.connection.codec import PROTOCOL
 from teaselledge_fleet.connection.figures import (
-    pack_ages,
-    pack_alive,
-    pack_marks,
-    pack_uses,
+    pack_member_ages,
+    pack_member_statuses,
+    pack_pulse_marks,
+    pack_usage,
     pack_work,
-    unpack_alive,
-    unpack_marks,
-    unpack_uses,
+    unpack_member_statuses,
+    unpack_pulse_marks,
+    unpack_usage,
     unpack_work,
 )
 from teaselledge_fleet.connection.peers import StateClient
@@ -281,21 +281,21 @@
             changes,
             int(scope),
             others=self._reports(self._to_report()),
-            alive=pack_alive(reports),
-            alive_ages=pack_ages(reports),
+            alive=pack_member_statuses(reports),
+            alive_ages=pack_member_ages(reports),
             admitting=[member.to_wire() for member in self._admitting(scope)],
             era=belief.era,
         )
         if alive:
             marks = [self._sums.mark(peer.vm) for peer in alive]
-            pulse.alive_marks = pack_marks(marks)
+            pulse.alive_marks = pack_pulse_marks(marks)
         figures = self._sums.of_scope(scope, zone_peers)
         if figures is None:
             return pulse
         if scope is Scope.OWN:
             self._sums.note_sent(self._sequence, figures)
         pulse.work = pack_work(figures.work)
-        pulse.uses = pack_uses(figures.uses)
+        pulse.uses = pack_usage(figures.uses)
         return pulse
 
     def _deliver(self, pulse: Pulse, copies: Iterable[Delivery]) -> None:
@@ -415,7 +415,7 @@
         near = sender.zone == self._members.own.zone
         if not pulse.alive or not near or self._topology.aggregates:
             return
-        alive = unpack_alive(pulse.alive, pulse.alive_ages or b"")
+        alive = unpack_member_statuses(pulse.alive, pulse.alive_ages or b"")
         self._members.take_statuses(alive)
 
     def _introduce(self, newcomer: Member) -> None:
@@ -435,7 +435,7 @@
         near = sender.zone == self._members.own.zone
         aggregates = self._topology.aggregates
         work = unpack_work(pulse.work or b"")
-        figures = Figures(work, unpack_uses(pulse.uses or b""))
+        figures = Figures(work, unpack_usage(pulse.uses or b""))
         if scope == Scope.ZONE:
             if not near and aggregates:
                 self._topology.note_aggregator(sender)
@@ -443,7 +443,7 @@
                 self._sums.take_over(self._topology.zones_elsewhere)
         elif scope == Scope.FLEET:
             if near and not aggregates:
-                marks = unpack_marks(pulse.alive or b"", pulse.alive_marks or b"")
+                marks = unpack_pulse_marks(pulse.alive or b"", pulse.alive_marks or b"")
                 mark = marks.get(key_of(self._members.own.vm), NO_MARK)
                 self._sums.hear_fleet(figures, mark)
         elif scope == Scope.OTHERS:
--- a/packages/fleet/src/teaselledge_fleet/request/serving.py
+++ b/packages/fleet/src/teaselledge_fleet/request/serving.py
@@ -6,13 +6,19 @@
 from expression import Error, Ok, Result
 
 from teaselledge_fleet.connection.endpoint import (
-    BrokenAnswerError,
     Exchange,
+    IncompleteResponseError,
     SendFailure,
 )
-from teaselledge_fleet.connection.front import CallerSink, Incoming
+from teaselledge_fleet.connection.front import ReceivedRequest, ResponseWriter
 from teaselledge_fleet.connection.pool import ConnectionPool
-from teaselledge_fleet.faults import ANSWERS, Fault, FaultKind, body_of, head_of
+from teaselledge_fleet.faults import (
+    FAULT_RESPONSES,
+    Fault,
+    FaultKind,
+    fault_body,
+    fault_headers,
+)
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.budget import RepeatBudget
 from teaselledge_fleet.process.endpoints import Endpoint
@@ -32,14 +38,14 @@
     RoutingConfiguration,
 )
 
-__all__ = ["Server"]
+__all__ = ["RequestProxy"]
 
 _log = get_log("serving")
 
 SUCCESS = range(200, 300)
 SERVER_ERROR = 500
 NO_BODY = frozenset({204, 304})
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run."""
 
 LEAVING_RETRY_SECONDS = 0.05
@@ -51,11 +57,11 @@
 BUSY_RETRY_SECONDS = 0.2
 """The caller tries another router; half of the time for which this one refuses."""
 
-HAND_OVER_SECONDS = 0.02
+RESPONSE_TRANSIT_SECONDS = 0.02
 """Taken off the time given to an endpoint, for the way of its answer back."""
 
 
-def permit(
+def resolve_route(
     routing: RoutingConfiguration, call: CallerRequest
 ) -> Result[tuple[Route, Organisation | None], Fault]:
     """Return the route of a request and whose it is, or why it is not allowed."""
@@ -68,7 +74,7 @@
     return Ok((route, organisation))
 
 
-class Server:
+class RequestProxy:
     """Serves requests of callers.
 
     Attributes
@@ -77,7 +83,7 @@
         The configuration in force.
     leaving : bool
         Whether new requests are refused because the router is about to stop.
-    late : callable
+    is_overloaded : callable
         Whether the router's own work is held up. It then refuses at once: what it
         took would reach an engine after its caller has left, and the work on it
         would hold up the next.
@@ -98,36 +104,36 @@
         self._metrics = metrics or FleetMetrics()
         self.routing: RoutingConfiguration | None = None
         self.leaving = False
-        self.late: Callable[[], bool] = lambda: False
+        self.is_overloaded: Callable[[], bool] = lambda: False
 
-    async def serve(self, incoming: Incoming, sink: CallerSink) -> None:
+    async def handle(self, incoming: ReceivedRequest, sink: ResponseWriter) -> None:
         """Run a request and answer it."""
         call = self._dialect.decode_request(
             incoming.method, incoming.target, incoming.headers
         )
         admitted = self._admit(call, incoming)
         if admitted.is_error():
-            self._tell_refusal(call, incoming.caller, admitted.error)
+            self._tell_refusal(call, incoming.remote_ip, admitted.error)
             await self._refuse(call, sink, admitted.error)
             return
         context = admitted.ok
         await _Run(self, context, sink).go()
 
     def _admit(
-        self, call: CallerRequest, incoming: Incoming
+        self, call: CallerRequest, incoming: ReceivedRequest
     ) -> Result[RequestContext, Fault]:
         routing = self.routing
         origin = incoming.origin
-        if routing is None or routing.version < (origin.least_version or 0):
+        if routing is None or routing.version < (origin.min_version or 0):
             return Error(Fault(FaultKind.NOT_CONFIGURED, STARTING_RETRY_SECONDS))
-        permitted = permit(routing, call)
+        permitted = resolve_route(routing, call)
         if permitted.is_ok():
             # before anything is refused: whoever is refused most would otherwise look
             # as if it asked for least, and its share would go to the others
-            self._placer.record_demand(call, permitted.ok[1], origin.stands_for)
+            self._placer.record_demand(call, permitted.ok[1], origin.sample_weight)
         if self.leaving:
             return Error(Fault(FaultKind.LEAVING, LEAVING_RETRY_SECONDS))
-        if self.late() or origin.crowded:
+        if self.is_overloaded() or origin.overloaded:
             return Error(Fault(FaultKind.ROUTER_BUSY, BUSY_RETRY_SECONDS))
         if permitted.is_error():
             return Error(permitted.error)
@@ -143,8 +149,8 @@
                 route,
                 route.choose_service(draw),
                 organisation,
-                incoming.arrived,
-                incoming.arrived + seconds,
+                incoming.arrived_at,
+                incoming.arrived_at + seconds,
                 version=routing.version,
             )
         )
@@ -168,16 +174,18 @@
         )
 
     async def _refuse(
-        self, call: CallerRequest, sink: CallerSink, fault: Fault
+        self, call: CallerRequest, sink: ResponseWriter, fault: Fault
     ) -> None:
         if fault.kind is FaultKind.ROUTER_BUSY:
             # callers that keep their connections here would find it busy again, while
             # other routers of the zone have room
-            sink.moving = 1.0
-        body = body_of(fault)
-        headers = head_of(fault, self._dialect.local_reply_headers(call), len(body))
+            sink.reconnect_probability = 1.0
+        body = fault_body(fault)
+        headers = fault_headers(
+            fault, self._dialect.local_reply_headers(call), len(body)
+        )
         chunk = None if call.method == "HEAD" else body
-        await sink.start(ANSWERS[fault.kind].status, headers, chunk)
+        await sink.start(FAULT_RESPONSES[fault.kind].status, headers, chunk)
         sink.finish()
 
 
@@ -185,7 +193,7 @@
     """The attempts of one request."""
 
     def __init__(
-        self, server: Server, context: RequestContext, sink: CallerSink
+        self, server: RequestProxy, context: RequestContext, sink: ResponseWriter
     ) -> None:
         self._server = server
         self._context = context
@@ -233,10 +241,10 @@
         server = self._server
         context.attempted_endpoints.append(endpoint.id)
         once = context.route.retry_policy is not RetryPolicy.ANY
-        taken = await server._pool.take(endpoint.address, once)
+        taken = await server._pool.acquire(endpoint.address, once)
         if taken.is_error():
             return Outcome.UNSENT
-        if self._sink.gone:
+        if self._sink.disconnected:
             return Outcome.ABANDONED
         if not server._placer.accepts_requests(endpoint):
             _log.info("endpoint left", id=context.request.id, endpoint=endpoint.id)
@@ -261,7 +269,7 @@
         context.may_have_run = True
         onward = self._onward(placement)
         headers = server._dialect.endpoint_request_headers(context.request, onward)
-        exchange = taken.ok.start(
+        exchange = taken.ok.send_request(
             context.request, server._dialect, headers, context.body
         )
         try:
@@ -284,7 +292,7 @@
         context, routing = self._context, self._server.routing
         if routing is None or routing.version == context.version or context.send_count:
             return None
-        permitted = permit(routing, context.request)
+        permitted = resolve_route(routing, context.request)
         if permitted.is_error():
             return permitted.error
         route, _ = permitted.ok
@@ -299,7 +307,7 @@
         return ForwardingInfo(
             placement.endpoint.id,
             context.organisation_name or None,
-            max(0.001, left - HAND_OVER_SECONDS),
+            max(0.001, left - RESPONSE_TRANSIT_SECONDS),
             after,
             placement.fetch_from,
         )
@@ -318,10 +326,10 @@
     ) -> Outcome:
         if not head.authentic:
             return Outcome.BROKEN if self._sink.started else Outcome.LOST
-        failed = head.status >= SERVER_ERROR or head.status in PROMISES
+        failed = head.status >= SERVER_ERROR or head.status in NOT_RUN_STATUSES
         if failed and (self._sink.started or self._may_repeat(Outcome.FAILED)):
             return Outcome.FAILED
-        if head.status in PROMISES:
+        if head.status in NOT_RUN_STATUSES:
             # the endpoint does not say that it has not run the request, and this
             # status would
             return Outcome.LOST
@@ -339,7 +347,7 @@
         try:
             async for part in exchange.body():
                 parts.append(part)
-        except BrokenAnswerError:
+        except IncompleteResponseError:
             return Outcome.LOST
         self._server._placer.on_response_started(self._context, endpoint)
         body = b"".join(parts)
@@ -361,7 +369,7 @@
                 events = splitter.feed(part)
                 if events:
                     await self._put(endpoint, head, events)
-        except BrokenAnswerError:
+        except IncompleteResponseError:
             splitter.discard_partial_event()
             return Outcome.BROKEN if self._sink.started else Outcome.LOST
         if splitter.has_partial_event:
@@ -405,7 +413,10 @@
         context = self._context
         route = context.route
         if outcome is Outcome.UNSENT:
-            return len(context.attempted_endpoints) - context.send_count < MAX_UNREACHED
+            return (
+                len(context.attempted_endpoints) - context.send_count
+                < MAX_CONNECT_FAILURES
+            )
         if context.send_count >= route.attempts:
             return False
         if outcome is Outcome.DECLINED:
@@ -426,7 +437,10 @@
         if self._sink.started:
             self._sink.abort()
             return
-        if self._context.may_have_run and ANSWERS[fault.kind].status in PROMISES:
+        if (
+            self._context.may_have_run
+            and FAULT_RESPONSES[fault.kind].status in NOT_RUN_STATUSES
+        ):
             # an earlier attempt may have run, so no promise can be made
             fault = Fault(FaultKind.ENDPOINT_FAILED)
         self._fault = fault
@@ -481,5 +495,5 @@
         )
 
 
-MAX_UNREACHED = 3
+MAX_CONNECT_FAILURES = 3
 """Endpoints that can't be connected to, before a request is given up."""
--- a/packages/fleet/tests/test_leaving.py
+++ b/packages/fleet/tests/test_leaving.py
@@ -15,7 +15,7 @@
         self.running = running
         self.kept = True
 
-    def end_kept_connections(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Note that no connection is kept."""
         self.kept = False
 
--- a/packages/fleet/tests/test_members.py
+++ b/packages/fleet/tests/test_members.py
@@ -4,7 +4,11 @@
 from contextlib import contextmanager
 from dataclasses import replace
 
-from teaselledge_fleet.connection.figures import pack_ages, pack_alive, unpack_alive
+from teaselledge_fleet.connection.figures import (
+    pack_member_ages,
+    pack_member_statuses,
+    unpack_member_statuses,
+)
 from teaselledge_fleet.process.members import Member, Members, MemberState, Report
 
 VIRTUAL_CLOCK = True
@@ -64,7 +68,9 @@
 def aggregated(silent: float) -> dict:
     """Return what a router of the zone tells of the other one."""
     reports = [Report(OTHER, silent)]
-    return unpack_alive(pack_alive(reports), pack_ages(reports))
+    return unpack_member_statuses(
+        pack_member_statuses(reports), pack_member_ages(reports)
+    )
 
 
 async def test_status_from_the_own_zone_ages_with_the_evidence_behind_it(members):
@@ -81,6 +87,8 @@
 async def test_status_of_an_earlier_release_counts_as_old(members):
     members.hear(OTHER)
     await asyncio.sleep(5)
-    members.take_statuses(unpack_alive(pack_alive([Report(OTHER, 0.1)]), b""))
+    members.take_statuses(
+        unpack_member_statuses(pack_member_statuses([Report(OTHER, 0.1)]), b"")
+    )
     assert members.answering == [OTHER]
     assert members.report(OTHER).silent == 1.0
--- a/packages/fleet/tests/test_one_router_flooded.py
+++ b/packages/fleet/tests/test_one_router_flooded.py
@@ -15,7 +15,7 @@
 
 import asyncio
 
-from teaselledge_fleet.connection.front import Incoming
+from teaselledge_fleet.connection.front import ReceivedRequest
 from teaselledge_fleet.connection.pool import ConnectionPool
 from teaselledge_fleet.process.budget import RepeatBudget
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView
@@ -24,7 +24,7 @@
 from teaselledge_fleet.process.work import key_of
 from teaselledge_fleet.request.call import CallerRequest, Prompt
 from teaselledge_fleet.request.defaultcodec import DefaultHeaderCodec
-from teaselledge_fleet.request.serving import Server
+from teaselledge_fleet.request.serving import RequestProxy
 from teaselledge_fleet.version.routes import RetryPolicy
 from teaselledge_standins.fleetrouters import running_routers
 from teaselledge_standins.routes import ask, make_route, make_routing
@@ -74,7 +74,7 @@
 class Refusals:
     """Takes answers."""
 
-    moving = 0.0
+    reconnect_probability = 0.0
 
     async def start(self, status, headers, chunk=None) -> None:
         """Keep the status."""
@@ -90,15 +90,15 @@
     Its share is then divided among the others, and nobody is over theirs.
     """
     placer = FleetPlacer(EndpointView(), "north-a", {"north-a": "north"})
-    server = Server(PromptDialect(), ConnectionPool(), placer, RepeatBudget())
+    server = RequestProxy(PromptDialect(), ConnectionPool(), placer, RepeatBudget())
     server.routing = make_routing(
         make_route(RetryPolicy.ANY, carries_prompt=True, public=False)
     )
-    server.late = lambda: True
+    server.is_overloaded = lambda: True
     line = RequestStartLine("GET", "/r/1", "HTTP/1.1")
     now = asyncio.get_running_loop().time()
-    incoming = Incoming(line, HTTPHeaders(), now)
+    incoming = ReceivedRequest(line, HTTPHeaders(), now)
     answers = Refusals()
-    await server.serve(incoming, answers)
+    await server.handle(incoming, answers)
     assert answers.status == 503
     assert placer.shares.own() == {key_of("cellar"): Use(1200, 0)}
--- a/packages/fleet/tests/test_pool.py
+++ b/packages/fleet/tests/test_pool.py
@@ -23,10 +23,10 @@
 
 
 async def send(pool: ConnectionPool, address: str, once: bool = False):
-    connection = (await pool.take(address, once)).ok
+    connection = (await pool.acquire(address, once)).ok
     dialect = DefaultHeaderCodec()
     call = dialect.decode_request("GET", "/r/1", HTTPHeaders({"Host": "h"}))
-    exchange = connection.start(
+    exchange = connection.send_request(
         call, dialect, [("Host", "h"), ("X-Request-Id", call.id)], b""
     )
     head = await exchange.head()
@@ -48,7 +48,7 @@
 
     What is sent next on one is reset; an order could not be sent again.
     """
-    pool = ConnectionPool(PoolLimits(once_seconds=0.05))
+    pool = ConnectionPool(PoolLimits(at_most_once_idle_seconds=0.05))
     await send(pool, endpoint.address)
     await asyncio.sleep(0.1)
     await send(pool, endpoint.address, once=True)
@@ -58,16 +58,16 @@
 async def test_idle_connections_stay_below_the_part_of_this_router(endpoint):
     """An endpoint resets connections beyond a number for all routers together."""
     pool = ConnectionPool()
-    pool.use_caps({endpoint.address: 2})
+    pool.set_connection_limits({endpoint.address: 2})
     await asyncio.gather(*(send(pool, endpoint.address) for _ in range(6)))
-    pool.use_caps({endpoint.address: 2})
+    pool.set_connection_limits({endpoint.address: 2})
     assert pool.count(endpoint.address) == 2
 
 
 async def test_connections_to_a_left_address_are_closed(endpoint):
     """Another endpoint may take over the address of one that is gone."""
     pool = ConnectionPool()
-    pool.use_caps({endpoint.address: 2})
+    pool.set_connection_limits({endpoint.address: 2})
     await send(pool, endpoint.address)
-    pool.use_caps({})
+    pool.set_connection_limits({})
     assert pool.count(endpoint.address) == 0
--- a/packages/fleet/tests/test_refusing.py
+++ b/packages/fleet/tests/test_refusing.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from teaselledge_fleet.connection.accepting import SAMPLED
+from teaselledge_fleet.connection.accepting import REFUSALS_PER_SAMPLE
 from teaselledge_fleet.version.routes import RetryPolicy
 from teaselledge_standins.routes import HOST, ask, make_route, serving
 from teaselledge_standins.scripted import Received, ScriptedEndpoint, answer_bytes
@@ -23,8 +23,8 @@
         ScriptedEndpoint(echo) as endpoint,
         serving(make_route(RetryPolicy.NEVER), endpoint.address) as served,
     ):
-        served.front.acceptor.has_time = lambda: False
-        for _ in range(2 * SAMPLED):
+        served.front.acceptor.has_capacity = lambda: False
+        for _ in range(2 * REFUSALS_PER_SAMPLE):
             answered = await ask(served.port, "POST", body=b"order")
             assert answered.whole
             assert answered.status == 503
@@ -32,14 +32,14 @@
             assert answered.headers["connection"] == "close"
             assert 0.1 <= float(answered.headers["retry-after"]) <= 1.5
         assert not endpoint.received
-        assert served.front.acceptor.refused == 2 * SAMPLED
+        assert served.front.acceptor.refused == 2 * REFUSALS_PER_SAMPLE
         assert served.front.acceptor.sampled == 2
 
 
 async def test_caller_with_a_large_body_gets_the_answer():
     """A connection closed with bytes unread is reset, and the answer may be lost."""
     async with serving(make_route(RetryPolicy.NEVER)) as served:
-        served.front.acceptor.has_time = lambda: False
+        served.front.acceptor.has_capacity = lambda: False
         served.front.acceptor.sampled = 1
         answered = await ask(served.port, "POST", body=LARGE)
         assert (answered.status, answered.whole) == (503, True)
@@ -47,7 +47,7 @@
 
 async def test_request_that_comes_later_is_answered_as_well():
     async with serving(make_route(RetryPolicy.NEVER)) as served:
-        served.front.acceptor.has_time = lambda: False
+        served.front.acceptor.has_capacity = lambda: False
         served.front.acceptor.sampled = 1
         reader, writer = await asyncio.open_connection("127.0.0.1", served.port)
         await asyncio.sleep(0.2)
@@ -59,7 +59,7 @@
 
 async def test_connection_without_a_request_is_closed():
     async with serving(make_route(RetryPolicy.NEVER)) as served:
-        served.front.acceptor.has_time = lambda: False
+        served.front.acceptor.has_capacity = lambda: False
         served.front.acceptor.sampled = 1
         reader, writer = await asyncio.open_connection("127.0.0.1", served.port)
         assert await asyncio.wait_for(reader.read(), 3.0) == b""
--- a/packages/fleet/tests/test_relay.py
+++ b/packages/fleet/tests/test_relay.py
@@ -66,7 +66,7 @@
     answered = await ask(pair.crowded.port)
     assert (answered.status, answered.body) == (200, EVENT)
     assert answered.headers["connection"] == "close"
-    assert pair.crowded.router._front.acceptor.passed_on == 1
+    assert pair.crowded.router._front.acceptor.relayed == 1
 
 
 async def test_caller_that_leaves_ends_its_request_at_the_other_router(pair):
@@ -118,7 +118,7 @@
     pair.neighbour.use_up()
     await asyncio.sleep(SETTLED_SECONDS)
     assert (await ask(pair.crowded.port)).status == 503
-    assert pair.crowded.router._front.acceptor.passed_on == 0
+    assert pair.crowded.router._front.acceptor.relayed == 0
 
 
 async def test_neighbour_takes_over_no_more_than_it_has_time_for(pair):
@@ -139,11 +139,11 @@
     for _ in range(REFUSED):
         assert (await ask(pair.crowded.port)).status == 503
     PassingRate.tick(passing)
-    passed_on = crowded._front.acceptor.passed_on
+    passed_on = crowded._front.acceptor.relayed
     for _ in range(REFUSED):
         assert (await ask(pair.crowded.port)).status == 503
     assert passed_on == REFUSED
-    assert crowded._front.acceptor.passed_on < passed_on + REFUSED / 2
+    assert crowded._front.acceptor.relayed < passed_on + REFUSED / 2
     assert not pair.engine.received
 
 
@@ -151,7 +151,7 @@
     """A request passed on late would be cut when this router ends."""
     pair.crowded.router._server.leaving = True
     assert (await ask(pair.crowded.port)).status == 503
-    assert pair.crowded.router._front.acceptor.passed_on == 0
+    assert pair.crowded.router._front.acceptor.relayed == 0
 
 
 async def test_connection_that_fell_silent_is_given_up():
@@ -159,7 +159,7 @@
     async with ScriptedEndpoint(hang) as router:
         pool = RelayPool(0.2)
         near, far = socket.socketpair()
-        assert await pool.pass_on(near, router.address, preface(1))
+        assert await pool.relay(near, router.address, preface(1))
         assert pool.running == 1
         await asyncio.sleep(0.5)
         assert pool.running == 0
--- a/packages/fleet/tests/test_serving.py
+++ b/packages/fleet/tests/test_serving.py
@@ -304,7 +304,7 @@
     async with ScriptedEndpoint(sends(GOOD)) as endpoint:
         route = make_route(RetryPolicy.NEVER)
         async with serving(route, endpoint.address) as served:
-            served.server.late = lambda: True
+            served.server.is_overloaded = lambda: True
             answered = await ask(served.port, "POST", body=b"order")
     assert answered.status == 503
     assert 0 < float(answered.headers["retry-after"]) < 0.5
@@ -317,7 +317,7 @@
         route = make_route(RetryPolicy.ANY)
         async with serving(route, endpoint.address) as served:
             calm = await ask(served.port)
-            served.front.moving = lambda: 1.0
+            served.front.reconnect_probability = lambda: 1.0
             crowded = await ask(served.port)
     assert "connection" not in calm.headers
     assert crowded.headers["connection"] == "close"
@@ -374,7 +374,7 @@
         ScriptedEndpoint(sends(GOOD)) as endpoint,
         serving(route, endpoint.address) as served,
     ):
-        served.server.late = lambda: True
+        served.server.is_overloaded = lambda: True
         answered = await ask(served.port)
     assert answered.status == 503
     assert answered.headers["connection"] == "close"
--- a/packages/standins/src/teaselledge_standins/routes.py
+++ b/packages/standins/src/teaselledge_standins/routes.py
@@ -14,7 +14,7 @@
 from teaselledge_fleet.request.call import CallerRequest
 from teaselledge_fleet.request.context import Outcome, Placement, RequestContext
 from teaselledge_fleet.request.defaultcodec import DefaultHeaderCodec
-from teaselledge_fleet.request.serving import Server
+from teaselledge_fleet.request.serving import RequestProxy
 from teaselledge_fleet.version.routes import (
     Organisation,
     RetryPolicy,
@@ -105,7 +105,7 @@
 class ServedRoute:
     """A router's serving path that listens on loopback."""
 
-    server: Server
+    server: RequestProxy
     placer: InOrder
     front: FrontServer
     port: int
@@ -120,9 +120,9 @@
     ]
     pool = ConnectionPool()
     placer = InOrder(endpoints)
-    server = Server(DefaultHeaderCodec(), pool, placer, RepeatBudget())
+    server = RequestProxy(DefaultHeaderCodec(), pool, placer, RepeatBudget())
     server.routing = make_routing(route)
-    front = FrontServer(server.serve, 1 << 16, 1 << 20, 15.0)
+    front = FrontServer(server.handle, 1 << 16, 1 << 20, 15.0)
     front.listen("127.0.0.1", 0)
     port = front.ports[0]
     try:
