--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -240,7 +240,7 @@
     def _take_reply(self, reply: AdmissionReply, sender: str) -> None:
         others = EndpointLoad(reply.running or 0, (reply.reading or 0) / MILLISECONDS)
         answer = AdmissionDecision(bool(reply.admitted), others)
-        self._replies.take(reply.sequence or 0, answer)
+        self._replies.resolve(reply.sequence or 0, answer)
 
 
 def _to_wire(question: AdmissionQuery) -> AdmissionRequest:
--- a/packages/fleet/src/teaselledge_fleet/process/choosing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/choosing.py
@@ -128,7 +128,7 @@
         cls, context: RequestContext, endpoints: Sequence[Endpoint]
     ) -> "PromptRequirements":
         """Return the demand of a request with a prompt; its holders are not known."""
-        prompt = context.call.prompt
+        prompt = context.request.prompt
         assert prompt is not None
         part = shared_prefix_id(prompt)
         shared = shared_prefix_tokens(prompt)
@@ -136,9 +136,9 @@
         return cls(
             part,
             shared,
-            prompt.tokens - shared,
+            prompt.input_tokens - shared,
             (len(context.body) + answer) / BYTES_PER_KILOBYTE,
-            rendezvous_order(part or context.call.id, endpoints)[:MAX_CANDIDATES],
+            rendezvous_order(part or context.request.id, endpoints)[:MAX_CANDIDATES],
         )
 
     def fetch_source(self, endpoint: Endpoint) -> Endpoint | None:
@@ -230,16 +230,21 @@
         """Return what delay, failures and bytes on the way cost, in seconds."""
         failing = self._results.failure_rate(endpoint.id) * FAILING_SECONDS
         delay = wait + self._distance.round_trip_seconds(endpoint.zone)
-        overrun = max(0.0, delay - TOLERATED_DELAY_FRACTION * context.route.objective)
+        overrun = max(
+            0.0, delay - TOLERATED_DELAY_FRACTION * context.route.latency_objective
+        )
         paid = self._distance.transfer_cost(endpoint.zone, kilobytes)
         return failing + paid + DELAY_WEIGHT * delay + OVERRUN_WEIGHT * overrun
 
 
 def expected_output_tokens(prompt: Prompt) -> int:
     """Return how many tokens an answer is expected to have."""
-    if prompt.output_hint is not None:
-        return min(prompt.output_hint, prompt.max_output or prompt.output_hint)
-    return prompt.max_output
+    if prompt.expected_output_tokens is not None:
+        return min(
+            prompt.expected_output_tokens,
+            prompt.max_output_tokens or prompt.expected_output_tokens,
+        )
+    return prompt.max_output_tokens
 
 
 def _tie_break() -> float:
--- a/packages/fleet/src/teaselledge_fleet/process/placing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/placing.py
@@ -27,9 +27,9 @@
 from teaselledge_fleet.process.shares import OrganisationShares, ShareStatus
 from teaselledge_fleet.process.waiting import QueueWaitLimits
 from teaselledge_fleet.process.work import EndpointLoad, FleetLoad, name_hash
-from teaselledge_fleet.request.call import Call, Prompt
+from teaselledge_fleet.request.call import CallerRequest, Prompt
 from teaselledge_fleet.request.context import Outcome, Placement, RequestContext
-from teaselledge_fleet.version.routes import Organisation, Routing
+from teaselledge_fleet.version.routes import Organisation, RoutingConfiguration
 
 __all__ = ["FleetPlacer"]
 
@@ -151,26 +151,26 @@
         """
         self._prompt_since = prompt_since
 
-    def apply_routing(self, routing: Routing) -> None:
+    def apply_routing(self, routing: RoutingConfiguration) -> None:
         """Take a version of the configuration."""
         self._bounds.apply_routing(routing)
-        self._shares.set_guaranteed_rate(routing.limits.tokens_per_second)
+        self._shares.set_guaranteed_rate(routing.limits.capacity_tokens_per_second)
 
     def set_locator(self, locator: "Locator") -> None:
         """Have the fleet's directory of parts asked."""
         self._locator = locator
 
-    def note_asked(
-        self, call: Call, organisation: Organisation | None, times: int = 1
+    def record_demand(
+        self, call: CallerRequest, organisation: Organisation | None, weight: int = 1
     ) -> None:
         """Count the work that a request asks for."""
         if call.prompt is not None:
             owner = organisation.name if organisation is not None else ""
-            self._shares.record_request(owner, times * _weight(call.prompt))
+            self._shares.record_request(owner, weight * _weight(call.prompt))
 
     async def place(self, context: RequestContext) -> Result[Placement, Fault]:
         """Return the endpoint for the next attempt."""
-        prompt = context.call.prompt
+        prompt = context.request.prompt
         endpoints = self._usable(context)
         if not endpoints:
             return Error(Fault(FaultKind.NO_ENDPOINT, 0.5))
@@ -179,7 +179,7 @@
             self._begin(context, best)
             return Ok(self._placement(context, best))
         demand = await self._demand(context, endpoints)
-        if context.sends:
+        if context.send_count:
             best = self._chooser.rank_engines(context, demand)[0]
             self._begin(context, best)
             return Ok(self._placement_of_prompt(context, best, demand))
@@ -213,14 +213,14 @@
         weighed with a copy of it. It must not be the only one that is asked: callers
         would be refused while engines beside it have nothing to do.
         """
-        standing = self._shares.status(context.owner, SHARE_TOLERANCE)
+        standing = self._shares.status(context.organisation_name, SHARE_TOLERANCE)
         over = standing is not ShareStatus.INSIDE
         bound = self._bounds.max_wait(context.route, context.service, standing)
         asked: set[str] = set()
         best = self._chooser.rank_engines(context, demand)[0]
         while len(asked) < MAX_ADMISSION_QUERIES:
             asked.add(best.endpoint.id)
-            left = context.arrived + bound - self._now()
+            left = context.arrived_at + bound - self._now()
             admitted = await self._admit(context, best, left)
             if admitted is not None:
                 return Ok(self._placement_of_prompt(context, admitted, demand))
@@ -235,7 +235,7 @@
         kind = FaultKind.OVER_SHARE if over else FaultKind.OVER_CAPACITY
         _log.info(
             "request not placed",
-            id=context.call.id,
+            id=context.request.id,
             fault=kind.value,
             endpoint=best.endpoint.id,
             asked=len(asked),
@@ -248,7 +248,10 @@
         """Return when a refused caller should come back, in seconds."""
         latest = RETRY_LATEST
         if over:
-            latest = max(latest, self._shares.seconds_until_within_share(context.owner))
+            latest = max(
+                latest,
+                self._shares.seconds_until_within_share(context.organisation_name),
+            )
         return random.uniform(RETRY_SOONEST, latest)
 
     async def _admit(
@@ -273,7 +276,7 @@
                 wait = engine_queue_wait(before, best.endpoint.slots)
                 admitted = replace(best, wait=wait)
                 sent = _Sent(best.prefill_seconds, self._now(), wait)
-                self._sent[context.call.id, name] = sent
+                self._sent[context.request.id, name] = sent
             return admitted
         finally:
             # also where the caller leaves while the answer is awaited
@@ -286,9 +289,9 @@
     def _placement_of_prompt(
         self, context: RequestContext, best: Candidate, demand: PromptRequirements
     ) -> Placement:
-        prompt = context.call.prompt
+        prompt = context.request.prompt
         assert prompt is not None
-        context.reading = best.prefill_seconds
+        context.prefill_seconds = best.prefill_seconds
         if demand.prefix_id is not None:
             self._parts.record_use(
                 name_hash(demand.prefix_id), name_hash(best.endpoint.id)
@@ -297,18 +300,18 @@
                 self._locator.report_use(
                     demand.prefix_id, demand.ranked_engines[0], best.endpoint
                 )
-        if not context.sends:
-            self._shares.record_allocation(context.owner, _weight(prompt))
+        if not context.send_count:
+            self._shares.record_allocation(context.organisation_name, _weight(prompt))
         return self._placement(context, best)
 
-    def takes_work(self, endpoint: Endpoint) -> bool:
+    def accepts_requests(self, endpoint: Endpoint) -> bool:
         """Whether an endpoint is there still and not leaving."""
         known = self._view.get(endpoint.id)
         return known is not None and not known.leaving
 
-    def began(self, context: RequestContext, endpoint: Endpoint) -> None:
+    def on_response_started(self, context: RequestContext, endpoint: Endpoint) -> None:
         """Note the first part of an answer."""
-        key = (context.call.id, endpoint.id)
+        key = (context.request.id, endpoint.id)
         sent = self._sent.get(key)
         if sent is None:
             return
@@ -320,14 +323,14 @@
     def _learn(self, context: RequestContext, endpoint: Endpoint, sent: _Sent) -> None:
         """Learn how long an endpoint took to begin an answer."""
         taken = self._now() - sent.at
-        if context.call.prompt is None:
+        if context.request.prompt is None:
             self._chooser.response_times.observe(endpoint.id, taken)
             return
         reading = sent.wait * PREFILL_TIME_FRACTION + sent.reading
         taken -= self._distance.round_trip_seconds(endpoint.zone)
         self._chooser.prefill.observe(endpoint.service, reading, taken)
 
-    def ended(
+    def on_attempt_ended(
         self, context: RequestContext, endpoint: Endpoint, outcome: Outcome
     ) -> None:
         """Note the end of an attempt."""
@@ -359,7 +362,7 @@
         fresh = [
             endpoint
             for endpoint in self._view.of_service(context.service)
-            if endpoint.id not in context.tried
+            if endpoint.id not in context.attempted_endpoints
         ]
         reached = [e for e in fresh if not self._results.is_ejected(e.id)]
         return reached or fresh
@@ -381,10 +384,10 @@
     def _begin(self, context: RequestContext, best: Candidate) -> None:
         self._work.add_local(best.endpoint.id, 1, best.prefill_seconds)
         sent = _Sent(best.prefill_seconds, self._now(), best.wait)
-        self._sent[context.call.id, best.endpoint.id] = sent
+        self._sent[context.request.id, best.endpoint.id] = sent
 
     def _count_out(self, context: RequestContext, endpoint: Endpoint) -> None:
-        sent = self._sent.pop((context.call.id, endpoint.id), None)
+        sent = self._sent.pop((context.request.id, endpoint.id), None)
         if sent is not None:
             self._work.add_local(endpoint.id, -1, -sent.reading)
 
@@ -399,7 +402,7 @@
     whose prompts share much look as if they had received more than the others.
     """
     return (
-        prompt.tokens
+        prompt.input_tokens
         - shared_prefix_tokens(prompt)
         + 2 * expected_output_tokens(prompt)
     )
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -32,8 +32,8 @@
 from teaselledge_fleet.process.store import StateStore
 from teaselledge_fleet.process.storecache import Decode, StoreCache
 from teaselledge_fleet.process.storepoller import StorePoller
-from teaselledge_fleet.request.call import Dialect
-from teaselledge_fleet.request.serving import Server
+from teaselledge_fleet.request.call import HeaderCodec
+from teaselledge_fleet.request.serving import RequestProxy
 from teaselledge_fleet.version.routes import CallerLimits
 
 __all__ = ["FleetRouter", "PageFormats"]
@@ -91,7 +91,7 @@
         self,
         settings: FleetSettings,
         store: StateStore,
-        dialect: Dialect,
+        dialect: HeaderCodec,
         pages: PageFormats,
         decode: Decode,
     ) -> None:
@@ -117,30 +117,30 @@
         self._placer = FleetPlacer(self._belief.view, place.zone, settings.zones)
         self._placer.set_sample_filter(lambda at: self._busyness.responsive_since(at))
         self._metrics = FleetMetrics()
-        self._server = Server(
+        self._server = RequestProxy(
             dialect, self._pool, self._placer, self._budget, self._metrics
         )
-        self._server.late = lambda: (
+        self._server.is_overloaded = lambda: (
             self._busyness.recently_blocked or self._busyness.overloaded
         )
         limits = CallerLimits()
         self._front = FrontServer(
-            self._server.serve,
+            self._server.handle,
             limits.header_bytes * 2,
             limits.body_bytes,
             limits.idle_seconds,
         )
-        self._front.moving = lambda: self._busyness.rebalance_fraction
+        self._front.reconnect_probability = lambda: self._busyness.rebalance_fraction
         acceptor = self._front.acceptor
         acceptor.version = lambda: self._belief.version
         self._offloading = ConnectionOffloader(self._members)
-        acceptor.choose_router = self._choose_router
+        acceptor.choose_relay_target = self._choose_router
         self._passing = OffloadLimiter()
-        acceptor.may_pass_on = lambda: self._passing.allowed
-        acceptor.on_passed_on = self._note_passed_on
-        acceptor.on_refused = self._passing.record_refusal
+        acceptor.peers_have_capacity = lambda: self._passing.allowed
+        acceptor.on_relayed = self._note_passed_on
+        acceptor.on_relay_refused = self._passing.record_refusal
         self._limit = ConnectionLimit()
-        acceptor.has_time = lambda: self._limit.allows(self._front.running)
+        acceptor.has_capacity = lambda: self._limit.allows(self._front.running)
         asks_seeds = bool(settings.seeds) and own.peer_address not in settings.seeds
         self._follower = StorePoller(place.vm, store, self._belief, asks_seeds)
         self._registration = Registration(store, self._members, self._belief)
@@ -183,7 +183,7 @@
         listeners = self._settings.listeners
         self._front.listen(*_split(listeners.callers))
         if listeners.relays:
-            self._front.acceptor.listen_to_routers(*_split(listeners.relays))
+            self._front.acceptor.listen_for_relays(*_split(listeners.relays))
         self._listen(listeners.ready, self._answer_ready)
         if listeners.addresses:
             self._listen(listeners.addresses, self._answer_addresses)
@@ -295,7 +295,7 @@
             if service is not None:
                 part = CONNECTIONS_KEPT * service.max_connections / routers
                 caps[endpoint.address] = max(1, int(part))
-        self._pool.use_caps(caps)
+        self._pool.set_connection_limits(caps)
 
     def _answer_ready(self, path: str, arguments: dict[str, str]) -> Page:
         ready = self._members.own.state is MemberState.READY
@@ -327,7 +327,7 @@
         metrics.set("running", self._front.running)
         metrics.set("busy", self._busyness.utilisation)
         metrics.set("caller_connections", self._front.acceptor.accepted)
-        metrics.set("connections_passed_on", self._front.acceptor.passed_on)
+        metrics.set("connections_passed_on", self._front.acceptor.relayed)
         metrics.set("connections_refused", self._front.acceptor.refused)
         metrics.set("version", self._belief.version)
         metrics.set("store_age_seconds", -1.0 if age is None else age)
@@ -339,7 +339,7 @@
         metrics.set("admissions_asked", self._asking.queries_sent)
         metrics.set("admissions_unanswered", self._asking.queries_timed_out)
         metrics.set("peer_sent_bytes", self._socket.sent_bytes)
-        metrics.set("peer_malformed", self._socket.malformed)
+        metrics.set("peer_malformed", self._socket.malformed_count)
         page = import_module(METRICS_PAGE).metrics_page(metrics)
         return Page(200, page, METRICS_TYPE)
 
--- a/packages/fleet/src/teaselledge_fleet/request/serving.py
+++ b/packages/fleet/src/teaselledge_fleet/request/serving.py
@@ -6,30 +6,46 @@
 from expression import Error, Ok, Result
 
 from teaselledge_fleet.connection.endpoint import (
-    BrokenAnswerError,
     Exchange,
+    IncompleteResponseError,
     SendFailure,
 )
-from teaselledge_fleet.connection.front import CallerSink, Incoming
+from teaselledge_fleet.connection.front import ReceivedRequest, ResponseWriter
 from teaselledge_fleet.connection.pool import ConnectionPool
-from teaselledge_fleet.faults import ANSWERS, Fault, FaultKind, body_of, head_of
+from teaselledge_fleet.faults import (
+    FAULT_RESPONSES,
+    Fault,
+    FaultKind,
+    fault_body,
+    fault_headers,
+)
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.budget import RetryBudget
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.metrics import FleetMetrics
-from teaselledge_fleet.request.call import Call, Dialect, EndpointHead, Onward
+from teaselledge_fleet.request.call import (
+    CallerRequest,
+    ForwardingInfo,
+    HeaderCodec,
+    ResponseHead,
+)
 from teaselledge_fleet.request.context import Outcome, Placement, Placer, RequestContext
 from teaselledge_fleet.request.events import EventSplitter
-from teaselledge_fleet.version.routes import Organisation, Repeat, Route, Routing
+from teaselledge_fleet.version.routes import (
+    Organisation,
+    RetryPolicy,
+    Route,
+    RoutingConfiguration,
+)
 
-__all__ = ["Server"]
+__all__ = ["RequestProxy"]
 
 _log = get_log("serving")
 
 SUCCESS = range(200, 300)
 SERVER_ERROR = 500
 NO_BODY = frozenset({204, 304})
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise that a request has not run."""
 
 LEAVING_RETRY_SECONDS = 0.05
@@ -41,24 +57,24 @@
 BUSY_RETRY_SECONDS = 0.2
 """The caller tries another router; half of the time for which this one refuses."""
 
-HAND_OVER_SECONDS = 0.02
+RESPONSE_TRANSIT_SECONDS = 0.02
 """Taken off the time given to an endpoint, for the way of its answer back."""
 
 
-def permit(
-    routing: Routing, call: Call
+def resolve_route(
+    routing: RoutingConfiguration, call: CallerRequest
 ) -> Result[tuple[Route, Organisation | None], Fault]:
     """Return the route of a request and whose it is, or why it is not allowed."""
-    route = routing.route_of(call.host, call.path)
+    route = routing.find_route(call.host, call.path)
     if route is None:
         return Error(Fault(FaultKind.NO_ROUTE))
-    organisation = routing.holder_of(call.key) if call.key else None
+    organisation = routing.find_organisation(call.key) if call.key else None
     if organisation is None and routing.organisations and not route.public:
         return Error(Fault(FaultKind.UNKNOWN_KEY))
     return Ok((route, organisation))
 
 
-class Server:
+class RequestProxy:
     """Serves requests of callers.
 
     Attributes
@@ -67,7 +83,7 @@
         The configuration in force.
     leaving : bool
         Whether new requests are refused because the router is about to stop.
-    late : callable
+    is_overloaded : callable
         Whether the router's own work is held up. It then refuses at once: what it
         took would reach an engine after its caller has left, and the work on it
         would hold up the next.
@@ -75,7 +91,7 @@
 
     def __init__(
         self,
-        dialect: Dialect,
+        dialect: HeaderCodec,
         pool: ConnectionPool,
         placer: Placer,
         budget: RetryBudget,
@@ -86,62 +102,64 @@
         self._placer = placer
         self._budget = budget
         self._metrics = metrics or FleetMetrics()
-        self.routing: Routing | None = None
+        self.routing: RoutingConfiguration | None = None
         self.leaving = False
-        self.late: Callable[[], bool] = lambda: False
+        self.is_overloaded: Callable[[], bool] = lambda: False
 
-    async def serve(self, incoming: Incoming, sink: CallerSink) -> None:
+    async def handle(self, incoming: ReceivedRequest, sink: ResponseWriter) -> None:
         """Run a request and answer it."""
-        call = self._dialect.read_call(
+        call = self._dialect.decode_request(
             incoming.method, incoming.target, incoming.headers
         )
         admitted = self._admit(call, incoming)
         if admitted.is_error():
-            self._tell_refusal(call, incoming.caller, admitted.error)
+            self._tell_refusal(call, incoming.remote_ip, admitted.error)
             await self._refuse(call, sink, admitted.error)
             return
         context = admitted.ok
         await _Run(self, context, sink).go()
 
-    def _admit(self, call: Call, incoming: Incoming) -> Result[RequestContext, Fault]:
+    def _admit(
+        self, call: CallerRequest, incoming: ReceivedRequest
+    ) -> Result[RequestContext, Fault]:
         routing = self.routing
         origin = incoming.origin
-        if routing is None or routing.version < (origin.least_version or 0):
+        if routing is None or routing.version < (origin.min_version or 0):
             return Error(Fault(FaultKind.NOT_CONFIGURED, STARTING_RETRY_SECONDS))
-        permitted = permit(routing, call)
+        permitted = resolve_route(routing, call)
         if permitted.is_ok():
             # before anything is refused: whoever is refused most would otherwise look
             # as if it asked for least, and its share would go to the others
-            self._placer.note_asked(call, permitted.ok[1], origin.stands_for)
+            self._placer.record_demand(call, permitted.ok[1], origin.sample_weight)
         if self.leaving:
             return Error(Fault(FaultKind.LEAVING, LEAVING_RETRY_SECONDS))
-        if self.late() or origin.crowded:
+        if self.is_overloaded() or origin.overloaded:
             return Error(Fault(FaultKind.ROUTER_BUSY, BUSY_RETRY_SECONDS))
         if permitted.is_error():
             return Error(permitted.error)
         route, organisation = permitted.ok
         seconds = route.timeout
-        if call.patience is not None:
-            seconds = min(seconds, call.patience)
+        if call.timeout_seconds is not None:
+            seconds = min(seconds, call.timeout_seconds)
         draw = hash(call.id) % 997 / 997
         return Ok(
             RequestContext(
                 call,
                 incoming.body,
                 route,
-                route.target(draw),
+                route.choose_service(draw),
                 organisation,
-                incoming.arrived,
-                incoming.arrived + seconds,
+                incoming.arrived_at,
+                incoming.arrived_at + seconds,
                 version=routing.version,
             )
         )
 
-    def _tell_refusal(self, call: Call, caller: str, fault: Fault) -> None:
+    def _tell_refusal(self, call: CallerRequest, caller: str, fault: Fault) -> None:
         kind = fault.kind.value
         organisation = None
         if self.routing is not None and call.key:
-            organisation = self.routing.holder_of(call.key)
+            organisation = self.routing.find_organisation(call.key)
         self._metrics.increment("requests", outcome="refused", fault=kind, service="")
         _log.info(
             "request refused",
@@ -155,15 +173,19 @@
             retry_after=fault.retry_after,
         )
 
-    async def _refuse(self, call: Call, sink: CallerSink, fault: Fault) -> None:
+    async def _refuse(
+        self, call: CallerRequest, sink: ResponseWriter, fault: Fault
+    ) -> None:
         if fault.kind is FaultKind.ROUTER_BUSY:
             # callers that keep their connections here would find it busy again, while
             # other routers of the zone have room
-            sink.moving = 1.0
-        body = body_of(fault)
-        headers = head_of(fault, self._dialect.refusal_headers(call), len(body))
+            sink.reconnect_probability = 1.0
+        body = fault_body(fault)
+        headers = fault_headers(
+            fault, self._dialect.local_reply_headers(call), len(body)
+        )
         chunk = None if call.method == "HEAD" else body
-        await sink.start(ANSWERS[fault.kind].status, headers, chunk)
+        await sink.start(FAULT_RESPONSES[fault.kind].status, headers, chunk)
         sink.finish()
 
 
@@ -171,7 +193,7 @@
     """The attempts of one request."""
 
     def __init__(
-        self, server: Server, context: RequestContext, sink: CallerSink
+        self, server: RequestProxy, context: RequestContext, sink: ResponseWriter
     ) -> None:
         self._server = server
         self._context = context
@@ -203,7 +225,7 @@
             try:
                 outcome = await self._attempt(placed.ok)
             finally:
-                self._server._placer.ended(context, endpoint, outcome)
+                self._server._placer.on_attempt_ended(context, endpoint, outcome)
                 self._server._metrics.increment(
                     "attempts", outcome=outcome.name.lower(), service=context.service
                 )
@@ -217,37 +239,39 @@
         endpoint = placement.endpoint
         context = self._context
         server = self._server
-        context.tried.append(endpoint.id)
-        once = context.route.repeat is not Repeat.ANY
-        taken = await server._pool.take(endpoint.address, once)
+        context.attempted_endpoints.append(endpoint.id)
+        once = context.route.retry_policy is not RetryPolicy.ANY
+        taken = await server._pool.acquire(endpoint.address, once)
         if taken.is_error():
             return Outcome.UNSENT
-        if self._sink.gone:
+        if self._sink.disconnected:
             return Outcome.ABANDONED
-        if not server._placer.takes_work(endpoint):
-            _log.info("endpoint left", id=context.call.id, endpoint=endpoint.id)
+        if not server._placer.accepts_requests(endpoint):
+            _log.info("endpoint left", id=context.request.id, endpoint=endpoint.id)
             return Outcome.UNSENT
         outdated = self._outdated()
         if outdated is not None:
             await self._give_up(outdated)
             return Outcome.ABANDONED
-        if context.sends == 0:
+        if context.send_count == 0:
             server._budget.record_first_attempt(context.service)
-        context.sends += 1
+        context.send_count += 1
         _log.info(
             "attempt sent",
-            id=context.call.id,
+            id=context.request.id,
             endpoint=endpoint.id,
             address=endpoint.address,
-            send=context.sends,
+            send=context.send_count,
             fetch_from=placement.fetch_from,
-            **placement.reasons,
+            **placement.log_fields,
         )
         before = context.may_have_run
         context.may_have_run = True
         onward = self._onward(placement)
-        headers = server._dialect.onward_headers(context.call, onward)
-        exchange = taken.ok.start(context.call, server._dialect, headers, context.body)
+        headers = server._dialect.endpoint_request_headers(context.request, onward)
+        exchange = taken.ok.send_request(
+            context.request, server._dialect, headers, context.body
+        )
         try:
             head = await exchange.head()
             if head.is_error():
@@ -266,9 +290,9 @@
         see an old version in force, and engines get requests of routes that are gone.
         """
         context, routing = self._context, self._server.routing
-        if routing is None or routing.version == context.version or context.sends:
+        if routing is None or routing.version == context.version or context.send_count:
             return None
-        permitted = permit(routing, context.call)
+        permitted = resolve_route(routing, context.request)
         if permitted.is_error():
             return permitted.error
         route, _ = permitted.ok
@@ -276,14 +300,14 @@
             return Fault(FaultKind.NOT_CONFIGURED, STARTING_RETRY_SECONDS)
         return None
 
-    def _onward(self, placement: Placement) -> Onward:
+    def _onward(self, placement: Placement) -> ForwardingInfo:
         context = self._context
         left = context.deadline - asyncio.get_running_loop().time()
         after = self._splitter.last_id if self._splitter is not None else None
-        return Onward(
+        return ForwardingInfo(
             placement.endpoint.id,
-            context.owner or None,
-            max(0.001, left - HAND_OVER_SECONDS),
+            context.organisation_name or None,
+            max(0.001, left - RESPONSE_TRANSIT_SECONDS),
             after,
             placement.fetch_from,
         )
@@ -291,21 +315,21 @@
     def _lost(self, failure: SendFailure) -> Outcome:
         _log.info(
             "attempt lost",
-            id=self._context.call.id,
+            id=self._context.request.id,
             fault=failure.fault.value,
             reused=failure.reused,
         )
         return Outcome.BROKEN if self._sink.started else Outcome.LOST
 
     async def _pass_on(
-        self, endpoint: Endpoint, head: EndpointHead, exchange: Exchange
+        self, endpoint: Endpoint, head: ResponseHead, exchange: Exchange
     ) -> Outcome:
-        if not head.sound:
+        if not head.authentic:
             return Outcome.BROKEN if self._sink.started else Outcome.LOST
-        failed = head.status >= SERVER_ERROR or head.status in PROMISES
+        failed = head.status >= SERVER_ERROR or head.status in NOT_RUN_STATUSES
         if failed and (self._sink.started or self._may_repeat(Outcome.FAILED)):
             return Outcome.FAILED
-        if head.status in PROMISES:
+        if head.status in NOT_RUN_STATUSES:
             # the endpoint does not say that it has not run the request, and this
             # status would
             return Outcome.LOST
@@ -314,7 +338,7 @@
         return await self._relay_events(endpoint, head, exchange)
 
     async def _relay(
-        self, endpoint: Endpoint, head: EndpointHead, exchange: Exchange
+        self, endpoint: Endpoint, head: ResponseHead, exchange: Exchange
     ) -> Outcome:
         """Pass on an answer whose parts have no edges."""
         if self._sink.started:
@@ -323,9 +347,9 @@
         try:
             async for part in exchange.body():
                 parts.append(part)
-        except BrokenAnswerError:
+        except IncompleteResponseError:
             return Outcome.LOST
-        self._server._placer.began(self._context, endpoint)
+        self._server._placer.on_response_started(self._context, endpoint)
         body = b"".join(parts)
         headers = head.headers.copy()
         if head.status not in NO_BODY and "Content-Length" not in headers:
@@ -335,7 +359,7 @@
         return Outcome.WHOLE if head.status < SERVER_ERROR else Outcome.FAILED
 
     async def _relay_events(
-        self, endpoint: Endpoint, head: EndpointHead, exchange: Exchange
+        self, endpoint: Endpoint, head: ResponseHead, exchange: Exchange
     ) -> Outcome:
         """Pass on whole events as they come."""
         splitter = self._splitter
@@ -345,25 +369,25 @@
                 events = splitter.feed(part)
                 if events:
                     await self._put(endpoint, head, events)
-        except BrokenAnswerError:
-            splitter.drop()
+        except IncompleteResponseError:
+            splitter.discard_partial_event()
             return Outcome.BROKEN if self._sink.started else Outcome.LOST
-        if splitter.partial:
-            splitter.drop()
+        if splitter.has_partial_event:
+            splitter.discard_partial_event()
             return Outcome.BROKEN if self._sink.started else Outcome.LOST
         if not self._sink.started:
             await self._put(endpoint, head, b"")
         self._sink.finish()
         return Outcome.WHOLE
 
-    async def _put(self, endpoint: Endpoint, head: EndpointHead, events: bytes) -> None:
+    async def _put(self, endpoint: Endpoint, head: ResponseHead, events: bytes) -> None:
         self._note_pause()
         if self._sink.started:
             await self._sink.write(events)
             return
         context = self._context
-        context.begun = asyncio.get_running_loop().time()
-        self._server._placer.began(context, endpoint)
+        context.first_event_at = asyncio.get_running_loop().time()
+        self._server._placer.on_response_started(context, endpoint)
         headers = head.headers.copy()
         # the whole may come from several endpoints
         headers.pop("Content-Length", None)
@@ -373,7 +397,9 @@
         now = asyncio.get_running_loop().time()
         if self._last_part is not None:
             pause = now - self._last_part
-            self._context.longest_pause = max(self._context.longest_pause, pause)
+            self._context.longest_event_gap = max(
+                self._context.longest_event_gap, pause
+            )
         self._last_part = now
 
     def _again(self, outcome: Outcome) -> bool:
@@ -387,12 +413,15 @@
         context = self._context
         route = context.route
         if outcome is Outcome.UNSENT:
-            return len(context.tried) - context.sends < MAX_UNREACHED
-        if context.sends >= route.attempts:
+            return (
+                len(context.attempted_endpoints) - context.send_count
+                < MAX_CONNECT_FAILURES
+            )
+        if context.send_count >= route.attempts:
             return False
         if outcome is Outcome.DECLINED:
             return True
-        return route.repeat is not Repeat.NEVER
+        return route.retry_policy is not RetryPolicy.NEVER
 
     def _last_fault(self, outcome: Outcome) -> Fault:
         context = self._context
@@ -408,11 +437,14 @@
         if self._sink.started:
             self._sink.abort()
             return
-        if self._context.may_have_run and ANSWERS[fault.kind].status in PROMISES:
+        if (
+            self._context.may_have_run
+            and FAULT_RESPONSES[fault.kind].status in NOT_RUN_STATUSES
+        ):
             # an earlier attempt may have run, so no promise can be made
             fault = Fault(FaultKind.ENDPOINT_FAILED)
         self._fault = fault
-        await self._server._refuse(self._context.call, self._sink, fault)
+        await self._server._refuse(self._context.request, self._sink, fault)
 
     async def _time_out(self) -> None:
         if self._context.may_have_run:
@@ -427,39 +459,41 @@
         metrics.increment(
             "requests", outcome=outcome.name.lower(), fault=fault, service=service
         )
-        metrics.observe("request_seconds", now - context.arrived, service=service)
-        if context.begun is not None:
-            first = context.begun - context.arrived
+        metrics.observe("request_seconds", now - context.arrived_at, service=service)
+        if context.first_event_at is not None:
+            first = context.first_event_at - context.arrived_at
             metrics.observe("first_event_seconds", first, service=service)
-            metrics.observe("pause_seconds", context.longest_pause, service=service)
+            metrics.observe("pause_seconds", context.longest_event_gap, service=service)
 
     def _tell(self, outcome: Outcome, endpoint: Endpoint | None) -> None:
         context = self._context
         now = asyncio.get_running_loop().time()
         self._count(outcome, now)
         first = None
-        if context.begun is not None:
-            first = round((context.begun - context.arrived) * 1000)
+        if context.first_event_at is not None:
+            first = round((context.first_event_at - context.arrived_at) * 1000)
         _log.info(
             "request ended",
-            id=context.call.id,
+            id=context.request.id,
             route=context.route.name,
-            organisation=context.owner,
+            organisation=context.organisation_name,
             version=context.version,
             outcome=outcome.name.lower(),
             fault=self._fault.kind.value if self._fault is not None else None,
             endpoint=endpoint.id if endpoint is not None else None,
-            tried=context.tried,
-            prompt=context.call.prompt.tokens if context.call.prompt else None,
-            reading_ms=round(context.reading * 1000),
+            tried=context.attempted_endpoints,
+            prompt=context.request.prompt.input_tokens
+            if context.request.prompt
+            else None,
+            reading_ms=round(context.prefill_seconds * 1000),
             retry_after=self._fault.retry_after if self._fault is not None else None,
-            sends=context.sends,
+            sends=context.send_count,
             first_ms=first,
-            pause_ms=round(context.longest_pause * 1000),
-            ms=round((now - context.arrived) * 1000),
+            pause_ms=round(context.longest_event_gap * 1000),
+            ms=round((now - context.arrived_at) * 1000),
             left_ms=round((context.deadline - now) * 1000),
         )
 
 
-MAX_UNREACHED = 3
+MAX_CONNECT_FAILURES = 3
 """Endpoints that can't be connected to, before a request is given up."""
--- a/packages/fleet/tests/test_members.py
+++ b/packages/fleet/tests/test_members.py
@@ -4,7 +4,11 @@
 from contextlib import contextmanager
 from dataclasses import replace
 
-from teaselledge_fleet.connection.figures import pack_ages, pack_alive, unpack_alive
+from teaselledge_fleet.connection.figures import (
+    pack_member_ages,
+    pack_member_statuses,
+    unpack_member_statuses,
+)
 from teaselledge_fleet.process.members import Member, MemberReport, Members, MemberState
 
 VIRTUAL_CLOCK = True
@@ -64,7 +68,9 @@
 def aggregated(silent: float) -> dict:
     """Return what a router of the zone tells of the other one."""
     reports = [MemberReport(OTHER, silent)]
-    return unpack_alive(pack_alive(reports), pack_ages(reports))
+    return unpack_member_statuses(
+        pack_member_statuses(reports), pack_member_ages(reports)
+    )
 
 
 async def test_status_from_the_own_zone_ages_with_the_evidence_behind_it(members):
@@ -82,7 +88,7 @@
     members.update_from_heartbeat(OTHER)
     await asyncio.sleep(5)
     members.update_from_aggregator(
-        unpack_alive(pack_alive([MemberReport(OTHER, 0.1)]), b"")
+        unpack_member_statuses(pack_member_statuses([MemberReport(OTHER, 0.1)]), b"")
     )
     assert members.alive == [OTHER]
     assert members.report(OTHER).silent_seconds == 1.0
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -11,9 +11,9 @@
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.shares import TokenUsage
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
-from teaselledge_fleet.request.call import Call, Prompt, PromptPart
+from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptPart
 from teaselledge_fleet.request.context import Outcome, RequestContext
-from teaselledge_fleet.version.routes import Organisation, Repeat
+from teaselledge_fleet.version.routes import Organisation, RetryPolicy
 from teaselledge_standins.routes import make_route
 from tornado.httputil import HTTPHeaders
 
@@ -41,9 +41,13 @@
         self.asked += 1
         parts = (PromptPart(part, shared), PromptPart(f"own{self.asked}", own))
         prompt = Prompt(shared + own, 120, parts)
-        call = Call(f"q{self.asked}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt)
+        call = CallerRequest(
+            f"q{self.asked}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt
+        )
         now = asyncio.get_running_loop().time()
-        route = make_route(Repeat.NEVER, stream=True, prompt=True, objective=0.8)
+        route = make_route(
+            RetryPolicy.NEVER, stream=True, carries_prompt=True, latency_objective=0.8
+        )
         owner = Organisation(more.get("owner", "cellar"), ())
         body = b"x" * more.get("size", 17_000)
         return RequestContext(call, body, route, "books", owner, now, now + 8.0)
@@ -68,7 +72,7 @@
         for _ in range(5):
             context = desk.context(part)
             chosen.add(await placed(desk, context))
-            desk.placer.began(context, desk.view.get(next(iter(chosen))))
+            desk.placer.on_response_started(context, desk.view.get(next(iter(chosen))))
         assert chosen == {rendezvous_order(part, ENGINES)[0].id}
 
 
@@ -190,7 +194,7 @@
     for outcome in Outcome:
         context = desk.context()
         name = await placed(desk, context)
-        desk.placer.ended(context, desk.view.get(name), outcome)
+        desk.placer.on_attempt_ended(context, desk.view.get(name), outcome)
         await asyncio.sleep(60)
     for engine in ENGINES:
         total = desk.placer.load.total(engine.id)
@@ -201,7 +205,7 @@
     desk = Desk()
     context = desk.context("p1")
     home = await placed(desk, context)
-    desk.placer.ended(context, desk.view.get(home), Outcome.UNSENT)
+    desk.placer.on_attempt_ended(context, desk.view.get(home), Outcome.UNSENT)
     assert await placed(desk, desk.context("p1")) != home
     await asyncio.sleep(5)
     assert await placed(desk, desk.context("p1")) == home
@@ -258,7 +262,7 @@
         Directory([name_hash(rendezvous_order("p1", ENGINES)[0].id)])
     )
     await placed(desk, kept)
-    assert context.reading > 2 * kept.reading
+    assert context.prefill_seconds > 2 * kept.prefill_seconds
 
 
 async def test_without_a_directory_the_first_choice_is_taken_to_keep_a_part():
@@ -328,8 +332,8 @@
         context = desk.context(own=12_000)
         engine = desk.view.get(await placed(desk, context))
         await asyncio.sleep(3.0)
-        desk.placer.began(context, engine)
-        desk.placer.ended(context, engine, Outcome.WHOLE)
+        desk.placer.on_response_started(context, engine)
+        desk.placer.on_attempt_ended(context, engine, Outcome.WHOLE)
     return desk.placer._chooser.prefill.slowdown("books")
 
 
