--- a/packages/router/src/teaselledge/process/dispatcher.py
+++ b/packages/router/src/teaselledge/process/dispatcher.py
@@ -1,4 +1,4 @@
-"""Decide which waiting request gets the next free slot of a shard."""
+"""Grants the free slots of a shard to its waiting requests."""
 
 import asyncio
 import math
@@ -48,27 +48,30 @@
 __all__ = ["LATENCY_POLICY", "Dispatcher"]
 
 LATENCY_POLICY = "burst"
-"""Policy of services whose endpoints batch; the others have plain slots."""
+"""Latency policy of services whose endpoints batch; the others use "plain"."""
 
-ACCEPT_SECONDS = 2.0
-"""Time after which a grant without an answer returns to the pool."""
+ACCEPT_TIMEOUT_SECONDS = 2.0
+"""Time after which a grant that was not accepted expires."""
 
 INGRESS_TIMEOUT_SECONDS = 3.0
-"""Time after which an ingress that is not heard holds nothing any more."""
+"""Time without a message after which the requests of an ingress are removed."""
 
-GAUGE_SECONDS = 1.0
+GAUGE_INTERVAL_SECONDS = 1.0
 
-IRREGULAR_PART = 8
-"""Part of the slots that a dispatcher uses while another should dispatch."""
+SLOTS_PER_UNASSIGNED_GRANT = 8
+"""Slots for each request that an unassigned dispatcher may have running."""
 
-EARLY_PART = 8
-"""One request from another region may be granted early for so many slots."""
+SLOTS_PER_EARLY_GRANT = 8
+"""Slots for each request from another region that may be granted early."""
 
-DEBT_HINTS = 4.0
-"""Smallest debt that is remembered, as a multiple of the largest hint."""
+MAX_LEAD_FLOOR_HINTS = 4.0
+"""Lower limit of `UsageAccounts.max_lead`, as a multiple of the largest hint."""
 
-LEAD_HINTS = 3.0
-"""Lead, in largest hints, up to which interactive requests go before others."""
+INTERACTIVE_LEAD_HINTS = 3.0
+"""Maximum lead of an organisation whose interactive requests go first.
+
+A multiple of the largest cost hint.
+"""
 
 
 @dataclass
@@ -80,29 +83,34 @@
     hint: float
     endpoint: str
     charged: float
-    since: float
+    granted_at: float
     accepted: bool = False
-    borrowed: bool = False
+    fetched: bool = False
     preempted: bool = False
 
 
 class Dispatcher:
-    """Dispatcher of one shard; holds soft state only.
+    """Queues the requests of one shard and grants them slots of its endpoints.
+
+    The state is kept in memory only. A new dispatcher restores the requests
+    from snapshots of the ingresses, and the usage from reports of other
+    dispatchers.
 
     Parameters
     ----------
     shard : Shard
         The shard.
     mesh : Mesh
-        For messages to ingresses and other dispatchers.
+        Sends messages to ingresses and other dispatchers.
     document : Document
         The configuration in force.
     placement : Placement
-        Where the other dispatchers are.
+        Maps the shards to the VMs that dispatch for them.
     metrics : Metrics
-        Where to count.
+        Receives the counts and gauges.
     incarnation : int
-        Names this dispatcher and its counters; the next number is used too.
+        Identifies the usage counters of this dispatcher. The next number
+        identifies those of its region.
     """
 
     def __init__(
@@ -117,136 +125,137 @@
         self._shard = shard
         self._mesh = mesh
         self._metrics = metrics
-        self._complaints = InvalidInputReporter("dispatch", metrics)
+        self._invalid_input = InvalidInputReporter("dispatch", metrics)
         self._pool = EndpointPool(shard, document)
-        self._hinted: set[str] = set()
-        self._standings = UsageAccounts(0.0)
-        self._queue = WaitingQueue(self._standings)
+        self._blocked: set[str] = set()
+        self._usage = UsageAccounts(0.0)
+        self._queue = WaitingQueue(self._usage)
         self._exchange = UsageExchange(
-            shard, mesh, self._standings, placement, metrics, incarnation
+            shard, mesh, self._usage, placement, metrics, incarnation
         )
-        self._lending = RequestTransfer(
-            shard, mesh, self._queue, self._standings, self._exchange, metrics
+        self._transfer = RequestTransfer(
+            shard, mesh, self._queue, self._usage, self._exchange, metrics
         )
         self._estimates = CostEstimator()
-        self._holdings = HeldRequests()
+        self._held = HeldRequests()
         self._granted: dict[RequestKey, _Granted] = {}
-        self._numbers: dict[int, RequestKey] = {}
-        self._per_endpoint: Counter[str] = Counter()
+        self._keys_by_grant: dict[int, RequestKey] = {}
+        self._running_by_endpoint: Counter[str] = Counter()
         self._next_grant = 1
         self._preempted = 0
-        self._regular = True
+        self._assigned = True
         self._last_tick = asyncio.get_running_loop().time()
-        self._active = -math.inf
-        self._next_gauge = self._last_tick
+        self._last_active = -math.inf
+        self._next_gauge_at = self._last_tick
         self._policy: LatencyPolicy = get_latency_policy_by_name("plain")
-        self._take(document)
+        self._apply(document)
 
     @property
     def shard(self) -> Shard:
-        """The shard that it dispatches for."""
+        """The shard of this dispatcher."""
         return self._shard
 
     @property
     def usage(self) -> UsageAccounts:
-        """Standings of the organisations, as this dispatcher knows them."""
-        return self._standings
+        """Usage of the organisations, as this dispatcher knows it."""
+        return self._usage
 
     @property
     def waiting(self) -> int:
-        """Requests that wait here."""
+        """Number of requests in the queue."""
         return len(self._queue)
 
     @property
     def running(self) -> int:
-        """Requests that hold a slot."""
+        """Number of requests that hold a slot."""
         return len(self._granted)
 
     @property
     def free_slots(self) -> int:
-        """Free slots."""
+        """Number of free slots."""
         return self._pool.free_slots
 
     @property
     def last_active(self) -> float:
-        """Loop time when it last held a request, minus infinity if never."""
-        return self._active
+        """Loop time at which a request last waited or ran; -inf if none did."""
+        return self._last_active
 
     def apply_document(self, document: Document) -> None:
-        """Take a new version of the document."""
+        """Apply a new version of the document."""
         for entry in list(self._queue):
             if entry.organisation not in document.organisations:
                 self._queue.remove(entry.key)
-                self._holdings.discard(entry.key)
-        self._take(document)
+                self._held.discard(entry.key)
+        self._apply(document)
         self._dispatch()
 
     def set_assigned(self, assigned: bool, converged: bool = True) -> None:
-        """Tell whether this VM should dispatch for the shard.
+        """Set whether this VM is assigned the shard.
 
-        Where views differ two dispatchers serve one shard. The one that
-        should not keeps to a part of the slots, so that the endpoints get
-        little more than their slots.
+        While routers disagree on the membership, two dispatchers may serve one
+        shard. The unassigned one uses only a fraction of the slots, so that
+        the endpoints get few requests above their slots.
 
         Parameters
         ----------
         assigned : bool
-            Whether the shard falls to this VM in its own view.
+            Whether the shard is assigned to this VM in its own view of the
+            membership.
         converged : bool
-            Whether that view is old enough to be right; a router that just
-            started knows no other and takes every shard for its own.
+            Whether this view is reliable. A router that just started knows no
+            other members and assigns every shard to itself.
         """
-        self._regular = assigned
+        self._assigned = assigned
         self._exchange.assigned = assigned and converged
         self._dispatch()
 
     def tick(self, now: float) -> None:
-        """Do what is due: reports, expired grants and requests, returns."""
-        self._standings.tick(now - self._last_tick)
+        """Expire requests and grants, dispatch, and send the reports that are due."""
+        self._usage.tick(now - self._last_tick)
         self._last_tick = now
         for entry in self._queue.expire(now):
             if entry.fetched_from is None:
-                self._holdings.discard(entry.key)
-        for origin in self._holdings.timed_out(now - INGRESS_TIMEOUT_SECONDS):
-            self._forget(origin)
+                self._held.discard(entry.key)
+        for origin in self._held.timed_out(now - INGRESS_TIMEOUT_SECONDS):
+            self._remove_ingress(origin)
         self._expire_grants(now)
-        self._lending.tick(self._pool.free_slots, now)
+        self._transfer.tick(self._pool.free_slots, now)
         self._dispatch()
         self._exchange.tick(now)
         if self._granted or len(self._queue):
-            self._active = now
-        if is_due(now, self._next_gauge):
-            self._next_gauge = now + GAUGE_SECONDS
-            self._gauge()
+            self._last_active = now
+        if is_due(now, self._next_gauge_at):
+            self._next_gauge_at = now + GAUGE_INTERVAL_SECONDS
+            self._send_gauges()
 
-    def _gauge(self) -> None:
+    def _send_gauges(self) -> None:
         label = f"{self._shard.service}.{self._shard.zone}"
         self._metrics.gauge("dispatch.free_slots", self._pool.free_slots, label)
         self._metrics.gauge("dispatch.waiting", len(self._queue), label)
-        self._metrics.gauge("dispatch.gap", self._standings.gap, label)
+        self._metrics.gauge("dispatch.gap", self._usage.gap, label)
 
     def set_blocked_endpoints(self, blocked: Collection[str]) -> None:
-        """Give no new work to some endpoints for now, and to the others again."""
-        for name in self._hinted | set(blocked):
+        """Replace the set of endpoints that get no new requests."""
+        for name in self._blocked | set(blocked):
             self._pool.set_blocked(name, name in blocked)
-        self._hinted = set(blocked)
+        self._blocked = set(blocked)
 
     def observe_load(self, report: LoadReport) -> None:
-        """Take an engine's report of its load."""
+        """Update the load that an engine reported."""
         self._pool.observe_load(report)
 
     def observe_cache(self, event: CacheEvent) -> None:
-        """Take an event of an engine's prefix cache."""
+        """Apply an event of an engine's prefix cache."""
         self._pool.observe_cache(event)
 
     def handle_register(self, origin: Origin, body: Register) -> None:
-        """Add a waiting request."""
-        self._hear(origin)
-        if self._add(origin, body):
+        """Add a request to the queue."""
+        self._touch_ingress(origin)
+        if self._enqueue(origin, body):
             self._dispatch()
 
     def handle_withdraw(self, origin: Origin, body: Withdraw) -> None:
-        """Remove a request that no longer waits."""
+        """Remove a withdrawn request, or end its transfer."""
         if body.owner_vm:
             key = RequestKey(body.owner_vm, body.owner_incarnation or 0, body.request)
             entry = self._queue.get(key)
@@ -254,105 +263,108 @@
                 self._queue.remove(key)
             return
         key = RequestKey(origin.vm, origin.incarnation, body.request)
-        self._holdings.discard(key)
+        self._held.discard(key)
         entry = self._queue.remove(key)
         if entry is not None:
             self._exchange.mark_waiting_changed(entry.organisation)
-        self._lending.cancel_transfer(key)
+        self._transfer.cancel_transfer(key)
 
     def handle_accept(self, origin: Origin, body: Accept) -> None:
-        """Note that an ingress runs a granted request."""
-        key = self._numbers.get(body.grant)
+        """Record that an ingress runs a granted request."""
+        key = self._keys_by_grant.get(body.grant)
         if key is None or key.vm != origin.vm:
-            # the grant had expired and its slot may be in use again; the
-            # request runs, so a snapshot has to bring it back into the count
-            self._reply(origin, True)
+            # The grant has expired and its slot may be in use again. The
+            # request runs, so a snapshot must restore it.
+            self._send_snapshot_reply(origin, True)
             return
         granted = self._granted[key]
         granted.accepted = True
-        self._hear(origin)
-        self._holdings.add(key)
+        self._touch_ingress(origin)
+        self._held.add(key)
 
     def handle_decline(self, origin: Origin, body: Decline) -> None:
-        """Take back a grant that the ingress does not use."""
-        key = self._numbers.get(body.grant)
+        """Cancel a grant that the ingress does not use."""
+        key = self._keys_by_grant.get(body.grant)
         if key is None or key.vm != origin.vm:
             return
         self._metrics.count("dispatch.declined")
         granted = self._granted[key]
-        self._end(granted, 0.0, False, 0.0)
+        self._release(granted, 0.0, False, 0.0)
         self._dispatch()
 
     def handle_progress(self, origin: Origin, body: Progress) -> None:
-        """Charge what a stream has cost beyond its first charge."""
-        granted = self._find(origin, body.request, body.grant)
+        """Charge the cost of a stream that exceeds what was charged before."""
+        granted = self._find_granted(origin, body.request, body.grant)
         if granted is None:
             return
-        cost = self._sane(body.cost, granted)
+        cost = self._clamp_cost(body.cost, granted)
         if cost > granted.charged:
             self._exchange.charge(granted.organisation, cost - granted.charged)
             granted.charged = cost
 
     def handle_done(self, origin: Origin, body: Done) -> None:
-        """Correct the charge and free the slot."""
-        granted = self._find(origin, body.request, body.grant)
+        """Free the slot of a finished request and correct its charge."""
+        granted = self._find_granted(origin, body.request, body.grant)
         if granted is None:
             if body.request is not None:
                 key = RequestKey(origin.vm, origin.incarnation, body.request)
-                self._holdings.discard(key)
+                self._held.discard(key)
             return
         if body.moved:
-            self._end(granted, granted.charged, False, 0.0)
+            self._release(granted, granted.charged, False, 0.0)
             return
-        cost = self._sane(body.cost, granted)
+        cost = self._clamp_cost(body.cost, granted)
         if not body.failed:
             self._estimates.update(
                 granted.organisation, granted.kind, granted.hint, cost
             )
         seconds = body.seconds or 0.0
-        self._end(granted, cost, bool(body.failed), seconds)
+        self._release(granted, cost, bool(body.failed), seconds)
         self._dispatch()
 
     def handle_snapshot(self, origin: Origin, body: Snapshot) -> None:
-        """Compare what an ingress holds, or learn it in full."""
-        self._hear(origin)
+        """Compare the digest of an ingress, or apply its full snapshot.
+
+        A digest that differs is answered with a request for a full snapshot.
+        """
+        self._touch_ingress(origin)
         if not body.full:
-            told = Digest(body.count or 0, body.digest or 0)
-            self._reply(origin, told != self._holdings.digest(origin))
+            reported = Digest(body.count or 0, body.digest or 0)
+            self._send_snapshot_reply(origin, reported != self._held.digest(origin))
             return
         self._metrics.count("dispatch.rebuilt")
-        held = self._holdings.requests(origin)
-        named: set[int] = set()
+        held = self._held.requests(origin)
+        listed: set[int] = set()
         for running in body.running or []:
             if running.request is not None:
-                named.add(running.request)
-                self._adopt(origin, running)
+                listed.add(running.request)
+                self._restore_running(origin, running)
         for waiting in body.waiting or []:
             if waiting.request is not None:
-                named.add(waiting.request)
-                self._add(origin, waiting)
-        for request in held - named:
-            self._drop(RequestKey(origin.vm, origin.incarnation, request))
-        self._reply(origin, False)
+                listed.add(waiting.request)
+                self._enqueue(origin, waiting)
+        for request in held - listed:
+            self._remove_request(RequestKey(origin.vm, origin.incarnation, request))
+        self._send_snapshot_reply(origin, False)
         self._dispatch()
 
     def handle_report(self, origin: Origin, body: Report) -> None:
-        """Take in what another dispatcher counted."""
+        """Apply a usage report of another dispatcher."""
         self._exchange.handle_report(origin, body)
         self._dispatch()
 
     def handle_fetch(self, origin: Origin, body: Fetch) -> None:
-        """Lend waiting requests to another dispatcher."""
-        self._lending.handle_fetch(origin, body)
+        """Transfer waiting requests to the dispatcher that fetches them."""
+        self._transfer.handle_fetch(origin, body)
 
     def handle_fetch_answer(self, origin: Origin, body: FetchAnswer) -> None:
-        """Queue requests that another dispatcher lends."""
-        for entry in self._lending.handle_fetch_answer(origin, body):
-            if entry.key not in self._granted and entry.key not in self._lending:
+        """Queue the requests that another dispatcher transfers."""
+        for entry in self._transfer.handle_fetch_answer(origin, body):
+            if entry.key not in self._granted and entry.key not in self._transfer:
                 self._queue.add(entry)
         self._dispatch()
 
-    def _take(self, document: Document) -> None:
+    def _apply(self, document: Document) -> None:
         service = document.services[self._shard.service]
         self._document = document
         self._service = service
@@ -365,44 +377,46 @@
         )
         shares = [entry.share for entry in document.organisations.values()]
         smallest = min(shares, default=1.0)
-        self._standings.max_lead_floor = DEBT_HINTS * self._largest_hint / smallest
-        self._standings.set_organisations(document.organisations)
+        self._usage.max_lead_floor = (
+            MAX_LEAD_FLOOR_HINTS * self._largest_hint / smallest
+        )
+        self._usage.set_organisations(document.organisations)
         self._exchange.apply_document(document)
-        self._lending.apply_document(document, self._slots)
+        self._transfer.apply_document(document, self._slots)
         self._estimates.retain_organisations(set(document.organisations))
         batches = service.cost == "tokens"
         name = LATENCY_POLICY if batches else "plain"
         self._policy = get_latency_policy_by_name(name)
 
-    def _add(self, origin: Origin, body: Register) -> bool:
+    def _enqueue(self, origin: Origin, body: Register) -> bool:
         entry = make_queued_request(origin, body, self._document, self._shard.service)
         if entry is None:
             return False
         key = entry.key
-        if key in self._granted or key in self._lending:
+        if key in self._granted or key in self._transfer:
             return False
-        borrowed = self._queue.get(key)
-        if borrowed is not None and borrowed.fetched_from is not None:
+        fetched = self._queue.get(key)
+        if fetched is not None and fetched.fetched_from is not None:
             self._queue.remove(key)
         if not self._queue.add(entry):
             return False
-        self._holdings.add(key)
+        self._held.add(key)
         self._exchange.mark_waiting_changed(entry.organisation)
         return True
 
-    def _adopt(self, origin: Origin, running: Running) -> None:
+    def _restore_running(self, origin: Origin, running: Running) -> None:
         key = RequestKey(origin.vm, origin.incarnation, running.request)
         self._queue.remove(key)
-        self._lending.cancel_transfer(key)
+        self._transfer.cancel_transfer(key)
         granted = self._granted.get(key)
         if granted is not None:
             granted.accepted = True
-            self._holdings.add(key)
+            self._held.add(key)
             return
         endpoint = self._service.endpoints.get(running.endpoint or "")
         if endpoint is None or endpoint.zone != self._shard.zone:
-            # the endpoint left the document while the request runs on it
-            self._holdings.add(key)
+            # the endpoint was removed from the document while the request runs
+            self._held.add(key)
             return
         charged = clamp_cost(running.charged, 0.0, self._largest_hint)
         kind = self._service.kinds.get(running.kind or "")
@@ -419,148 +433,150 @@
         )
         self._granted[key] = granted
         self._pool.acquire(granted.endpoint)
-        self._per_endpoint[granted.endpoint] += 1
-        self._holdings.add(key)
+        self._running_by_endpoint[granted.endpoint] += 1
+        self._held.add(key)
 
-    def _drop(self, key: RequestKey) -> None:
-        """Forget a request that its ingress does not hold any more."""
-        self._holdings.discard(key)
+    def _remove_request(self, key: RequestKey) -> None:
+        """Remove a request that its ingress no longer holds."""
+        self._held.discard(key)
         self._queue.remove(key)
-        self._lending.cancel_transfer(key)
+        self._transfer.cancel_transfer(key)
         granted = self._granted.get(key)
         if granted is not None:
             cost = granted.charged if granted.accepted else 0.0
-            self._end(granted, cost, False, 0.0)
+            self._release(granted, cost, False, 0.0)
 
-    def _forget(self, origin: Origin) -> None:
-        for request in self._holdings.requests(origin):
-            self._drop(RequestKey(origin.vm, origin.incarnation, request))
-        self._holdings.remove(origin)
+    def _remove_ingress(self, origin: Origin) -> None:
+        for request in self._held.requests(origin):
+            self._remove_request(RequestKey(origin.vm, origin.incarnation, request))
+        self._held.remove(origin)
 
-    def _hear(self, origin: Origin) -> None:
+    def _touch_ingress(self, origin: Origin) -> None:
         now = asyncio.get_running_loop().time()
-        for earlier in self._holdings.touch(origin, now):
-            self._forget(earlier)
+        for previous in self._held.touch(origin, now):
+            self._remove_ingress(previous)
 
-    def _reply(self, origin: Origin, wanted: bool) -> None:
+    def _send_snapshot_reply(self, origin: Origin, wanted: bool) -> None:
         body = SnapshotReply(wanted)
         shard = self._shard
         sent = make_message("snapshot_reply", body, shard.service, shard.zone)
         self._mesh.send(origin.vm, sent)
 
-    def _find(
+    def _find_granted(
         self, origin: Origin, request: int | None, grant: int | None
     ) -> _Granted | None:
-        key = self._numbers.get(grant or 0)
+        key = self._keys_by_grant.get(grant or 0)
         if request is not None:
             key = RequestKey(origin.vm, origin.incarnation, request)
         if key is None or key.vm != origin.vm:
             return None
         return self._granted.get(key)
 
-    def _sane(self, cost: float | None, granted: _Granted) -> float:
-        bounded = clamp_cost(cost, granted.charged, self._largest_hint)
-        if bounded != cost:
+    def _clamp_cost(self, cost: float | None, granted: _Granted) -> float:
+        clamped = clamp_cost(cost, granted.charged, self._largest_hint)
+        if clamped != cost:
             text = f"Cost of a request on {granted.endpoint} is out of range."
-            self._complaints.report("dispatch.bad_costs", "range", text)
-        return bounded
+            self._invalid_input.report("dispatch.bad_costs", "range", text)
+        return clamped
 
-    def _end(
+    def _release(
         self, granted: _Granted, cost: float, failed: bool, seconds: float
     ) -> None:
-        """Free a slot and settle the charge."""
+        """Free a slot and correct the charge."""
         del self._granted[granted.key]
-        # the number of an adopted request is another dispatcher's
-        if self._numbers.get(granted.number) == granted.key:
-            del self._numbers[granted.number]
-        self._holdings.discard(granted.key)
+        # the grant of a restored request has a number of another dispatcher
+        if self._keys_by_grant.get(granted.number) == granted.key:
+            del self._keys_by_grant[granted.number]
+        self._held.discard(granted.key)
         self._pool.release(granted.endpoint, failed, seconds, max(0.0, cost))
-        self._per_endpoint[granted.endpoint] -= 1
+        self._running_by_endpoint[granted.endpoint] -= 1
         self._preempted -= granted.preempted
         if cost != granted.charged:
             self._exchange.charge(granted.organisation, cost - granted.charged)
 
     def _expire_grants(self, now: float) -> None:
-        """Return the slots of grants that nobody accepted."""
-        late = now - ACCEPT_SECONDS
+        """Free the slots of grants that were not accepted in time."""
+        oldest_valid = now - ACCEPT_TIMEOUT_SECONDS
         expired = [
             granted
             for granted in self._granted.values()
-            if not granted.accepted and granted.since < late
+            if not granted.accepted and granted.granted_at < oldest_valid
         ]
         for granted in expired:
             self._metrics.count("dispatch.expired")
-            self._end(granted, 0.0, False, 0.0)
+            self._release(granted, 0.0, False, 0.0)
 
     def _dispatch(self) -> None:
         now = asyncio.get_running_loop().time()
         while len(self._queue) and self._may_grant():
             free = self._pool.free_slots
-            above = max(0, len(self._granted) - self._slots) + self._preempted
-            room = self._policy.admission(free, self._slots, above)
-            picked = self._pick(room, above, now)
-            if picked is None:
+            over_limit = max(0, len(self._granted) - self._slots) + self._preempted
+            admission = self._policy.admission(free, self._slots, over_limit)
+            selected = self._select(admission, over_limit, now)
+            if selected is None:
                 break
-            self._grant(*picked, now)
-        free = self._pool.free_slots if self._regular else 0
+            self._grant(*selected, now)
+        free = self._pool.free_slots if self._assigned else 0
         self._exchange.free_slots = free
         if free > 0 and not len(self._queue):
             self._exchange.report_idle(free)
-        self._lending.push()
+        self._transfer.push()
         if self._exchange.assigned:
-            self._lending.pull(free)
+            self._transfer.pull(free)
 
     def _may_grant(self) -> bool:
-        if self._regular:
+        if self._assigned:
             return True
-        return len(self._granted) < max(1, self._slots // IRREGULAR_PART)
+        return len(self._granted) < max(1, self._slots // SLOTS_PER_UNASSIGNED_GRANT)
 
-    def _pick(
-        self, room: Admission, above: int, now: float
+    def _select(
+        self, admission: Admission, over_limit: int, now: float
     ) -> tuple[QueuedRequest, str] | None:
-        if room is Admission.NONE:
+        if admission is Admission.NONE:
             return None
-        if room is Admission.PREEMPT:
+        if admission is Admission.PREEMPT:
             self._preempt()
             return None
-        if room is Admission.ANY:
-            return self._pick_any(now)
-        if room is Admission.ABOVE and above < max(1, self._slots // EARLY_PART):
-            early = self._pick_early(now)
+        if admission is Admission.ANY:
+            return self._select_any(now)
+        if admission is Admission.ABOVE and over_limit < max(
+            1, self._slots // SLOTS_PER_EARLY_GRANT
+        ):
+            early = self._select_early(now)
             if early is not None:
                 return early
-        # an organisation that is ahead gets nothing out of turn; else it could
-        # buy more than its share by calling all its requests interactive
-        allowed = LEAD_HINTS * self._largest_hint
+        # An organisation with a large lead gets no preference. It could
+        # exceed its share by declaring all its requests interactive.
+        allowed = INTERACTIVE_LEAD_HINTS * self._largest_hint
         for entry in self._queue.candidates(now, only_interactive=True):
             name = entry.organisation
-            lead = self._standings.lead(name) * self._standings.share(name)
+            lead = self._usage.lead(name) * self._usage.share(name)
             if lead > allowed:
                 continue
-            if room is Admission.INTERACTIVE:
+            if admission is Admission.INTERACTIVE:
                 endpoint = self._pool.choose(entry.registration)
             else:
-                endpoint = self._choose_above(entry)
+                endpoint = self._choose_over_limit(entry)
             if endpoint is not None:
                 return entry, endpoint
         return None
 
-    def _pick_any(self, now: float) -> tuple[QueuedRequest, str] | None:
+    def _select_any(self, now: float) -> tuple[QueuedRequest, str] | None:
         for entry in self._queue.candidates(now):
             endpoint = self._pool.choose(entry.registration)
             if endpoint is not None:
                 return entry, endpoint
             if not entry.registration.excluded:
-                # no endpoint takes anything now
+                # no endpoint has room for any request
                 return None
         return None
 
-    def _pick_early(self, now: float) -> tuple[QueuedRequest, str] | None:
+    def _select_early(self, now: float) -> tuple[QueuedRequest, str] | None:
         """Return the next request if it comes from another region.
 
-        Its grant and body take two crossings of the region link, for which a
-        free slot would idle; granted a little early, it arrives when one of
-        the slots has become free.
+        Its grant and its body each cross the region link, and a free slot would
+        idle meanwhile. If it is granted early, a slot has become free when it
+        arrives.
         """
         entry = next(self._queue.candidates(now), None)
         if entry is None or entry.fetched_from is None:
@@ -568,14 +584,14 @@
         zones = (self._shard.zone, entry.fetched_from.zone)
         if distance(self._document, *zones) != CROSS_REGION:
             return None
-        endpoint = self._choose_above(entry)
+        endpoint = self._choose_over_limit(entry)
         return None if endpoint is None else (entry, endpoint)
 
-    def _choose_above(self, entry: QueuedRequest) -> str | None:
-        # an endpoint that runs something is not ejected
+    def _choose_over_limit(self, entry: QueuedRequest) -> str | None:
+        # an endpoint with running requests is not ejected
         names = [
             name
-            for name, running in self._per_endpoint.items()
+            for name, running in self._running_by_endpoint.items()
             if running > 0 and self._usable(name, entry)
         ]
         return min(names, key=self._load, default=None)
@@ -587,16 +603,16 @@
         return name not in (entry.registration.excluded or [])
 
     def _load(self, name: str) -> float:
-        return self._per_endpoint[name] / self._service.endpoints[name].slots
+        return self._running_by_endpoint[name] / self._service.endpoints[name].slots
 
     def _preempt(self) -> None:
-        """Ask for the end of a long stream of the most over-served."""
+        """Preempt a long stream of the organisation with the highest usage."""
         if not self._queue.has_interactive:
             return
         victims = [g for g in self._granted.values() if self._may_preempt(g)]
         victim = max(
             victims,
-            key=lambda g: (self._standings.normalised_usage(g.organisation), g.since),
+            key=lambda g: (self._usage.normalised_usage(g.organisation), g.granted_at),
             default=None,
         )
         if victim is None:
@@ -609,7 +625,7 @@
         kind = self._service.kinds.get(granted.kind)
         if kind is None or kind.interactive or not kind.repeatable:
             return False
-        known = granted.organisation in self._standings
+        known = granted.organisation in self._usage
         return granted.accepted and not granted.preempted and known
 
     def _grant(self, entry: QueuedRequest, endpoint: str, now: float) -> None:
@@ -630,12 +646,12 @@
             endpoint,
             charged,
             now,
-            borrowed=entry.fetched_from is not None,
+            fetched=entry.fetched_from is not None,
         )
         self._granted[entry.key] = granted
-        self._numbers[number] = entry.key
-        self._per_endpoint[endpoint] += 1
-        self._standings.record_start(body.organisation)
+        self._keys_by_grant[number] = entry.key
+        self._running_by_endpoint[endpoint] += 1
+        self._usage.record_start(body.organisation)
         self._exchange.charge(body.organisation, charged)
         self._exchange.mark_waiting_changed(body.organisation)
         grant = Grant(body.request, number, endpoint, charged, entry.key.incarnation)
--- a/packages/router/src/teaselledge/process/queue.py
+++ b/packages/router/src/teaselledge/process/queue.py
@@ -1,4 +1,4 @@
-"""Waiting requests of one dispatcher, neediest organisation first."""
+"""Queue of waiting requests, ordered by the usage of their organisations."""
 
 import heapq
 from collections.abc import Iterator
@@ -13,31 +13,31 @@
 
 __all__ = ["QueuedRequest", "RequestKey", "WaitingQueue"]
 
-MAX_PASSES = 8
-"""Interactive requests that may pass an aged request of their organisation."""
+MAX_OVERTAKES = 8
+"""Number of interactive requests that may overtake an aged request."""
 
 AGEING_SECONDS = 10.0
-"""Wait after which a request that is not interactive counts as aged."""
+"""Queueing time after which a request that is not interactive is aged."""
 
-HEAP_SLACK = 1000
+HEAP_SLACK_ENTRIES = 1000
 
-LOOK_ORGANISATIONS = 8
-LOOK_REQUESTS = 3
-"""Limits of the search where the first request can't run on any endpoint."""
+MAX_CANDIDATE_ORGANISATIONS = 8
+MAX_CANDIDATES_PER_ORGANISATION = 3
+"""Limits of the search if no endpoint can run the first request."""
 
 
 @dataclass(frozen=True)
 class RequestKey:
-    """Names one request over the fleet.
+    """Identifies a request in the fleet.
 
     Attributes
     ----------
     vm : str
         VM of the ingress that owns it.
     incarnation : int
-        One life of that ingress.
+        Incarnation of that ingress.
     request : int
-        The ingress's number for it.
+        Number that the ingress assigned.
     """
 
     vm: str
@@ -52,17 +52,18 @@
     Attributes
     ----------
     key : RequestKey
-        Its name.
+        Identifies the request.
     registration : Register
-        As the ingress told it.
+        As received from the ingress.
     interactive : bool
-        Goes before the other requests of its organisation.
+        Whether it goes before the other requests of its organisation.
     arrived, deadline : float
         Loop times.
-    fetched_from : Peer or None
-        Where it was fetched from.
+    fetched_from : PeerDispatcher or None
+        Dispatcher from which it was fetched.
     return_at : float
-        Loop time at which a fetched request goes back to its lender.
+        Loop time at which a fetched request leaves this queue, because the
+        dispatcher that transferred it queues it again.
     """
 
     key: RequestKey
@@ -75,30 +76,30 @@
 
     @property
     def expires_at(self) -> float:
-        """Loop time after which it no longer waits here."""
+        """Loop time at which it leaves this queue."""
         if self.fetched_from is None:
             return self.deadline
         return min(self.deadline, self.return_at)
 
     @property
     def organisation(self) -> str:
-        """The organisation that asks."""
+        """The organisation of the request."""
         return self.registration.organisation
 
 
-class _Line:
+class _OrganisationQueue:
     """Waiting requests of one organisation."""
 
     def __init__(self) -> None:
         self.interactive: SortedDict = SortedDict()
-        self.others: SortedDict = SortedDict()
-        self.passes = 0
+        self.non_interactive: SortedDict = SortedDict()
+        self.overtakes = 0
 
     def __len__(self) -> int:
-        return len(self.interactive) + len(self.others)
+        return len(self.interactive) + len(self.non_interactive)
 
-    def side(self, entry: QueuedRequest) -> SortedDict:
-        return self.interactive if entry.interactive else self.others
+    def bucket_of(self, entry: QueuedRequest) -> SortedDict:
+        return self.interactive if entry.interactive else self.non_interactive
 
     def candidates(self, now: float, only_interactive: bool) -> Iterator[QueuedRequest]:
         """Yield the requests in the order in which they should start."""
@@ -106,34 +107,36 @@
             yield from self.interactive.values()
             return
         aged = None
-        if self.others and self.passes >= MAX_PASSES:
-            oldest = self.others.peekitem(0)[1]
+        if self.non_interactive and self.overtakes >= MAX_OVERTAKES:
+            oldest = self.non_interactive.peekitem(0)[1]
             if now - oldest.arrived >= AGEING_SECONDS:
                 aged = oldest
                 yield aged
         yield from self.interactive.values()
-        for entry in self.others.values():
+        for entry in self.non_interactive.values():
             if entry is not aged:
                 yield entry
 
 
 class WaitingQueue:
-    """Waiting requests; adding, removing and choosing take logarithmic time.
+    """Waiting requests; adding, removing and selecting take logarithmic time.
 
-    Within an organisation interactive requests go first. So that the others
-    always run, one that has aged goes after `MAX_PASSES` interactive ones.
+    The organisation with the lowest normalised usage goes first, and its
+    interactive requests go before the others. To prevent starvation, the oldest
+    of the others goes first once it has aged and `MAX_OVERTAKES` interactive
+    requests have overtaken it.
     """
 
-    def __init__(self, standings: UsageAccounts) -> None:
-        self._standings = standings
+    def __init__(self, usage: UsageAccounts) -> None:
+        self._usage = usage
         self._entries: dict[RequestKey, QueuedRequest] = {}
-        self._lines: dict[str, _Line] = {}
-        self._ready = SortedByValue()
-        self._interactive = SortedByValue()
+        self._queues: dict[str, _OrganisationQueue] = {}
+        self._organisations = SortedByValue()
+        self._interactive_organisations = SortedByValue()
         self._deadlines: list[tuple[float, int, RequestKey]] = []
-        self._pushed = 0
-        self._borrowed = 0
-        standings.subscribe(self._on_standing)
+        self._heap_sequence = 0
+        self._fetched_count = 0
+        usage.subscribe(self._reorder)
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -146,128 +149,135 @@
 
     @property
     def fetched_count(self) -> int:
-        """Requests that were fetched from another dispatcher."""
-        return self._borrowed
+        """Number of requests that were fetched from other dispatchers."""
+        return self._fetched_count
 
     @property
     def has_interactive(self) -> bool:
         """Whether an interactive request waits."""
-        return len(self._interactive) > 0
+        return len(self._interactive_organisations) > 0
 
     @property
     def least_served(self) -> str | None:
-        """The organisation that is next."""
-        return next(iter(self._ready), None)
+        """The organisation with the lowest normalised usage."""
+        return next(iter(self._organisations), None)
 
     def get(self, key: RequestKey) -> QueuedRequest | None:
         """Return a waiting request."""
         return self._entries.get(key)
 
     def count_of(self, organisation: str) -> int:
-        """Return how many requests of an organisation wait here."""
-        line = self._lines.get(organisation)
-        return len(line) if line else 0
+        """Return the number of waiting requests of an organisation."""
+        queue = self._queues.get(organisation)
+        return len(queue) if queue else 0
 
     def add(self, entry: QueuedRequest) -> bool:
-        """Add a request; False where it waits already."""
+        """Add a request and return True, or False if it is queued already."""
         if entry.key in self._entries:
             return False
         name = entry.organisation
         self._entries[entry.key] = entry
-        line = self._lines.setdefault(name, _Line())
-        line.side(entry)[self._rank(entry)] = entry
-        self._push_end(entry)
+        queue = self._queues.setdefault(name, _OrganisationQueue())
+        queue.bucket_of(entry)[self._sort_key(entry)] = entry
+        self._push_deadline(entry)
         if entry.fetched_from is None:
-            self._standings.add_local_waiting(name, 1)
+            self._usage.add_local_waiting(name, 1)
         else:
-            self._borrowed += 1
-        standing = self._standings.normalised_usage(name)
-        self._ready.put(name, standing)
+            self._fetched_count += 1
+        normalised_usage = self._usage.normalised_usage(name)
+        self._organisations.put(name, normalised_usage)
         if entry.interactive:
-            self._interactive.put(name, standing)
+            self._interactive_organisations.put(name, normalised_usage)
         return True
 
     def remove(self, key: RequestKey) -> QueuedRequest | None:
-        """Take a request out, None where it does not wait."""
+        """Remove and return a request, or return None if it is not queued."""
         entry = self._entries.pop(key, None)
         if entry is None:
             return None
         name = entry.organisation
-        line = self._lines[name]
-        del line.side(entry)[self._rank(entry)]
-        if not line.interactive:
-            self._interactive.drop(name)
-        if not len(line):
-            self._ready.drop(name)
-            del self._lines[name]
+        queue = self._queues[name]
+        del queue.bucket_of(entry)[self._sort_key(entry)]
+        if not queue.interactive:
+            self._interactive_organisations.drop(name)
+        if not len(queue):
+            self._organisations.drop(name)
+            del self._queues[name]
         if entry.fetched_from is None:
-            self._standings.add_local_waiting(name, -1)
+            self._usage.add_local_waiting(name, -1)
         else:
-            self._borrowed -= 1
+            self._fetched_count -= 1
         return entry
 
     def remove_started(self, key: RequestKey) -> QueuedRequest | None:
-        """Take a request out because it starts, and count who was passed."""
+        """Remove a request that starts, and count whether it overtook others."""
         entry = self._entries.get(key)
         if entry is None:
             return None
-        line = self._lines[entry.organisation]
+        queue = self._queues[entry.organisation]
         if not entry.interactive:
-            line.passes = 0
-        elif line.others:
-            line.passes += 1
+            queue.overtakes = 0
+        elif queue.non_interactive:
+            queue.overtakes += 1
         return self.remove(key)
 
     def candidates(
         self, now: float, only_interactive: bool = False
     ) -> Iterator[QueuedRequest]:
-        """Yield the requests that should start next, a bounded number."""
-        order = self._interactive if only_interactive else self._ready
-        for name in list(islice(order, LOOK_ORGANISATIONS)):
-            yield from self.candidates_of(name, now, only_interactive, LOOK_REQUESTS)
+        """Yield a limited number of requests in starting order."""
+        order = (
+            self._interactive_organisations if only_interactive else self._organisations
+        )
+        for name in list(islice(order, MAX_CANDIDATE_ORGANISATIONS)):
+            yield from self.candidates_of(
+                name, now, only_interactive, MAX_CANDIDATES_PER_ORGANISATION
+            )
 
     def candidates_of(
         self, name: str, now: float, only_interactive: bool = False, limit: int = 1
     ) -> list[QueuedRequest]:
         """Return the next requests of one organisation."""
-        line = self._lines.get(name)
-        if line is None:
+        queue = self._queues.get(name)
+        if queue is None:
             return []
-        return list(islice(line.candidates(now, only_interactive), limit))
+        return list(islice(queue.candidates(now, only_interactive), limit))
 
     def expire(self, now: float) -> list[QueuedRequest]:
-        """Take out the requests whose time is over."""
+        """Remove and return the requests that have expired."""
         expired = []
         while self._deadlines and self._deadlines[0][0] <= now:
             _, _, key = heapq.heappop(self._deadlines)
             entry = self._entries.get(key)
             if entry is None:
                 continue
-            # the same key may have been added again with a later end
+            # the same key may have been added again with a later expiry
             if entry.expires_at <= now:
                 self.remove(key)
                 expired.append(entry)
         return expired
 
-    def _push_end(self, entry: QueuedRequest) -> None:
-        # requests that started long before a late deadline would fill the heap
-        if len(self._deadlines) > HEAP_SLACK + 2 * len(self._entries):
+    def _push_deadline(self, entry: QueuedRequest) -> None:
+        # Requests that start long before their deadline leave entries behind,
+        # which would fill the heap.
+        if len(self._deadlines) > HEAP_SLACK_ENTRIES + 2 * len(self._entries):
             self._deadlines = [
                 (e.expires_at, number, e.key)
                 for number, e in enumerate(self._entries.values())
             ]
             heapq.heapify(self._deadlines)
-            self._pushed = len(self._deadlines)
+            self._heap_sequence = len(self._deadlines)
             return
-        self._pushed += 1
-        heapq.heappush(self._deadlines, (entry.expires_at, self._pushed, entry.key))
+        self._heap_sequence += 1
+        heapq.heappush(
+            self._deadlines, (entry.expires_at, self._heap_sequence, entry.key)
+        )
 
-    def _rank(self, entry: QueuedRequest) -> tuple[float, str, int, int]:
+    def _sort_key(self, entry: QueuedRequest) -> tuple[float, str, int, int]:
         key = entry.key
         return (entry.arrived, key.vm, key.incarnation, key.request)
 
-    def _on_standing(self, name: str, standing: float) -> None:
-        if name in self._ready:
-            self._ready.put(name, standing)
-        if name in self._interactive:
-            self._interactive.put(name, standing)
+    def _reorder(self, name: str, normalised_usage: float) -> None:
+        if name in self._organisations:
+            self._organisations.put(name, normalised_usage)
+        if name in self._interactive_organisations:
+            self._interactive_organisations.put(name, normalised_usage)
--- a/packages/router/tests/test_dispatcher.py
+++ b/packages/router/tests/test_dispatcher.py
@@ -8,7 +8,7 @@
 from teaselledge.metrics import NullMetrics
 from teaselledge.process import dispatcher as dispatcher_module
 from teaselledge.process.dispatcher import (
-    ACCEPT_SECONDS,
+    ACCEPT_TIMEOUT_SECONDS,
     INGRESS_TIMEOUT_SECONDS,
     Dispatcher,
 )
@@ -80,7 +80,7 @@
     dispatcher.tick(asyncio.get_running_loop().time())
 
 
-async def test_neediest_goes_first():
+async def test_organisation_with_lowest_usage_goes_first():
     dispatcher, mesh = make(slots=1)
     dispatcher.handle_register(INGRESS, register(1, "amber"))
     dispatcher.handle_register(INGRESS, register(2, "amber"))
@@ -93,25 +93,25 @@
     assert list(grants(mesh)) == [3]
 
 
-async def test_unanswered_grant_returns_to_the_pool():
-    """A grant is lost on its way. Its slot would stay empty for ever."""
+async def test_unanswered_grant_expires():
+    """A grant is lost on the network. Without a timeout its slot would stay unused."""
     dispatcher, mesh = make(slots=1)
     dispatcher.handle_register(INGRESS, register(1))
     assert list(grants(mesh)) == [1]
     dispatcher.handle_register(INGRESS, register(2))
-    await pass_time(dispatcher, ACCEPT_SECONDS + 0.1)
+    await pass_time(dispatcher, ACCEPT_TIMEOUT_SECONDS + 0.1)
     assert list(grants(mesh)) == [2]
     assert dispatcher.usage.local_usage("amber") == 400
 
 
-async def test_late_accept_is_counted_again():
-    """A grant expires, and its acceptance arrives afterwards: the request runs.
-    The dispatcher must learn of it, or the endpoint gets one too many.
+async def test_request_accepted_after_expiry_is_counted():
+    """A grant expires and its acceptance arrives afterwards, so the request runs.
+    If it were not counted, the endpoint would get a request above its slots.
     """
     dispatcher, mesh = make(slots=1)
     dispatcher.handle_register(INGRESS, register(1))
     granted = grants(mesh)[1]
-    await pass_time(dispatcher, ACCEPT_SECONDS + 0.1)
+    await pass_time(dispatcher, ACCEPT_TIMEOUT_SECONDS + 0.1)
     assert dispatcher.free_slots == 1
     dispatcher.handle_accept(INGRESS, Accept(granted.grant))
     assert mesh.take("snapshot_reply")[-1].body.wanted
@@ -123,7 +123,7 @@
 
 
 async def test_declined_grant_is_not_charged():
-    """The caller left while the grant was on its way."""
+    """The caller disconnected before the grant arrived."""
     dispatcher, mesh = make(slots=1)
     dispatcher.handle_register(INGRESS, register(1))
     dispatcher.handle_decline(INGRESS, Decline(grants(mesh)[1].grant))
@@ -131,22 +131,22 @@
 
 
 async def test_messages_about_unknown_grants_change_nothing():
-    """After a restart an ingress answers grants of the earlier dispatcher, whose
-    numbers the new one may use for others.
+    """After a restart of the dispatcher an ingress answers grants of the previous
+    one, whose numbers the new one may have assigned to other requests.
     """
     dispatcher, mesh = make(slots=1)
     dispatcher.handle_register(INGRESS, register(1))
     number = grants(mesh)[1].grant
-    stranger = Origin("vm-2", 5)
-    dispatcher.handle_decline(stranger, Decline(number))
-    dispatcher.handle_done(stranger, Done(number, 1e6, False, 1.0, 1))
+    other_ingress = Origin("vm-2", 5)
+    dispatcher.handle_decline(other_ingress, Decline(number))
+    dispatcher.handle_done(other_ingress, Done(number, 1e6, False, 1.0, 1))
     dispatcher.handle_done(INGRESS, Done(number + 7, 1e6, False, 1.0, None))
     assert (dispatcher.free_slots, dispatcher.running) == (0, 1)
     assert dispatcher.usage.local_usage("amber") == 400
 
 
-async def test_silent_ingress_frees_its_slots():
-    """A router dies with requests that wait and run. Nobody tells their end."""
+async def test_requests_of_an_ingress_that_timed_out_are_removed():
+    """A router fails while its requests wait and run, and never reports their end."""
     dispatcher, mesh = make(slots=1)
     dispatcher.handle_register(INGRESS, register(1))
     dispatcher.handle_accept(INGRESS, Accept(grants(mesh)[1].grant))
@@ -155,8 +155,8 @@
     assert (dispatcher.free_slots, dispatcher.running, dispatcher.waiting) == (1, 0, 0)
 
 
-async def test_new_life_of_an_ingress_frees_the_slots_of_the_old():
-    """A router restarts empty within a second; its requests are gone."""
+async def test_new_incarnation_of_an_ingress_frees_the_slots_of_the_previous_one():
+    """A router restarts within a second, without its earlier requests."""
     dispatcher, mesh = make(slots=1)
     dispatcher.handle_register(INGRESS, register(1))
     dispatcher.handle_accept(INGRESS, Accept(grants(mesh)[1].grant))
@@ -165,9 +165,9 @@
     assert granted.incarnation == 12
 
 
-async def test_new_dispatcher_learns_what_waits_and_runs():
-    """The dispatcher's VM dies and another takes the shard over, knowing
-    nothing. Waiting requests must not be forgotten nor slots given twice.
+async def test_new_dispatcher_restores_requests_from_a_snapshot():
+    """The VM of the dispatcher fails, and a new dispatcher starts without state.
+    It must not lose waiting requests or grant occupied slots again.
     """
     dispatcher, mesh = make(slots=1)
     digest = digest_of_requests([1, 2])
@@ -182,12 +182,12 @@
     dispatcher.handle_done(INGRESS, Done(99, 450.0, False, 1.0, 1))
     (granted,) = grants(mesh).values()
     assert granted.request == 2
-    # what the earlier dispatcher charged is in its counter, not in this one
+    # the counter of the previous dispatcher contains its charges
     assert dispatcher.usage.local_usage("amber") == 50 + granted.charged
 
 
-async def test_snapshot_ends_what_is_gone():
-    """The end of a request or a withdrawal is lost."""
+async def test_snapshot_removes_requests_that_it_does_not_list():
+    """The message with the end of a request, or its withdrawal, is lost."""
     dispatcher, mesh = make(slots=1)
     dispatcher.handle_register(INGRESS, register(1))
     dispatcher.handle_accept(INGRESS, Accept(grants(mesh)[1].grant))
@@ -196,7 +196,7 @@
     assert (dispatcher.free_slots, dispatcher.waiting) == (1, 0)
 
 
-async def test_moved_request_leaves_its_charge():
+async def test_charge_of_a_moved_request_remains():
     dispatcher, mesh = make(slots=1)
     dispatcher.handle_register(INGRESS, register(1))
     number = grants(mesh)[1].grant
@@ -204,8 +204,8 @@
     assert (dispatcher.free_slots, dispatcher.usage.local_usage("amber")) == (1, 400)
 
 
-async def test_bad_costs_do_not_distort_the_shares():
-    """An endpoint reports a cost that is no number, negative or absurd."""
+async def test_invalid_costs_do_not_distort_the_usage():
+    """An endpoint reports a cost that is not finite, negative, missing or too large."""
     for cost, counted in (
         (math.nan, 400),
         (-5.0, 400),
@@ -223,7 +223,7 @@
 
 
 @given(st.floats(), st.floats(0, 1e6), st.floats(0.001, 1e4))
-def test_bounded_cost_is_always_sane(cost, charged, hint):
+def test_clamped_cost_is_in_range(cost, charged, hint):
     bounded = clamp_cost(cost, charged, hint)
     assert bounded == charged or 0 <= bounded <= LARGEST_COST_RATIO * hint
 
@@ -246,8 +246,8 @@
 
 
 async def test_progress_charges_a_stream_that_outgrows_its_hint():
-    """A hint is ten times too low. Until the stream ends the organisation would
-    look as needy as if it had got a tenth.
+    """A hint is ten times too low. Without charges before the end of the stream,
+    the organisation would be treated as if it had used a tenth.
     """
     dispatcher, mesh = make(slots=1)
     dispatcher.handle_register(INGRESS, register(1))
@@ -259,7 +259,7 @@
     assert dispatcher.usage.local_usage("amber") == 4000
 
 
-async def test_wrong_hints_are_learnt():
+async def test_wrong_hints_are_corrected():
     dispatcher, mesh = make(slots=1)
     charged = []
     for number in range(1, 80):
@@ -271,9 +271,9 @@
     assert 3900 < charged[-1] <= 4000
 
 
-async def test_dispatcher_of_a_shard_that_is_not_its_own_uses_few_slots():
-    """Views differ, and two VMs dispatch for one shard. Each would fill all
-    slots, and the endpoints would get twice what they can run.
+async def test_unassigned_dispatcher_uses_few_slots():
+    """Routers disagree on the membership, and two VMs dispatch for one shard. If
+    each filled all slots, the endpoints would get twice what they can run.
     """
     dispatcher, mesh = make(slots=16)
     dispatcher.set_assigned(False)
@@ -284,8 +284,8 @@
     assert len(grants(mesh)) == 14
 
 
-async def test_lookup_starts_above_the_slots():
-    """Summaries hold every slot of an engine; a lookup arrives."""
+async def test_interactive_request_starts_over_the_slots():
+    """Summaries occupy every slot of an engine when a lookup arrives."""
     dispatcher, mesh = make(slots=2, cost="tokens")
     for number in (1, 2, 3):
         dispatcher.handle_register(INGRESS, register(number))
@@ -296,8 +296,8 @@
     assert grants(mesh) == {}
 
 
-async def test_lookups_buy_no_more_than_the_share():
-    """An organisation that is far ahead calls all its requests lookups."""
+async def test_interactive_requests_do_not_exceed_the_share():
+    """An organisation with a large lead declares all its requests interactive."""
     dispatcher, mesh = make(slots=2, cost="tokens")
     for number in (1, 2, 3):
         dispatcher.handle_register(INGRESS, register(number, "birch"))
@@ -309,7 +309,7 @@
     assert grants(mesh) == {}
 
 
-async def test_preemption_asks_for_the_stream_of_the_most_served():
+async def test_stream_of_the_highest_usage_is_preempted():
     policy = dispatcher_module.LATENCY_POLICY
     dispatcher_module.LATENCY_POLICY = "preempt"
     try:
@@ -323,13 +323,13 @@
         dispatcher.handle_accept(INGRESS, Accept(grant.grant))
     dispatcher.usage.charge("birch", 1000)
     dispatcher.handle_register(INGRESS, register(3, "amber", "lookup"))
-    (asked,) = mesh.take("preempt")
-    assert asked.body.grant == granted[2].grant
+    (preempted,) = mesh.take("preempt")
+    assert preempted.body.grant == granted[2].grant
     dispatcher.handle_done(INGRESS, Done(granted[2].grant, 100.0, False, 1.0, 2))
     assert list(grants(mesh)) == [3]
 
 
-def test_every_latency_policy_is_found_and_grants_when_free():
+def test_every_latency_policy_admits_any_request_into_free_slots():
     for name in LATENCY_POLICIES:
         policy = get_latency_policy_by_name(name)
         assert policy.admission(free=8, slots=8, over_limit=0).value == "any"
--- a/packages/router/tests/test_queue.py
+++ b/packages/router/tests/test_queue.py
@@ -1,11 +1,11 @@
-"""Tests of the waiting queue and of the order of organisations."""
+"""Tests of the waiting queue and of the sorting of organisations."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 from teaselledge.process.placement import PeerDispatcher
 from teaselledge.process.queue import (
     AGEING_SECONDS,
-    MAX_PASSES,
+    MAX_OVERTAKES,
     QueuedRequest,
     RequestKey,
     WaitingQueue,
@@ -18,51 +18,55 @@
 
 
 def make(shares=(1.0, 1.0, 2.0, 4.0)):
-    standings = UsageAccounts(max_lead_floor=1e9)
+    usage = UsageAccounts(max_lead_floor=1e9)
     entries = zip(NAMES, shares, strict=True)
-    standings.set_organisations(
+    usage.set_organisations(
         {name: Organisation(share, (), ()) for name, share in entries}
     )
-    return standings, WaitingQueue(standings)
+    return usage, WaitingQueue(usage)
 
 
-def entry(number, name, interactive=False, arrived=0.0, deadline=1e6, lender=None):
+def entry(
+    number, name, interactive=False, arrived=0.0, deadline=1e6, fetched_from=None
+):
     body = Register(number, name, "kind", 1.0, 0.0, deadline, 0, None, True, [])
     key = RequestKey("vm", 1, number)
-    until = 1.0 if lender else 0.0
-    return QueuedRequest(key, body, interactive, arrived, deadline, lender, until)
+    return_at = 1.0 if fetched_from else 0.0
+    return QueuedRequest(
+        key, body, interactive, arrived, deadline, fetched_from, return_at
+    )
 
 
 class NaiveQueue:
-    """Keeps a plain list and sorts it at each choice."""
+    """Reference model: a plain list that is sorted at each selection."""
 
-    def __init__(self, standings):
-        self.standings = standings
+    def __init__(self, usage):
+        self.usage = usage
         self.entries = []
-        self.passes = dict.fromkeys(NAMES, 0)
+        self.overtakes = dict.fromkeys(NAMES, 0)
 
     def first(self, now):
         """Return the request that should start next."""
         if not self.entries:
             return None
         names = {e.organisation for e in self.entries}
-        name = min(names, key=lambda n: (self.standings.normalised_usage(n), n))
+        name = min(names, key=lambda n: (self.usage.normalised_usage(n), n))
         own = [e for e in self.entries if e.organisation == name]
         own.sort(key=lambda e: (e.arrived, e.key.request))
         others = [e for e in own if not e.interactive]
         aged = others and now - others[0].arrived >= AGEING_SECONDS
-        if aged and self.passes[name] >= MAX_PASSES:
+        if aged and self.overtakes[name] >= MAX_OVERTAKES:
             return others[0]
         return next((e for e in own if e.interactive), own[0])
 
     def start(self, started):
-        """Take a request out because it starts."""
+        """Remove a request that starts."""
         self.entries.remove(started)
         name = started.organisation
         if not started.interactive:
-            self.passes[name] = 0
+            self.overtakes[name] = 0
         elif any(e.organisation == name and not e.interactive for e in self.entries):
-            self.passes[name] += 1
+            self.overtakes[name] += 1
 
 
 STEPS = st.lists(
@@ -78,8 +82,8 @@
 
 @given(STEPS)
 def test_queue_agrees_with_a_sorted_list(steps):
-    standings, queue = make()
-    naive = NaiveQueue(standings)
+    usage, queue = make()
+    naive = NaiveQueue(usage)
     now, number, started, withdrawn = 0.0, 0, [], set()
     for what, value, interactive in steps:
         if what == "add":
@@ -104,18 +108,18 @@
             assert queue.remove_started(first.key) == first
             naive.start(first)
             started.append(first.key)
-            standings.charge(first.organisation, value)
+            usage.charge(first.organisation, value)
     waiting = {e.key for e in queue}
-    # nothing is lost and nothing is granted twice
+    # no request is lost or started twice
     assert len(started) == len(set(started))
     assert len(waiting) + len(started) + len(withdrawn) == number
     for name in NAMES:
         assert queue.count_of(name) == sum(e.organisation == name for e in queue)
-        assert standings.local_waiting(name) == queue.count_of(name)
+        assert usage.local_waiting(name) == queue.count_of(name)
 
 
 @given(st.lists(st.tuples(st.sampled_from("abcdef"), st.none() | st.floats(-9, 9))))
-def test_order_agrees_with_sorting(steps):
+def test_sorted_by_value_agrees_with_sorting(steps):
     order, naive = SortedByValue(), {}
     for name, value in steps:
         if value is None:
@@ -128,9 +132,9 @@
         assert order.lowest == min(naive.values(), default=None)
 
 
-def test_long_request_runs_under_an_endless_flow_of_lookups():
-    """An organisation sends lookups faster than its share lets them run. Its
-    summary must still start, after a fixed number of lookups once it has aged.
+def test_aged_request_starts_despite_a_continuous_flow_of_lookups():
+    """An organisation sends lookups faster than its share allows them to run.
+    Its summary must still start: once aged, after a fixed number of lookups.
     """
     _, queue = make()
     summary = entry(1, "amber", interactive=False, arrived=0.0)
@@ -143,27 +147,28 @@
         if first == summary:
             break
         passed += 1
-    assert passed == MAX_PASSES
+    assert passed == MAX_OVERTAKES
 
 
 def test_expired_requests_leave_the_queue():
-    """A request's deadline passes while it waits, or the time for which it was
-    lent. It must not be granted when nobody waits for it any more.
+    """The deadline of a waiting request or the time of its transfer passes. It
+    must not be granted when no caller waits for it or another dispatcher
+    queues it again.
     """
-    standings, queue = make()
+    usage, queue = make()
     queue.add(entry(1, "amber", deadline=5.0))
-    queue.add(entry(2, "amber", lender=PeerDispatcher("other", "zone")))
+    queue.add(entry(2, "amber", fetched_from=PeerDispatcher("other", "zone")))
     queue.add(entry(3, "amber"))
     assert queue.fetched_count == 1
     assert [e.key.request for e in queue.expire(1.0)] == [2]
     assert [e.key.request for e in queue.expire(5.0)] == [1]
     assert [e.key.request for e in queue] == [3]
-    assert (queue.fetched_count, standings.local_waiting("amber")) == (0, 1)
+    assert (queue.fetched_count, usage.local_waiting("amber")) == (0, 1)
 
 
-def test_requests_that_started_do_not_fill_the_memory():
-    """A flood of requests with deadlines far ahead starts or is withdrawn. What
-    the queue keeps must follow what waits, not what ever waited.
+def test_removed_requests_do_not_accumulate_in_the_heap():
+    """Many requests with late deadlines start or are withdrawn. The memory of the
+    queue must depend on the requests that wait, not on all that ever waited.
     """
     _, queue = make()
     for number in range(1, 10_000):
--- a/packages/router/tests/test_standing.py
+++ b/packages/router/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""Tests of the standings."""
+"""Tests of the usage accounts."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -6,98 +6,89 @@
 from teaselledge.version.document import Organisation
 
 
-def make(debt=100.0, **shares):
-    standings = UsageAccounts(max_lead_floor=debt)
+def make(max_lead=100.0, **shares):
+    usage = UsageAccounts(max_lead_floor=max_lead)
     named = shares or {"amber": 1.0, "birch": 1.0, "cedar": 2.0}
-    standings.set_organisations(
+    usage.set_organisations(
         {n: Organisation(share, (), ()) for n, share in named.items()}
     )
-    return standings
+    return usage
 
 
-def test_service_counts_by_share():
-    standings = make()
-    standings.charge("amber", 10)
-    standings.charge("cedar", 10)
+def test_usage_is_normalised_by_share():
+    usage = make()
+    usage.charge("amber", 10)
+    usage.charge("cedar", 10)
     assert (
-        standings.normalised_usage("amber"),
-        standings.normalised_usage("cedar"),
+        usage.normalised_usage("amber"),
+        usage.normalised_usage("cedar"),
     ) == (10, 5)
 
 
-def test_idleness_earns_no_credit():
-    """An organisation stays away while others are served, and returns with a
-    flood. With its old standing it would take every slot until it has caught up.
+def test_idle_organisation_accumulates_no_credit():
+    """An organisation is idle while others are served, then sends many requests.
+    With its old usage it would get every slot until it has caught up.
     """
-    standings = make()
-    standings.add_local_waiting("amber", 1)
-    standings.charge("amber", 1000)
-    standings.add_local_waiting("birch", 1)
-    assert (
-        standings.normalised_usage("birch")
-        == standings.normalised_usage("amber")
-        == 1000
-    )
+    usage = make()
+    usage.add_local_waiting("amber", 1)
+    usage.charge("amber", 1000)
+    usage.add_local_waiting("birch", 1)
+    assert usage.normalised_usage("birch") == usage.normalised_usage("amber") == 1000
 
 
-def test_use_of_idle_capacity_makes_no_debt():
-    """One organisation uses the whole service while nobody else has work. When
-    the others come it must not wait until they have caught up.
+def test_use_of_idle_capacity_does_not_count_as_a_lead():
+    """One organisation uses the whole service while no other has requests. When
+    the others send requests, it must not wait until they have caught up.
     """
-    standings = make()
+    usage = make()
     for _ in range(100):
-        standings.add_local_waiting("amber", 1)
-        standings.record_start("amber")
-        standings.charge("amber", 50)
-        standings.add_local_waiting("amber", -1)
-    standings.add_local_waiting("birch", 1)
-    standings.add_local_waiting("amber", 1)
-    assert (
-        standings.normalised_usage("amber") - standings.normalised_usage("birch") <= 50
-    )
-
-
-def test_debt_after_a_healed_split_is_bounded():
-    """For an hour another part of the fleet served one organisation, and all of
-    it is reported at once. The organisation must not starve to pay it back.
+        usage.add_local_waiting("amber", 1)
+        usage.record_start("amber")
+        usage.charge("amber", 50)
+        usage.add_local_waiting("amber", -1)
+    usage.add_local_waiting("birch", 1)
+    usage.add_local_waiting("amber", 1)
+    assert usage.normalised_usage("amber") - usage.normalised_usage("birch") <= 50
+
+
+def test_lead_after_a_healed_partition_is_limited():
+    """During a network partition of an hour other dispatchers served an
+    organisation, and report all of it at once. The organisation must not starve
+    until the others have caught up.
     """
-    standings = make(debt=100.0)
-    standings.add_local_waiting("amber", 1)
-    standings.add_local_waiting("birch", 1)
-    standings.add_remote_usage("amber", 1e6)
-    assert (
-        standings.normalised_usage("amber") - standings.normalised_usage("birch") == 100
-    )
-    standings.charge("amber", 10)
-    assert (
-        standings.normalised_usage("amber") - standings.normalised_usage("birch") == 110
-    )
+    usage = make(max_lead=100.0)
+    usage.add_local_waiting("amber", 1)
+    usage.add_local_waiting("birch", 1)
+    usage.add_remote_usage("amber", 1e6)
+    assert usage.normalised_usage("amber") - usage.normalised_usage("birch") == 100
+    usage.charge("amber", 10)
+    assert usage.normalised_usage("amber") - usage.normalised_usage("birch") == 110
     for _ in range(100):
-        standings.add_remote_usage("amber", 1e6)
+        usage.add_remote_usage("amber", 1e6)
     assert (
-        standings.normalised_usage("amber") - standings.normalised_usage("birch")
+        usage.normalised_usage("amber") - usage.normalised_usage("birch")
         == MAX_LEAD_FACTOR * 100
     )
 
 
-def test_waiting_elsewhere_counts_as_backlogged():
-    standings = make()
-    standings.add_remote_backlog("amber", 1)
-    standings.charge("amber", 30)
-    standings.add_local_waiting("birch", 1)
-    assert standings.normalised_usage("birch") == 30
-    assert list(standings.backlogged) == ["amber", "birch"]
+def test_waiting_at_another_dispatcher_counts_as_backlogged():
+    usage = make()
+    usage.add_remote_backlog("amber", 1)
+    usage.charge("amber", 30)
+    usage.add_local_waiting("birch", 1)
+    assert usage.normalised_usage("birch") == 30
+    assert list(usage.backlogged) == ["amber", "birch"]
 
 
 def test_organisation_that_left_the_document_has_no_account():
-    standings = make()
-    standings.add_local_waiting("birch", 1)
-    standings.set_organisations({"amber": Organisation(2.0, (), ())})
-    standings.charge("birch", 5)
-    standings.add_remote_usage("birch", 5)
-    standings.add_local_waiting("birch", -1)
-    assert "birch" not in standings
-    assert list(standings.backlogged) == []
+    usage = make()
+    usage.add_local_waiting("birch", 1)
+    usage.set_organisations({"amber": Organisation(2.0, (), ())})
+    usage.charge("birch", 5)
+    usage.add_remote_usage("birch", 5)
+    usage.add_local_waiting("birch", -1)
+    assert "birch" not in usage
+    assert list(usage.backlogged) == []
 
 
 MOVES = st.lists(
@@ -110,29 +101,27 @@
 
 
 @given(MOVES)
-def test_no_step_leaves_anyone_far_behind(moves):
-    standings = make(debt=100.0)
+def test_remote_usage_never_exceeds_the_maximum_lead(moves):
+    usage = make(max_lead=100.0)
     charged = dict.fromkeys(["amber", "birch", "cedar"], 0.0)
     for name, what, value in moves:
-        before = standings.normalised_usage(name)
+        before = usage.normalised_usage(name)
         if what == "charge":
-            standings.charge(name, value)
+            usage.charge(name, value)
             charged[name] += value
         elif what == "grow":
-            standings.add_remote_usage(name, value)
+            usage.add_remote_usage(name, value)
         elif what == "move":
-            standings.blend_usage(name, value, 0.5)
+            usage.blend_usage(name, value, 0.5)
         else:
             change = 1 if what == "wait" else -1
-            standings.add_local_waiting(name, change)
-        order = list(standings.backlogged)
-        assert order == sorted(order, key=lambda n: (standings.normalised_usage(n), n))
+            usage.add_local_waiting(name, change)
+        order = list(usage.backlogged)
+        assert order == sorted(order, key=lambda n: (usage.normalised_usage(n), n))
         if what == "grow" and order:
-            lowest = min(standings.normalised_usage(n) for n in order)
-            most = lowest + MAX_LEAD_FACTOR * standings.max_lead
-            assert standings.normalised_usage(name) <= max(before, most) + 1e-6
-            assert (
-                standings.normalised_usage(name) <= before + standings.max_lead + 1e-6
-            )
+            lowest = min(usage.normalised_usage(n) for n in order)
+            highest = lowest + MAX_LEAD_FACTOR * usage.max_lead
+            assert usage.normalised_usage(name) <= max(before, highest) + 1e-6
+            assert usage.normalised_usage(name) <= before + usage.max_lead + 1e-6
     for name, total in charged.items():
-        assert abs(standings.local_usage(name) - total) < 1e-6
+        assert abs(usage.local_usage(name) - total) < 1e-6
