--- a/packages/router/tests/test_exchange.py
+++ b/packages/router/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of the reports between dispatchers."""
+"""Tests of the usage reports between dispatchers."""
 
 import asyncio
 import math
@@ -6,9 +6,9 @@
 
 from teaselledge.metrics import NullMetrics
 from teaselledge.process.exchange import (
-    ADOPT_SECONDS,
-    FIRST_SEQUENCES,
-    VIEW_SECONDS,
+    ADOPTION_PERIOD_SECONDS,
+    NEW_SENDER_REPORTS,
+    PEER_LOAD_TTL_SECONDS,
     UsageExchange,
 )
 from teaselledge.process.member import Member
@@ -45,16 +45,16 @@
     )
 
 
-def make(zone="a", incarnation=100, debt=1e9):
-    standings = UsageAccounts(debt)
+def make(zone="a", incarnation=100, max_lead=1e9):
+    usage = UsageAccounts(max_lead)
     mesh = RecordingMesh(f"vm-{zone}")
     placement = Placement(lambda: MEMBERS)
     shard = Shard("service", zone)
-    made = UsageExchange(shard, mesh, standings, placement, NullMetrics(), incarnation)
+    made = UsageExchange(shard, mesh, usage, placement, NullMetrics(), incarnation)
     doc = document()
-    standings.set_organisations(doc.organisations)
+    usage.set_organisations(doc.organisations)
     made.apply_document(doc)
-    return made, standings, mesh
+    return made, usage, mesh
 
 
 def report(sequence, served, zone="b", incarnation=200, waiting=1, standing=None):
@@ -69,67 +69,65 @@
     return Origin(f"vm-{zone}", 7)
 
 
-async def test_lost_doubled_and_reordered_reports_do_no_harm():
-    """A connection breaks and is made again: of the reports some are lost, some
-    come twice and some come late. The counts must not drift.
+async def test_lost_duplicated_and_reordered_reports_do_no_harm():
+    """A connection breaks and is opened again. Some reports are lost, some arrive
+    twice and some late. The counts must not drift.
     """
     random = Random(1)
-    told = [report(n, {"amber": 10.0 * n}) for n in range(1, 50)]
+    reports = [report(n, {"amber": 10.0 * n}) for n in range(1, 50)]
     for _ in range(20):
-        exchange, standings, _ = make()
-        kept = [r for r in told if random.random() < 0.6] * 2
+        exchange, usage, _ = make()
+        kept = [r for r in reports if random.random() < 0.6] * 2
         random.shuffle(kept)
         last = 0.0
-        for body in [*kept, told[-1]]:
+        for body in [*kept, reports[-1]]:
             exchange.handle_report(origin(), body)
-            # what was counted once must not be taken back by an older report
-            assert standings.normalised_usage("amber") >= last
-            last = standings.normalised_usage("amber")
-        assert abs(standings.normalised_usage("amber") - 490.0) < 1e-6
+            # an older report must not reduce the usage
+            assert usage.normalised_usage("amber") >= last
+            last = usage.normalised_usage("amber")
+        assert abs(usage.normalised_usage("amber") - 490.0) < 1e-6
 
 
-async def test_restart_neither_loses_nor_doubles_service():
-    """A dispatcher dies and comes back as a new incarnation that counts from 0."""
-    exchange, standings, _ = make()
+async def test_restart_neither_loses_nor_doubles_usage():
+    """A dispatcher fails and restarts with a new incarnation that counts from 0."""
+    exchange, usage, _ = make()
     exchange.handle_report(origin(), report(1, {"amber": 500.0}))
     exchange.handle_report(origin(), report(1, {"amber": 100.0}, incarnation=202))
     exchange.handle_report(origin(), report(9, {"amber": 500.0}, standing=600.0))
-    assert abs(standings.normalised_usage("amber") - 600.0) < 1e-6
+    assert abs(usage.normalised_usage("amber") - 600.0) < 1e-6
 
 
-async def test_new_dispatcher_takes_standings_over():
-    """A dispatcher starts while the others have run for days. Their counters
-    are large; counting them whole would set everyone back by days.
+async def test_new_dispatcher_adopts_usage_of_peers():
+    """A dispatcher starts while the others have run for days. If it added the
+    whole of their large counters, it would set back every organisation by days.
     """
-    exchange, standings, _ = make()
-    late = FIRST_SEQUENCES + 1000
-    exchange.handle_report(origin(), report(late, {"amber": 9e6}, standing=5000.0))
-    assert standings.normalised_usage("amber") == 5000.0
+    exchange, usage, _ = make()
+    sequence = NEW_SENDER_REPORTS + 1000
+    exchange.handle_report(origin(), report(sequence, {"amber": 9e6}, standing=5000.0))
+    assert usage.normalised_usage("amber") == 5000.0
     exchange.handle_report(
-        origin(), report(late + 1, {"amber": 9e6 + 10}, standing=5010.0)
+        origin(), report(sequence + 1, {"amber": 9e6 + 10}, standing=5010.0)
     )
-    assert abs(standings.normalised_usage("amber") - 5010.0) < 1e-6
+    assert abs(usage.normalised_usage("amber") - 5010.0) < 1e-6
 
 
-async def test_growth_of_an_hour_is_bounded_by_the_debt():
-    """A split lasts an hour; afterwards one report tells all that was served."""
-    exchange, standings, _ = make(debt=300.0)
+async def test_growth_of_an_hour_is_limited_by_the_maximum_lead():
+    """A network partition lasts an hour; then one report contains all its usage."""
+    exchange, usage, _ = make(max_lead=300.0)
     exchange.handle_report(origin(), report(1, {"amber": 0.0, "birch": 0.0}))
     exchange.handle_report(
         origin(), report(2, {"amber": 1e7, "birch": 0.0}, standing=0.0)
     )
     assert (
-        0
-        < standings.normalised_usage("amber") - standings.normalised_usage("birch")
-        <= 300.0
+        0 < usage.normalised_usage("amber") - usage.normalised_usage("birch") <= 300.0
     )
 
 
-async def test_bad_accounts_are_refused():
-    """A peer of a broken release, or with another document, reports nonsense."""
-    exchange, standings, _ = make(debt=300.0)
+async def test_invalid_accounts_are_rejected():
+    """A peer with a faulty release or another document reports invalid values."""
+    exchange, usage, _ = make(max_lead=300.0)
     exchange.handle_report(origin(), report(1, {"amber": 50.0}))
-    before = standings.normalised_usage("amber")
+    before = usage.normalised_usage("amber")
     for sequence, bad in enumerate(
         [
             {"nobody": 10.0},
@@ -141,7 +139,7 @@
         start=2,
     ):
         exchange.handle_report(origin(), report(sequence, bad))
-        assert standings.normalised_usage("amber") == before
+        assert usage.normalised_usage("amber") == before
     for body in (
         Report("b", None, 1, [], 0),
         Report("b", 200, None, [], 0),
@@ -150,16 +148,16 @@
         report(90, {"amber": None}),
     ):
         exchange.handle_report(origin(), body)
-    assert standings.normalised_usage("amber") == before
+    assert usage.normalised_usage("amber") == before
 
 
-async def test_counter_that_ran_backwards_counts_on():
-    exchange, standings, _ = make(debt=300.0)
+async def test_growth_after_a_decreased_counter_is_counted():
+    exchange, usage, _ = make(max_lead=300.0)
     exchange.handle_report(origin(), report(1, {"birch": 5000.0, "amber": 5000.0}))
     exchange.handle_report(origin(), report(2, {"amber": 10.0}))
-    before = standings.normalised_usage("amber")
+    before = usage.normalised_usage("amber")
     exchange.handle_report(origin(), report(3, {"amber": 30.0}, standing=before + 20))
-    assert abs(standings.normalised_usage("amber") - before - 20) < 1e-6
+    assert abs(usage.normalised_usage("amber") - before - 20) < 1e-6
 
 
 async def test_report_is_due_by_quantum_and_by_interval():
@@ -181,14 +179,14 @@
     assert [s.vm for s in near] == ["vm-b"]
 
 
-async def test_many_organisations_lower_the_rate_not_the_limit():
-    """Hundreds of organisations are backlogged at once. Reports grow, and what a
-    node spends on control must stay under its limit.
+async def test_many_organisations_lower_the_rate_of_reports():
+    """Hundreds of organisations are backlogged at once, and reports grow. The
+    control traffic of a node must stay below its limit.
     """
-    exchange, standings, mesh = make()
+    exchange, usage, mesh = make()
     names = [f"org-{i}" for i in range(750)]
     organisations = {name: Organisation(1.0, (), ()) for name in names}
-    standings.set_organisations(organisations)
+    usage.set_organisations(organisations)
     loop = asyncio.get_running_loop()
     sent = 0
     for _ in range(200):
@@ -202,24 +200,24 @@
     assert limit / 3 < sent / 10.0 < 1.1 * limit
 
 
-async def test_silent_dispatcher_is_no_longer_backlogged():
-    """A dispatcher dies while it told of waiting requests. Kept for ever, its
-    organisations would hold the lowest standing without being served.
+async def test_backlog_of_a_failed_dispatcher_expires():
+    """A dispatcher fails after it reported waiting requests. If they did not
+    expire, their organisations would keep the lowest usage without being served.
     """
-    exchange, standings, _ = make()
+    exchange, usage, _ = make()
     exchange.handle_report(origin(), report(1, {"amber": 0.0}, waiting=3))
-    assert list(standings.backlogged) == ["amber"]
-    await asyncio.sleep(VIEW_SECONDS + 0.1)
+    assert list(usage.backlogged) == ["amber"]
+    await asyncio.sleep(PEER_LOAD_TTL_SECONDS + 0.1)
     exchange.tick(asyncio.get_running_loop().time())
-    assert list(standings.backlogged) == []
+    assert list(usage.backlogged) == []
 
 
-async def test_only_sums_cross_regions_and_are_relayed():
-    speakers = []
+async def test_only_the_representative_sends_and_forwards_region_sums():
+    representatives = []
     for zone in ("a", "b"):
         exchange, _, mesh = make(zone)
         exchange.mark_waiting_changed("amber")
-        exchange._standings.add_local_waiting("amber", 1)
+        exchange._usage.add_local_waiting("amber", 1)
         exchange.charge("amber", 40.0)
         exchange.handle_report(
             origin("b" if zone == "a" else "a"),
@@ -231,27 +229,27 @@
         for sent in far:
             assert sent.body.region == "near"
             assert [a.served for a in sent.body.accounts] == [100.0]
-        speakers += [zone] * bool(far)
-        # the sum of the other region goes on to the zone that does not speak
+        representatives += [zone] * bool(far)
+        # only the representative forwards the sums of the other region
         body = report(1, {"amber": 5.0}, zone="c", incarnation=301)
         body.region = "far"
         exchange.handle_report(Origin("vm-c", 9), body)
-        relayed = [s for s in mesh.take("report") if s.body.region == "far"]
-        assert bool(relayed) == bool(far)
-    assert len(speakers) == 1
+        forwarded = [s for s in mesh.take("report") if s.body.region == "far"]
+        assert bool(forwarded) == bool(far)
+    assert len(representatives) == 1
 
 
-async def test_views_drift_together():
-    """Two dispatchers have lifted an organisation to different levels. Left
-    alone each would serve another organisation first for ever.
+async def test_usage_of_two_dispatchers_converges():
+    """Two dispatchers have raised an organisation to different levels. Without
+    convergence, each would always serve another organisation first.
     """
-    exchange, standings, _ = make()
-    await asyncio.sleep(ADOPT_SECONDS + 1)
-    standings.charge("amber", 1000.0)
+    exchange, usage, _ = make()
+    await asyncio.sleep(ADOPTION_PERIOD_SECONDS + 1)
+    usage.charge("amber", 1000.0)
     for sequence in range(1, 60):
         await asyncio.sleep(0.2)
         exchange.handle_report(
             origin(), report(sequence, {"amber": 0.0}, standing=200.0)
         )
-    # its own service of 1000 was never reported here, so it is added on top
-    assert abs(standings.normalised_usage("amber") - 1200.0) < 20
+    # its own usage of 1000 was never reported, so it is added
+    assert abs(usage.normalised_usage("amber") - 1200.0) < 20
