--- a/packages/router/src/teaselledge/process/fetch.py
+++ b/packages/router/src/teaselledge/process/fetch.py
@@ -1,4 +1,4 @@
-"""Waiting requests that move to a dispatcher with free slots."""
+"""Transfer of waiting requests to dispatchers with free slots."""
 
 import asyncio
 from collections import Counter
@@ -18,42 +18,45 @@
 
 __all__ = ["RequestTransfer", "make_queued_request"]
 
-LEND_SECONDS = 1.0
-FAR_LEND_SECONDS = 2.0
-"""Time after which a request that was lent waits at its lender again."""
+TRANSFER_TIMEOUT_SECONDS = 1.0
+CROSS_REGION_TRANSFER_TIMEOUT_SECONDS = 2.0
+"""Time after which the source requeues a transferred request."""
 
-RETURN_SECONDS = 0.25
-"""The borrower drops a request so much earlier than the lender takes it back."""
+RETURN_MARGIN_SECONDS = 0.25
+"""Time by which the destination drops a request before the source requeues it."""
 
-RECLAIM_SECONDS = 0.3
-"""Time after which a lender with free slots takes back what it lent."""
+RECLAIM_DELAY_SECONDS = 0.3
+"""Time after which a source with free slots requeues a transferred request."""
 
-ANSWER_SECONDS = 0.25
-FAR_ANSWER_SECONDS = 1.0
-"""Time after which an unanswered fetch is given up."""
+FETCH_TIMEOUT_SECONDS = 0.25
+CROSS_REGION_FETCH_TIMEOUT_SECONDS = 1.0
+"""Time after which a fetch without an answer is abandoned."""
 
-PAUSE_SECONDS = 0.1
-"""Pause after a fetch that found nothing."""
+EMPTY_FETCH_PAUSE_SECONDS = 0.1
+"""Time until the next fetch from a dispatcher that had no request."""
 
-MAX_COUNT = 16
-AHEAD_PART = 16
-FAR_AHEAD_PART = 8
-"""One request is fetched ahead for so many slots."""
+MAX_TRANSFER_COUNT = 16
+SLOTS_PER_PREFETCH = 16
+SLOTS_PER_CROSS_REGION_PREFETCH = 8
+"""Slots for each request that is fetched in advance."""
 
-NEEDY_LOOK = 4
-FAR_MARGIN = 4.0
-"""Factor on the margin from which work is fetched across regions."""
+MAX_CHECKED_ORGANISATIONS = 4
+CROSS_REGION_MARGIN_FACTOR = 4.0
+"""Factor on the fetch margin for fetches across regions."""
 
-LINK_BYTES = 375_000.0
-"""Body bytes a second that fetched work may move over a region link: 20 %."""
+LINK_BYTES_PER_SECOND = 375_000.0
+"""Rate of bodies of fetched requests on a region link: 20 % of its capacity."""
 
-PATIENCE_SECONDS = 5.0
-"""Wait after which a body larger than what the link has left may still move."""
+LARGE_BODY_WAIT_SECONDS = 5.0
+"""Queueing time after which a body may exceed the remaining link budget."""
 
-FAR_WAIT_SECONDS = 0.08
-"""Wait before a request may move to another region; a near slot is cheaper."""
+MIN_CROSS_REGION_WAIT_SECONDS = 0.08
+"""Minimum queueing time before a request may move to another region.
 
-LONGEST_SECONDS = 1e9
+A slot in the same region is cheaper.
+"""
+
+MAX_REGISTRATION_VALUE = 1e9
 
 
 def make_queued_request(
@@ -64,13 +67,13 @@
     fetched_from: PeerDispatcher | None = None,
     return_at: float = 0.0,
 ) -> QueuedRequest | None:
-    """Return the queue entry of a registration, None where it is malformed."""
+    """Return the queue entry of a registration, or None if it is malformed."""
     known = body.organisation in document.organisations
     kind = document.services[service].kinds.get(body.kind or "")
     numbers = (body.cost_hint, body.waited, body.deadline)
     if not known or kind is None or body.request is None:
         return None
-    if any(n is None or not abs(n) < LONGEST_SECONDS for n in numbers):
+    if any(n is None or not abs(n) < MAX_REGISTRATION_VALUE for n in numbers):
         return None
     if body.cost_hint <= 0:
         return None
@@ -88,39 +91,39 @@
 
 
 @dataclass(frozen=True)
-class _Lent:
+class _Transferred:
     entry: QueuedRequest
-    borrower: PeerDispatcher
-    since: float
-    until: float
+    destination: PeerDispatcher
+    transferred_at: float
+    expires_at: float
 
 
 @dataclass(frozen=True)
-class _Asked:
-    view: str
-    until: float
+class _PendingFetch:
+    peer_name: str
+    expires_at: float
 
 
-def _in_turns(entries: Iterable[QueuedRequest]) -> list[QueuedRequest]:
-    """Order entries so that each organisation has one before any has two."""
+def _round_robin(entries: Iterable[QueuedRequest]) -> list[QueuedRequest]:
+    """Return the first entry of each organisation, then the second, and so on."""
     counts: Counter[str] = Counter()
-    turns = []
+    rounds = []
     for entry in entries:
-        turns.append((counts[entry.organisation], entry))
+        rounds.append((counts[entry.organisation], entry))
         counts[entry.organisation] += 1
-    return [entry for _, entry in sorted(turns, key=lambda turn: turn[0])]
+    return [entry for _, entry in sorted(rounds, key=lambda item: item[0])]
 
 
-def _name(view: PeerLoad) -> str:
-    return view.region or f"{view.peer.vm}/{view.peer.zone}"
+def _peer_name(load: PeerLoad) -> str:
+    return load.region or f"{load.peer.vm}/{load.peer.zone}"
 
 
 class RequestTransfer:
-    """Fetches waiting requests from other dispatchers and lends own ones.
+    """Fetches requests from other dispatchers and transfers own ones to them.
 
-    A request that is lent has left the lender's queue until the borrower's
-    grant is accepted, or until its time there is over. Where both grant it,
-    as after a lost message, its ingress declines the second grant.
+    A transferred request leaves the queue of the source until a grant of the
+    destination is accepted or the transfer expires. If both grant it, as after
+    a lost message, its ingress declines the second grant.
     """
 
     def __init__(
@@ -128,281 +131,315 @@
         shard: Shard,
         mesh: Mesh,
         queue: WaitingQueue,
-        standings: UsageAccounts,
+        usage: UsageAccounts,
         exchange: UsageExchange,
         metrics: Metrics,
     ) -> None:
         self._shard = shard
         self._mesh = mesh
         self._queue = queue
-        self._standings = standings
+        self._usage = usage
         self._exchange = exchange
         self._metrics = metrics
         self._document: Document | None = None
         self._slots = 1
-        self._lent: dict[RequestKey, _Lent] = {}
-        self._asked: dict[int, _Asked] = {}
-        self._pauses: dict[str, float] = {}
+        self._transferred: dict[RequestKey, _Transferred] = {}
+        self._pending_fetches: dict[int, _PendingFetch] = {}
+        self._paused_until: dict[str, float] = {}
         self._next_fetch = 1
-        self._link_bytes = LINK_BYTES
-        self._link_time = asyncio.get_running_loop().time()
+        self._link_budget_bytes = LINK_BYTES_PER_SECOND
+        self._link_updated_at = asyncio.get_running_loop().time()
 
     def __contains__(self, key: object) -> bool:
-        return key in self._lent
+        return key in self._transferred
 
     def apply_document(self, document: Document, slots: int) -> None:
-        """Take a new version of the document and the number of own slots."""
+        """Apply a new version of the document and the number of own slots."""
         self._document = document
         self._slots = max(1, slots)
 
     def push(self) -> None:
-        """Lend what waits here to dispatchers that told of free slots."""
+        """Transfer waiting requests to dispatchers that reported free slots."""
         if len(self._queue) > self._queue.fetched_count:
-            self._push(asyncio.get_running_loop().time())
+            self._push_to_free_slots(asyncio.get_running_loop().time())
 
     def pull(self, free: int) -> None:
-        """Fetch where work is short here or somebody elsewhere is needier."""
+        """Fetch requests for free slots, or of organisations with lower usage."""
         now = asyncio.get_running_loop().time()
-        missing = free + self._ahead(AHEAD_PART) - len(self._queue)
-        if missing > 0 and self._pull(missing, free, now):
+        missing = free + self._prefetch_count(SLOTS_PER_PREFETCH) - len(self._queue)
+        if missing > 0 and self._fetch_for_free_slots(missing, free, now):
             return
-        self._pull_needy(now)
+        self._fetch_least_served(now)
 
     def handle_fetch(self, origin: Origin, body: Fetch) -> None:
-        """Lend to a dispatcher that asks."""
+        """Transfer requests to a dispatcher that fetches, or forward its fetch."""
         document = self._document
         if document is None or body.zone not in document.zones:
             return
-        borrower = PeerDispatcher(body.vm or origin.vm, body.zone)
+        destination = PeerDispatcher(body.vm or origin.vm, body.zone)
         now = asyncio.get_running_loop().time()
         idle = max(0, body.idle or 0)
-        spare = len(self._queue) - self._queue.fetched_count - self._ahead(AHEAD_PART)
-        count = min(body.count or 1, MAX_COUNT, max(idle, spare))
+        surplus = (
+            len(self._queue)
+            - self._queue.fetched_count
+            - self._prefetch_count(SLOTS_PER_PREFETCH)
+        )
+        count = min(body.count or 1, MAX_TRANSFER_COUNT, max(idle, surplus))
         if body.organisations:
-            count = min(body.count or 1, MAX_COUNT)
-        picked = self._pick(body.organisations or [], count, borrower, now)
-        if picked or not self._pass_on(origin, body):
-            self._lend(picked, borrower, body.fetch or 0, now)
+            count = min(body.count or 1, MAX_TRANSFER_COUNT)
+        selected = self._select(body.organisations or [], count, destination, now)
+        if selected or not self._forward_fetch(origin, body):
+            self._transfer(selected, destination, body.fetch or 0, now)
 
     def handle_fetch_answer(
         self, origin: Origin, body: FetchAnswer
     ) -> list[QueuedRequest]:
-        """Return the requests that another dispatcher lends."""
+        """Return the requests that another dispatcher transferred."""
         document = self._document
         now = asyncio.get_running_loop().time()
-        asked = self._asked.pop(body.fetch or 0, None)
-        if asked is not None and not body.found:
-            self._pauses[asked.view] = now + PAUSE_SECONDS
+        pending = self._pending_fetches.pop(body.fetch or 0, None)
+        if pending is not None and not body.found:
+            self._paused_until[pending.peer_name] = now + EMPTY_FETCH_PAUSE_SECONDS
         if document is None or body.zone not in document.zones:
             return []
-        lender = PeerDispatcher(origin.vm, body.zone)
-        until = now + self._lend_seconds(lender) - RETURN_SECONDS
+        source = PeerDispatcher(origin.vm, body.zone)
+        expires_at = now + self._transfer_timeout(source) - RETURN_MARGIN_SECONDS
         entries = []
-        for told in body.entries or []:
-            if not told.owner_vm or told.owner_incarnation is None:
+        for registration in body.entries or []:
+            if not registration.owner_vm or registration.owner_incarnation is None:
                 continue
             service = self._shard.service
-            entry = make_queued_request(origin, told, document, service, lender, until)
+            entry = make_queued_request(
+                origin, registration, document, service, source, expires_at
+            )
             if entry is not None:
                 entries.append(entry)
         self._metrics.count("dispatch.fetched", len(entries))
         return entries
 
     def cancel_transfer(self, key: RequestKey) -> bool:
-        """End a loan because the request no longer waits."""
-        lent = self._lent.pop(key, None)
-        if lent is None:
+        """End a transfer because the request no longer waits."""
+        transferred = self._transferred.pop(key, None)
+        if transferred is None:
             return False
-        self._standings.add_local_waiting(lent.entry.organisation, -1)
+        self._usage.add_local_waiting(transferred.entry.organisation, -1)
         body = Withdraw(key.request, key.vm, key.incarnation)
-        self._send(lent.borrower, "withdraw", body)
+        self._send(transferred.destination, "withdraw", body)
         return True
 
     def tick(self, free: int, now: float) -> None:
-        """Take back what was lent for too long."""
-        for number in [n for n, a in self._asked.items() if a.until <= now]:
-            del self._asked[number]
+        """Requeue the requests of expired transfers."""
+        for number in [
+            n for n, fetch in self._pending_fetches.items() if fetch.expires_at <= now
+        ]:
+            del self._pending_fetches[number]
         idle = free > 0 and not len(self._queue)
-        for key, lent in list(self._lent.items()):
-            if lent.until <= now or (idle and now - lent.since > RECLAIM_SECONDS):
-                del self._lent[key]
-                self._queue.add(lent.entry)
-                self._standings.add_local_waiting(lent.entry.organisation, -1)
-
-    def _ahead(self, part: int) -> int:
-        return 1 + self._slots // part
-
-    def _across(self, zone: str) -> bool:
+        for key, transferred in list(self._transferred.items()):
+            if transferred.expires_at <= now or (
+                idle and now - transferred.transferred_at > RECLAIM_DELAY_SECONDS
+            ):
+                del self._transferred[key]
+                self._queue.add(transferred.entry)
+                self._usage.add_local_waiting(transferred.entry.organisation, -1)
+
+    def _prefetch_count(self, slots_per_request: int) -> int:
+        return 1 + self._slots // slots_per_request
+
+    def _is_cross_region(self, zone: str) -> bool:
         document = self._document
         return (
             document is None
             or distance(document, self._shard.zone, zone) == CROSS_REGION
         )
 
-    def _lend_seconds(self, peer: PeerDispatcher) -> float:
-        return FAR_LEND_SECONDS if self._across(peer.zone) else LEND_SECONDS
+    def _transfer_timeout(self, peer: PeerDispatcher) -> float:
+        return (
+            CROSS_REGION_TRANSFER_TIMEOUT_SECONDS
+            if self._is_cross_region(peer.zone)
+            else TRANSFER_TIMEOUT_SECONDS
+        )
 
-    def _push(self, now: float) -> None:
-        for view in self._exchange.peer_loads:
-            if view.free_slots <= 0:
+    def _push_to_free_slots(self, now: float) -> None:
+        for load in self._exchange.peer_loads:
+            if load.free_slots <= 0:
                 continue
-            picked = self._pick([], min(view.free_slots, MAX_COUNT), view.peer, now)
-            if not picked:
+            selected = self._select(
+                [], min(load.free_slots, MAX_TRANSFER_COUNT), load.peer, now
+            )
+            if not selected:
                 return
-            view.free_slots -= len(picked)
-            self._lend(picked, view.peer, 0, now)
-
-    def _pull(self, missing: int, free: int, now: float) -> bool:
-        views = [v for v in self._exchange.peer_loads if any(v.waiting.values())]
-        near = [v for v in views if v.region is None]
-        if near:
-            view = max(near, key=lambda v: sum(v.waiting.values()))
-            return self._ask(view, [], missing, free, now)
-        if not views or len(self._queue):
+            load.free_slots -= len(selected)
+            self._transfer(selected, load.peer, 0, now)
+
+    def _fetch_for_free_slots(self, missing: int, free: int, now: float) -> bool:
+        loads = [
+            load for load in self._exchange.peer_loads if any(load.waiting.values())
+        ]
+        same_region = [load for load in loads if load.region is None]
+        if same_region:
+            load = max(same_region, key=lambda load: sum(load.waiting.values()))
+            return self._send_fetch(load, [], missing, free, now)
+        if not loads or len(self._queue):
             return False
-        missing = free + self._ahead(FAR_AHEAD_PART)
-        view = max(views, key=lambda v: sum(v.waiting.values()))
-        return self._ask(view, [], missing, missing, now)
+        missing = free + self._prefetch_count(SLOTS_PER_CROSS_REGION_PREFETCH)
+        load = max(loads, key=lambda load: sum(load.waiting.values()))
+        return self._send_fetch(load, [], missing, missing, now)
 
-    def _pull_needy(self, now: float) -> None:
+    def _fetch_least_served(self, now: float) -> None:
         first = self._queue.least_served
         if first is None:
             return
-        standings = self._standings
-        for name in list(islice(standings.backlogged, NEEDY_LOOK)):
-            if self._queue.count_of(name) or not standings.has_remote_waiting(name):
+        usage = self._usage
+        for name in list(islice(usage.backlogged, MAX_CHECKED_ORGANISATIONS)):
+            if self._queue.count_of(name) or not usage.has_remote_waiting(name):
                 continue
-            behind = standings.normalised_usage(first) - standings.normalised_usage(
-                name
-            )
-            deficit = behind * standings.share(name)
+            difference = usage.normalised_usage(first) - usage.normalised_usage(name)
+            deficit = difference * usage.share(name)
             margin = self._exchange.fetch_margin
             if deficit <= margin:
                 return
-            for view in self._exchange.peer_loads:
-                if not view.waiting.get(name):
+            for load in self._exchange.peer_loads:
+                if not load.waiting.get(name):
                     continue
-                if view.region is not None and deficit <= margin * FAR_MARGIN:
+                if (
+                    load.region is not None
+                    and deficit <= margin * CROSS_REGION_MARGIN_FACTOR
+                ):
                     continue
-                count = self._ahead(AHEAD_PART)
-                self._ask(view, [name], count, count, now)
+                count = self._prefetch_count(SLOTS_PER_PREFETCH)
+                self._send_fetch(load, [name], count, count, now)
                 return
 
-    def _ask(
+    def _send_fetch(
         self,
-        view: PeerLoad,
+        load: PeerLoad,
         organisations: list[str],
         count: int,
         idle: int,
         now: float,
     ) -> bool:
-        name = _name(view)
-        if self._pauses.get(name, 0.0) > now:
+        name = _peer_name(load)
+        if self._paused_until.get(name, 0.0) > now:
             return False
-        if any(asked.view == name for asked in self._asked.values()):
+        if any(pending.peer_name == name for pending in self._pending_fetches.values()):
             return False
         number = self._next_fetch
         self._next_fetch += 1
-        far = self._across(view.peer.zone)
-        limit = FAR_ANSWER_SECONDS if far else ANSWER_SECONDS
-        self._asked[number] = _Asked(name, now + limit)
+        cross_region = self._is_cross_region(load.peer.zone)
+        limit = (
+            CROSS_REGION_FETCH_TIMEOUT_SECONDS
+            if cross_region
+            else FETCH_TIMEOUT_SECONDS
+        )
+        self._pending_fetches[number] = _PendingFetch(name, now + limit)
         body = Fetch(
             self._shard.zone,
             "",
             organisations,
             number,
-            min(count, MAX_COUNT),
+            min(count, MAX_TRANSFER_COUNT),
             None,
-            min(idle, MAX_COUNT),
+            min(idle, MAX_TRANSFER_COUNT),
         )
-        self._send(view.peer, "fetch", body)
+        self._send(load.peer, "fetch", body)
         return True
 
-    def _pass_on(self, origin: Origin, body: Fetch) -> bool:
-        # the representative of a region may have nothing itself
-        if body.vm is not None or not self._across(body.zone):
+    def _forward_fetch(self, origin: Origin, body: Fetch) -> bool:
+        # the representative of a region may have no requests itself
+        if body.vm is not None or not self._is_cross_region(body.zone):
             return False
-        views = [v for v in self._exchange.peer_loads if v.region is None]
+        loads = [load for load in self._exchange.peer_loads if load.region is None]
         wanted = body.organisations or []
 
-        def waiting(view: PeerLoad) -> int:
-            names = wanted or list(view.waiting)
-            return sum(view.waiting.get(name, 0) for name in names)
+        def waiting(load: PeerLoad) -> int:
+            names = wanted or list(load.waiting)
+            return sum(load.waiting.get(name, 0) for name in names)
 
-        best = max(views, key=waiting, default=None)
+        best = max(loads, key=waiting, default=None)
         if best is None or not waiting(best):
             return False
         body.vm = origin.vm
         self._send(best.peer, "fetch", body)
         return True
 
-    def _pick(
-        self, organisations: list[str], count: int, borrower: PeerDispatcher, now: float
+    def _select(
+        self,
+        organisations: list[str],
+        count: int,
+        destination: PeerDispatcher,
+        now: float,
     ) -> list[QueuedRequest]:
         if count <= 0:
             return []
-        across = self._across(borrower.zone)
-        found: list[QueuedRequest] = []
+        cross_region = self._is_cross_region(destination.zone)
+        candidates: list[QueuedRequest] = []
         if organisations:
-            for name in organisations[:MAX_COUNT]:
-                found += self._queue.candidates_of(name, now, limit=count)
+            for name in organisations[:MAX_TRANSFER_COUNT]:
+                candidates += self._queue.candidates_of(name, now, limit=count)
         else:
-            found += _in_turns(self._queue.candidates(now))
-        picked: list[QueuedRequest] = []
-        for entry in found:
-            if len(picked) >= count:
+            candidates += _round_robin(self._queue.candidates(now))
+        selected: list[QueuedRequest] = []
+        for entry in candidates:
+            if len(selected) >= count:
                 break
             if entry.fetched_from is not None:
                 continue
-            if across and now - entry.arrived < FAR_WAIT_SECONDS:
+            if cross_region and now - entry.arrived < MIN_CROSS_REGION_WAIT_SECONDS:
                 continue
-            if not across or self._affordable(entry, now):
-                picked.append(entry)
-        return picked
-
-    def _affordable(self, entry: QueuedRequest, now: float) -> bool:
-        """Return whether the region link has room for a body, and take it."""
-        passed = now - self._link_time
-        self._link_time = now
-        self._link_bytes = min(LINK_BYTES, self._link_bytes + passed * LINK_BYTES)
+            if not cross_region or self._consume_link_budget(entry, now):
+                selected.append(entry)
+        return selected
+
+    def _consume_link_budget(self, entry: QueuedRequest, now: float) -> bool:
+        """Consume the size of a body if the budget of the region link allows it."""
+        elapsed = now - self._link_updated_at
+        self._link_updated_at = now
+        self._link_budget_bytes = min(
+            LINK_BYTES_PER_SECOND,
+            self._link_budget_bytes + elapsed * LINK_BYTES_PER_SECOND,
+        )
         size = max(0, entry.registration.body_bytes or 0)
-        patient = now - entry.arrived > PATIENCE_SECONDS
-        if size > self._link_bytes and not (patient and self._link_bytes > 0):
+        waited_long = now - entry.arrived > LARGE_BODY_WAIT_SECONDS
+        if size > self._link_budget_bytes and not (
+            waited_long and self._link_budget_bytes > 0
+        ):
             return False
-        self._link_bytes -= size
+        self._link_budget_bytes -= size
         return True
 
-    def _lend(
+    def _transfer(
         self,
-        picked: list[QueuedRequest],
-        borrower: PeerDispatcher,
+        selected: list[QueuedRequest],
+        destination: PeerDispatcher,
         fetch: int,
         now: float,
     ) -> None:
-        until = now + self._lend_seconds(borrower)
+        expires_at = now + self._transfer_timeout(destination)
         bodies = []
-        for entry in picked:
-            # a lent request still counts in its organisation's backlog
-            self._standings.add_local_waiting(entry.organisation, 1)
+        for entry in selected:
+            # a transferred request still counts as waiting here
+            self._usage.add_local_waiting(entry.organisation, 1)
             self._queue.remove(entry.key)
-            self._lent[entry.key] = _Lent(entry, borrower, now, until)
-            bodies.append(self._body(entry, now))
-        body = FetchAnswer(fetch, bool(picked), bodies, self._shard.zone)
-        self._send(borrower, "fetch_answer", body)
+            self._transferred[entry.key] = _Transferred(
+                entry, destination, now, expires_at
+            )
+            bodies.append(self._make_registration(entry, now))
+        body = FetchAnswer(fetch, bool(selected), bodies, self._shard.zone)
+        self._send(destination, "fetch_answer", body)
 
-    def _body(self, entry: QueuedRequest, now: float) -> Register:
-        key, told = entry.key, entry.registration
+    def _make_registration(self, entry: QueuedRequest, now: float) -> Register:
+        key, registration = entry.key, entry.registration
         return Register(
-            told.request,
-            told.organisation,
-            told.kind,
-            told.cost_hint,
+            registration.request,
+            registration.organisation,
+            registration.kind,
+            registration.cost_hint,
             now - entry.arrived,
             entry.deadline - now,
-            told.body_bytes,
-            told.prefix,
-            told.repeatable,
-            told.excluded,
+            registration.body_bytes,
+            registration.prefix,
+            registration.repeatable,
+            registration.excluded,
             key.vm,
             key.incarnation,
         )
--- a/packages/router/src/teaselledge/process/queue.py
+++ b/packages/router/src/teaselledge/process/queue.py
@@ -63,7 +63,7 @@
         Dispatcher from which it was fetched.
     return_at : float
         Loop time at which a fetched request leaves this queue, because the
-        dispatcher that transferred it queues it again.
+        dispatcher that transferred it requeues it.
     """
 
     key: RequestKey
