--- a/packages/router/src/teaselledge/process/affinity.py
+++ b/packages/router/src/teaselledge/process/affinity.py
@@ -1,4 +1,7 @@
-"""Guess which endpoint holds a prompt's prefix, from late and gappy events."""
+"""Estimate of the prefixes in the caches of the endpoints.
+
+It is derived from events that arrive late and may be lost.
+"""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -6,32 +9,32 @@
 __all__ = ["CacheEvent", "PrefixCaches"]
 
 MAX_PREFIXES = 4096
-"""Prefixes remembered for an endpoint, so that the memory is bounded."""
+"""Maximum number of recorded prefixes of an endpoint, to limit the memory."""
 
-SENT_TRUST = 0.8
-"""Trust in a prefix that this dispatcher sent there itself."""
+SENT_CONFIDENCE = 0.8
+"""Confidence in a prefix of a request that this dispatcher sent there."""
 
-EVENT_TRUST = 1.0
-GAP_FACTOR = 0.5
-"""Factor on the trust in all that was known before events were lost."""
+EVENT_CONFIDENCE = 1.0
+LOST_EVENT_FACTOR = 0.5
+"""Factor on the confidence in all earlier prefixes after events were lost."""
 
-FORGET_TRUST = 0.1
+MIN_CONFIDENCE = 0.1
 
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """What an engine tells of its prefix cache.
+    """A change of the prefix cache of an engine.
 
     Attributes
     ----------
     endpoint : str
         Name of the engine.
     sequence : int
-        Number of the event; a missing number is a lost event.
+        Number of the event; a gap means that events were lost.
     stored, evicted : tuple of int
         Hashes of prefixes.
     cleared : bool
-        The cache was emptied before.
+        Whether the cache was cleared before.
     """
 
     endpoint: str
@@ -44,55 +47,57 @@
 class _Cache:
     def __init__(self) -> None:
         self.sequence = -1
-        self.trust: OrderedDict[int, float] = OrderedDict()
+        self.confidences: OrderedDict[int, float] = OrderedDict()
 
-    def store(self, prefix: int, trust: float) -> None:
-        self.trust[prefix] = max(trust, self.trust.pop(prefix, 0.0))
-        if len(self.trust) > MAX_PREFIXES:
-            self.trust.popitem(last=False)
+    def store(self, prefix: int, confidence: float) -> None:
+        self.confidences[prefix] = max(confidence, self.confidences.pop(prefix, 0.0))
+        if len(self.confidences) > MAX_PREFIXES:
+            self.confidences.popitem(last=False)
 
-    def doubt(self) -> None:
-        # an eviction may be among the lost events; a wrong guess sends a
-        # request to an endpoint that must compute its prefix anew
-        kept = {p: t * GAP_FACTOR for p, t in self.trust.items()}
-        self.trust = OrderedDict((p, t) for p, t in kept.items() if t >= FORGET_TRUST)
+    def reduce_confidences(self) -> None:
+        # An eviction may be among the lost events, and an endpoint without the
+        # prefix must compute it again.
+        reduced = {p: c * LOST_EVENT_FACTOR for p, c in self.confidences.items()}
+        self.confidences = OrderedDict(
+            (p, c) for p, c in reduced.items() if c >= MIN_CONFIDENCE
+        )
 
 
 class PrefixCaches:
-    """What the endpoints of a shard are thought to hold; hints only."""
+    """Estimated cached prefixes of the endpoints of a shard; only a hint."""
 
     def __init__(self) -> None:
         self._caches: dict[str, _Cache] = {}
 
     def observe(self, event: CacheEvent) -> bool:
-        """Take an event; return whether it was in order, or came after a gap."""
+        """Apply an event and return whether it directly followed the previous one."""
         cache = self._caches.setdefault(event.endpoint, _Cache())
         if event.cleared:
-            cache.trust.clear()
+            cache.confidences.clear()
             cache.sequence = event.sequence - 1
         if event.sequence <= cache.sequence:
-            # late or doubled: what it says is older than what is known
+            # late or duplicated
             return False
-        whole = event.sequence == cache.sequence + 1 or cache.sequence < 0
-        if not whole:
-            cache.doubt()
+        in_order = event.sequence == cache.sequence + 1 or cache.sequence < 0
+        if not in_order:
+            cache.reduce_confidences()
         cache.sequence = event.sequence
         for prefix in event.evicted:
-            cache.trust.pop(prefix, None)
+            cache.confidences.pop(prefix, None)
         for prefix in event.stored:
-            cache.store(prefix, EVENT_TRUST)
-        return whole
+            cache.store(prefix, EVENT_CONFIDENCE)
+        return in_order
 
     def record_sent(self, endpoint: str, prefix: int) -> None:
-        """Note that a request with a prefix was sent to an endpoint."""
-        self._caches.setdefault(endpoint, _Cache()).store(prefix, SENT_TRUST)
+        """Record that a request with a prefix was sent to an endpoint."""
+        self._caches.setdefault(endpoint, _Cache()).store(prefix, SENT_CONFIDENCE)
 
     def confidence(self, endpoint: str, prefix: int) -> float:
-        """Return from 0 to 1 how sure it is that an endpoint holds a prefix."""
+        """Return the confidence, from 0 to 1, that an endpoint has cached a prefix."""
         cache = self._caches.get(endpoint)
-        return cache.trust.get(prefix, 0.0) if cache else 0.0
+        return cache.confidences.get(prefix, 0.0) if cache else 0.0
 
     def retain_endpoints(self, endpoints: set[str]) -> None:
-        """Forget endpoints that are gone from the document."""
+        """Remove the state of endpoints that are not in the document."""
         for name in set(self._caches) - endpoints:
             del self._caches[name]
--- a/packages/router/src/teaselledge/process/bound.py
+++ b/packages/router/src/teaselledge/process/bound.py
@@ -1,4 +1,4 @@
-"""Bound of the service gap between two backlogged organisations."""
+"""Upper bound of the usage gap between two backlogged organisations."""
 
 __all__ = ["gap_bound"]
 
@@ -13,41 +13,41 @@
     dispatchers: int,
     fetch_margin: float = 0.0,
 ) -> float:
-    """Return the largest gap in normalised service (cost divided by share).
+    """Return the maximum gap in normalised usage (cost divided by share).
 
-    Four parts add up. What runs was charged by a hint and may cost up to
-    `largest_cost` more or less, in each of `slots` slots, and each of the two
-    organisations may be one request ahead. Every dispatcher may hold back a
-    quantum before a report is due. What is served while a report travels is
-    not seen, neither by its receiver nor, for what the receiver served, by its
-    sender. Work of a needier organisation is fetched from another zone only
-    when its deficit passes the margin.
+    The bound is the sum of four terms. A running request was charged by its
+    hint and may cost up to `largest_cost` more or less, in each of `slots`
+    slots, and each of the two organisations may be one request ahead. Every
+    dispatcher may have a quantum unreported before a report is due. Usage that
+    is counted while a report is in transit is unknown to the receiver, and that
+    of the receiver is unknown to the sender. Requests of an organisation with a
+    deficit are fetched from another zone only when it exceeds the margin.
 
     Parameters
     ----------
     slots : int
-        Slots of the service over the fleet.
+        Number of slots of the service in the fleet.
     largest_cost : float
-        Largest cost of one request, in the service's unit.
+        Maximum cost of one request, in the unit of the service.
     quantum : float
-        Unreported service that makes a report due.
+        Unreported usage that makes a report due.
     report_delay : float
-        Longest time from service to its report's arrival, in seconds.
+        Maximum time from usage to the arrival of its report, in seconds.
     service_rate : float
-        Cost that the whole service completes in a second.
+        Cost that the whole service completes per second.
     share_small : float
         Smaller share of the two organisations.
     dispatchers : int
-        Dispatchers of the service.
+        Number of dispatchers of the service.
     fetch_margin : float
-        Deficit from which work is fetched from another zone.
+        Deficit above which requests are fetched from another zone.
 
     Returns
     -------
     float
         The bound, in cost per share.
     """
-    running = (slots + 2) * largest_cost
-    held_back = dispatchers * quantum
-    travelling = 2 * service_rate * report_delay
-    return (running + held_back + travelling + fetch_margin) / share_small
+    hint_error = (slots + 2) * largest_cost
+    unreported = dispatchers * quantum
+    in_transit = 2 * service_rate * report_delay
+    return (hint_error + unreported + in_transit + fetch_margin) / share_small
--- a/packages/router/src/teaselledge/process/concurrency.py
+++ b/packages/router/src/teaselledge/process/concurrency.py
@@ -1,4 +1,4 @@
-"""Find how many requests an endpoint runs best at once."""
+"""Adaptive limit of the concurrent requests of an endpoint."""
 
 from dataclasses import dataclass
 
@@ -7,19 +7,18 @@
 
 @dataclass(frozen=True)
 class ConcurrencyConfig:
-    """How the limit of an endpoint adapts.
+    """Parameters of the adaptation of the limit.
 
     Attributes
     ----------
     tolerance : float
-        Slower than its best pace by this factor, an endpoint is suspected to
-        be overloaded.
+        Factor on the best pace above which an endpoint may be overloaded.
     samples : int
-        Requests that a trial measures.
+        Number of requests that a trial measures.
     min_throughput_kept : float
-        Part of the throughput that a lower limit must keep.
+        Minimum throughput of a lower limit, relative to the previous one.
     min_throughput_gain : float
-        Part of the throughput that a higher limit must bring.
+        Minimum throughput of a higher limit, relative to the previous one.
     pause_seconds : float
         Time between a failed trial and the next.
     grow_seconds : float
@@ -28,7 +27,7 @@
     ewma_weight : float
         Weight of the latest request in the pace.
     drift : float
-        Part by which the best pace is forgotten with each request.
+        Fraction by which the best pace rises with each request.
     """
 
     tolerance: float = 1.6
@@ -44,7 +43,7 @@
 @dataclass
 class _Trial:
     limit: int
-    skip: int
+    skipped_requests: int
     requests: int = 0
     seconds: float = 0.0
     work: float = 0.0
@@ -55,26 +54,26 @@
 
 
 class ConcurrencyLimit:
-    """The limit of one endpoint, between one and its slots.
+    """The limit of one endpoint, between one and the number of its slots.
 
     An engine whose cache is exhausted gets slower with each further request,
-    so that fewer at once would bring more through. One notices by a pace
-    (seconds for a unit of work) that grows faster than the number running.
-    The limit climbs towards the most throughput: a trial with a lower or
-    higher limit is kept only if the throughput, limit over pace, shows it was
-    right. An endpoint that is merely slow keeps all its slots, since fewer
-    would waste capacity while work waits.
+    so that fewer concurrent requests would increase the throughput. The symptom
+    is a pace (seconds per unit of work) that grows faster than the number of
+    running requests. The limit moves towards the maximum throughput, which is
+    the limit divided by the pace: a trial of a lower or higher limit is kept
+    only if the throughput is sufficient. An endpoint that is merely slow keeps
+    all its slots, since fewer would waste capacity while requests wait.
     """
 
-    def __init__(self, slots: int, limits: ConcurrencyConfig | None = None) -> None:
+    def __init__(self, slots: int, config: ConcurrencyConfig | None = None) -> None:
         self._slots = slots
-        self._limits = limits or ConcurrencyConfig()
+        self._config = config or ConcurrencyConfig()
         self._limit = slots
         self._pace = 0.0
-        self._best = 0.0
+        self._best_pace = 0.0
         self._trial: _Trial | None = None
-        self._next_trial = 0.0
-        self._next_growth = 0.0
+        self._next_trial_at = 0.0
+        self._next_growth_at = 0.0
 
     @property
     def limit(self) -> int:
@@ -83,33 +82,33 @@
 
     @property
     def seconds_per_unit(self) -> float:
-        """Seconds for a unit of work lately; 0 while unknown."""
+        """Recent average of the seconds per unit of work; 0 while unknown."""
         return self._pace
 
     @property
     def stable_limit(self) -> int:
-        """The limit apart from a trial that is under way."""
+        """The limit without regard to a running trial."""
         return self._limit
 
     def resize(self, slots: int) -> None:
-        """Take the slots of a new version of the document."""
+        """Apply the number of slots of a new version of the document."""
         if slots == self._slots:
             return
         self._slots = self._limit = slots
         self._trial = None
 
     def observe(self, running: int, seconds: float, work: float, now: float) -> None:
-        """Note a request that ended well.
+        """Record a successful request.
 
         Parameters
         ----------
         running : int
-            Requests at the endpoint when it ended, itself included.
+            Number of requests at the endpoint when it ended, including it.
         seconds : float
-            How long it took there.
+            Duration on the endpoint.
         work : float
-            What it was worth, in a unit that does not hang on the endpoint's
-            speed, such as tokens.
+            Amount of work in a unit that does not depend on the speed of the
+            endpoint, such as tokens.
         """
         if seconds <= 0 or work <= 0:
             return
@@ -117,56 +116,56 @@
             self._observe_trial(self._trial, seconds, work, now)
             return
         if running < self._limit:
-            # with fewer running than allowed, the pace says nothing of the limit
+            # below the limit the pace does not depend on the limit
             return
-        self._learn(seconds / work)
-        if now < self._next_trial:
+        self._update_pace(seconds / work)
+        if now < self._next_trial_at:
             return
-        slow = self._pace > self._limits.tolerance * self._best
-        if slow and self._limit > 1:
-            # one slot less at a time: a trial on an endpoint that is merely
-            # slow takes long, and what it holds back idles meanwhile
-            self._try(self._limit - 1)
-        elif self._limit < self._slots and now >= self._next_growth:
-            self._try(self._limit + 1)
-
-    def _learn(self, pace: float) -> None:
+        is_slow = self._pace > self._config.tolerance * self._best_pace
+        if is_slow and self._limit > 1:
+            # One slot less at a time: a trial on an endpoint that is merely slow
+            # takes long, and the slots that it withholds are idle meanwhile.
+            self._start_trial(self._limit - 1)
+        elif self._limit < self._slots and now >= self._next_growth_at:
+            self._start_trial(self._limit + 1)
+
+    def _update_pace(self, pace: float) -> None:
         if not self._pace:
-            self._pace = self._best = pace
+            self._pace = self._best_pace = pace
             return
-        self._pace += self._limits.ewma_weight * (pace - self._pace)
-        self._best = min(self._best * (1 + self._limits.drift), self._pace)
+        self._pace += self._config.ewma_weight * (pace - self._pace)
+        self._best_pace = min(self._best_pace * (1 + self._config.drift), self._pace)
 
-    def _try(self, limit: int) -> None:
-        # those that began under the old limit say nothing of the new one
-        self._trial = _Trial(limit, skip=max(self._limit, limit))
+    def _start_trial(self, limit: int) -> None:
+        # requests that started under the old limit are not measured
+        self._trial = _Trial(limit, skipped_requests=max(self._limit, limit))
 
     def _observe_trial(
         self, trial: _Trial, seconds: float, work: float, now: float
     ) -> None:
-        if trial.skip > 0:
-            trial.skip -= 1
+        if trial.skipped_requests > 0:
+            trial.skipped_requests -= 1
             return
         trial.requests += 1
         trial.seconds += seconds
         trial.work += work
-        if trial.requests < self._limits.samples:
+        if trial.requests < self._config.samples:
             return
         self._trial = None
-        before = self._limit / self._pace
-        after = trial.limit / trial.pace
-        lower = trial.limit < self._limit
-        needed = (
-            self._limits.min_throughput_kept
-            if lower
-            else self._limits.min_throughput_gain
+        throughput = self._limit / self._pace
+        trial_throughput = trial.limit / trial.pace
+        is_lower = trial.limit < self._limit
+        required_fraction = (
+            self._config.min_throughput_kept
+            if is_lower
+            else self._config.min_throughput_gain
         )
-        kept = after >= needed * before
-        if lower or not kept:
-            self._next_growth = now + self._limits.grow_seconds
-        if kept:
+        successful = trial_throughput >= required_fraction * throughput
+        if is_lower or not successful:
+            self._next_growth_at = now + self._config.grow_seconds
+        if successful:
             self._limit = trial.limit
             self._pace = trial.pace
             return
-        if lower:
-            self._next_trial = now + self._limits.pause_seconds
+        if is_lower:
+            self._next_trial_at = now + self._config.pause_seconds
--- a/packages/router/src/teaselledge/process/due.py
+++ b/packages/router/src/teaselledge/process/due.py
@@ -1,11 +1,11 @@
-"""Comparison of loop times for work that a periodic task does."""
+"""Comparison of loop times for the work of periodic tasks."""
 
 __all__ = ["is_due"]
 
 SLACK_SECONDS = 0.005
-"""A tick that comes this much early still does the work, not the next one."""
+"""Time by which a tick may be early and still do the work that is due."""
 
 
 def is_due(now: float, at: float) -> bool:
-    """Return whether something planned for a loop time should be done now."""
+    """Return whether work that is scheduled for a loop time is due."""
     return now >= at - SLACK_SECONDS
--- a/packages/router/src/teaselledge/process/latency.py
+++ b/packages/router/src/teaselledge/process/latency.py
@@ -1,4 +1,4 @@
-"""Ways to keep interactive requests fast beside long ones."""
+"""Policies that keep the latency of interactive requests low."""
 
 from enum import Enum
 from typing import Protocol
@@ -11,18 +11,18 @@
     "get_latency_policy_by_name",
 ]
 
-RESERVE_PART = 8
-"""One slot in so many is kept for interactive requests."""
+SLOTS_PER_RESERVED_SLOT = 8
+"""Slots for each slot that is reserved for interactive requests."""
 
-BURST_PART = 2
-"""One slot in so many is added for interactive requests."""
+SLOTS_PER_BURST_REQUEST = 2
+"""Slots for each interactive request that may run above the slots."""
 
-PREEMPT_PART = 8
-"""One stream in so many may be asked to end at a time."""
+SLOTS_PER_PREEMPTION = 8
+"""Slots for each stream that may be preempted at a time."""
 
 
 class Admission(Enum):
-    """What may start now."""
+    """Kinds of requests that may start now."""
 
     ANY = "any"
     """Any request."""
@@ -34,17 +34,17 @@
     """Interactive requests above the nominal slots."""
 
     PREEMPT = "preempt"
-    """Nothing; an interactive request may end a long stream."""
+    """Nothing; a long stream may be preempted for an interactive request."""
 
     NONE = "none"
     """Nothing."""
 
 
 class LatencyPolicy(Protocol):
-    """Decides what may start."""
+    """Decides which requests may start."""
 
     def admission(self, free: int, slots: int, over_limit: int) -> Admission:
-        """Return what may start.
+        """Return which requests may start.
 
         Parameters
         ----------
@@ -53,8 +53,8 @@
         slots : int
             Slots of the shard.
         over_limit : int
-            Requests that were started above the slots, or streams that were
-            asked to end and did not yet.
+            Number of requests above the slots and of preempted streams that
+            have not ended yet.
         """
 
 
@@ -62,54 +62,56 @@
     """There is no latency policy of that name."""
 
 
-def _part(slots: int, part: int) -> int:
-    return max(1, slots // part)
+def _quota(slots: int, slots_per_request: int) -> int:
+    return max(1, slots // slots_per_request)
 
 
 class PlainPolicy:
-    """Interactive requests are first in line and have no slots of their own."""
+    """Reserves no slots; interactive requests only go first in the queue."""
 
     def admission(self, free: int, slots: int, over_limit: int) -> Admission:
-        """Return what may start."""
+        """Return which requests may start."""
         return Admission.ANY if free > 0 else Admission.NONE
 
 
 class ReservePolicy:
-    """Keeps some slots for interactive requests; they idle without any."""
+    """Reserves slots for interactive requests; without any they are idle."""
 
     def admission(self, free: int, slots: int, over_limit: int) -> Admission:
-        """Return what may start."""
+        """Return which requests may start."""
         if free <= 0:
             return Admission.NONE
         return (
             Admission.ANY
-            if free > _part(slots, RESERVE_PART)
+            if free > _quota(slots, SLOTS_PER_RESERVED_SLOT)
             else Admission.INTERACTIVE
         )
 
 
 class BurstPolicy:
-    """Starts interactive requests above the slots; the batch slows a little."""
+    """Starts interactive requests above the slots, which slows the batch slightly."""
 
     def admission(self, free: int, slots: int, over_limit: int) -> Admission:
-        """Return what may start."""
+        """Return which requests may start."""
         if free > 0:
             return Admission.ANY
         return (
-            Admission.ABOVE if over_limit < _part(slots, BURST_PART) else Admission.NONE
+            Admission.ABOVE
+            if over_limit < _quota(slots, SLOTS_PER_BURST_REQUEST)
+            else Admission.NONE
         )
 
 
 class PreemptPolicy:
-    """Ends a long stream, which is resumed later, for an interactive request."""
+    """Preempts a long stream, which is resumed later, for an interactive request."""
 
     def admission(self, free: int, slots: int, over_limit: int) -> Admission:
-        """Return what may start."""
+        """Return which requests may start."""
         if free > 0:
             return Admission.ANY
         return (
             Admission.PREEMPT
-            if over_limit < _part(slots, PREEMPT_PART)
+            if over_limit < _quota(slots, SLOTS_PER_PREEMPTION)
             else Admission.NONE
         )
 
--- a/packages/router/src/teaselledge/process/loadreport.py
+++ b/packages/router/src/teaselledge/process/loadreport.py
@@ -1,26 +1,26 @@
-"""Load reports of endpoints, which lag behind."""
+"""Load reports of endpoints, which arrive with a lag."""
 
 from collections import deque
 from dataclasses import dataclass
 
 __all__ = ["LoadReport", "ExternalLoad"]
 
-LAG_SECONDS = 3.0
-"""Longest lag of a report that is reckoned with."""
+MAX_REPORT_LAG_SECONDS = 3.0
+"""Maximum lag of a report behind the state of the endpoint."""
 
-STALE_SECONDS = 10.0
+REPORT_TTL_SECONDS = 10.0
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What an endpoint tells of its load.
+    """Load that an endpoint reports.
 
     Attributes
     ----------
     endpoint : str
-        Its name.
+        Name of the endpoint.
     running, queued : int
-        Requests in its batch, and those that wait for it.
+        Number of requests in its batch, and of those that wait for it.
     """
 
     endpoint: str
@@ -31,39 +31,39 @@
 class ExternalLoad:
     """Requests at one endpoint that this dispatcher did not grant.
 
-    A second dispatcher of the shard, during a split, or an ingress that
-    reaches no dispatcher sends requests there too; one notices by answers
-    slower than the own count explains. A report shows an earlier moment, so
-    the own requests must not be taken for others': it is compared with the
-    most that ran here within the lag.
+    They come from a second dispatcher of the shard during a network partition,
+    or from an ingress that reaches no dispatcher; the symptom is responses
+    slower than the own requests explain. A report shows an earlier state. So
+    that own requests do not count as external, it is compared with the maximum
+    of the own requests within the lag.
     """
 
     def __init__(self) -> None:
-        self._own: deque[tuple[float, int]] = deque()
-        self._others = 0
-        self._heard = -STALE_SECONDS
+        self._own_counts: deque[tuple[float, int]] = deque()
+        self._external = 0
+        self._reported_at = -REPORT_TTL_SECONDS
 
     def record_own(self, used: int, now: float) -> None:
-        """Note the own count after it changed."""
-        own = self._own
-        while own and own[-1][1] <= used:
-            own.pop()
-        own.append((now, used))
+        """Record the number of own requests after a change."""
+        own_counts = self._own_counts
+        while own_counts and own_counts[-1][1] <= used:
+            own_counts.pop()
+        own_counts.append((now, used))
         self._trim(now)
 
     def observe(self, report: LoadReport, now: float) -> None:
-        """Take a report."""
+        """Apply a report."""
         self._trim(now)
-        most = self._own[0][1] if self._own else 0
-        self._others = max(0, report.running + report.queued - most)
-        self._heard = now
+        max_own = self._own_counts[0][1] if self._own_counts else 0
+        self._external = max(0, report.running + report.queued - max_own)
+        self._reported_at = now
 
     def external_requests(self, now: float) -> int:
-        """Return how many requests others have there."""
-        return self._others if now - self._heard < STALE_SECONDS else 0
+        """Return the number of requests that others have there."""
+        return self._external if now - self._reported_at < REPORT_TTL_SECONDS else 0
 
     def _trim(self, now: float) -> None:
-        # keep the last count that held at the start of the window
-        own = self._own
-        while len(own) > 1 and own[1][0] <= now - LAG_SECONDS:
-            own.popleft()
+        # keep the count that was valid at the start of the window
+        own_counts = self._own_counts
+        while len(own_counts) > 1 and own_counts[1][0] <= now - MAX_REPORT_LAG_SECONDS:
+            own_counts.popleft()
--- a/packages/router/src/teaselledge/process/pool.py
+++ b/packages/router/src/teaselledge/process/pool.py
@@ -1,4 +1,4 @@
-"""The slots of a shard's endpoints."""
+"""Selection among the endpoints of a shard by their free slots."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,14 +19,14 @@
 
 _log = get_log("endpoints")
 
-AFFINITY = 0.5
-"""Part of an endpoint's slots that a cached prefix is worth."""
+CACHED_PREFIX_SCORE = 0.5
+"""Score of a cached prefix, in fractions of the slots of an endpoint."""
 
-SLOWEST = 0.25
-"""Least weight of a slow endpoint beside the fastest."""
+MIN_SPEED_WEIGHT = 0.25
+"""Minimum factor on the score of an endpoint that is slower than the fastest."""
 
 BLOCKED_TTL_SECONDS = 30.0
-"""Time after which a hint that is not repeated is forgotten."""
+"""Time after which a block that is not repeated expires."""
 
 
 def _loop_time() -> float:
@@ -34,21 +34,21 @@
 
 
 @dataclass
-class _Slots:
-    """What is known of one endpoint beyond its entry in the document."""
+class _EndpointState:
+    """An endpoint's entry in the document with its measured state."""
 
     entry: Endpoint
     concurrency: ConcurrencyLimit
-    reported: ExternalLoad = field(default_factory=ExternalLoad)
+    external_load: ExternalLoad = field(default_factory=ExternalLoad)
 
 
 class EndpointPool:
-    """Counts what runs on each endpoint of a shard and chooses among them.
+    """Counts the requests on each endpoint of a shard and selects endpoints.
 
     Parameters
     ----------
     clock : callable or None
-        Gives the time in seconds; the event loop's by default.
+        Returns the time in seconds; the clock of the event loop by default.
     """
 
     def __init__(
@@ -59,66 +59,70 @@
     ) -> None:
         self._shard = shard
         self._clock = clock or _loop_time
-        self._used: dict[str, int] = {}
-        self._slots: dict[str, _Slots] = {}
-        self._leaving: dict[str, float] = {}
+        self._running: dict[str, int] = {}
+        self._endpoints: dict[str, _EndpointState] = {}
+        self._blocked_since: dict[str, float] = {}
         self._health = OutlierDetector()
         self._prefixes = PrefixCaches()
-        self._service_names: frozenset[str] = frozenset()
-        self._others_sick: dict[str, bool] = {}
-        self._zones: frozenset[str] = frozenset()
+        self._service_endpoints: frozenset[str] = frozenset()
+        self._ejected_zones: dict[str, bool] = {}
+        self._other_zones: frozenset[str] = frozenset()
         self.apply_document(document)
 
     @property
     def free_slots(self) -> int:
-        """Slots that are free now, over all endpoints."""
+        """Number of free slots of all endpoints."""
         now = self._clock()
-        return sum(max(0, self._room(name, now)) for name in self._usable(now))
+        return sum(max(0, self._free_slots_of(name, now)) for name in self._usable(now))
 
     @property
     def slots(self) -> int:
-        """Slots of all endpoints, free or not."""
-        return sum(known.entry.slots for known in self._slots.values())
+        """Number of slots of all endpoints."""
+        return sum(state.entry.slots for state in self._endpoints.values())
 
     @property
     def all_ejected(self) -> bool:
         """Whether every endpoint of the shard is ejected."""
-        if self._health.all_healthy or not self._slots:
+        if self._health.all_healthy or not self._endpoints:
             return False
         now = self._clock()
-        return all(self._health.slot_fraction(name, now) <= 0 for name in self._slots)
+        return all(
+            self._health.slot_fraction(name, now) <= 0 for name in self._endpoints
+        )
 
     def apply_document(self, document: Document) -> None:
-        """Take a new version of the document."""
-        staying = {
+        """Apply a new version of the document."""
+        active = {
             name: endpoint
             for name, endpoint in document.services[
                 self._shard.service
             ].endpoints.items()
             if not endpoint.leaving
         }
-        self._service_names = frozenset(staying)
-        self._zones = frozenset(e.zone for e in staying.values()) - {self._shard.zone}
-        kept, self._slots = self._slots, {}
-        for name, endpoint in staying.items():
+        self._service_endpoints = frozenset(active)
+        self._other_zones = frozenset(e.zone for e in active.values()) - {
+            self._shard.zone
+        }
+        previous, self._endpoints = self._endpoints, {}
+        for name, endpoint in active.items():
             if endpoint.zone != self._shard.zone:
                 continue
-            known = kept.get(name)
-            if known is None or known.entry.address != endpoint.address:
-                # another process at the same name starts with a clean record
-                known = _Slots(endpoint, ConcurrencyLimit(endpoint.slots))
-            known.entry = endpoint
-            known.concurrency.resize(endpoint.slots)
-            self._slots[name] = known
-        self._health.retain_endpoints(self._slots)
-        self._prefixes.retain_endpoints(set(self._slots))
+            state = previous.get(name)
+            if state is None or state.entry.address != endpoint.address:
+                # another process under the same name starts with a new state
+                state = _EndpointState(endpoint, ConcurrencyLimit(endpoint.slots))
+            state.entry = endpoint
+            state.concurrency.resize(endpoint.slots)
+            self._endpoints[name] = state
+        self._health.retain_endpoints(self._endpoints)
+        self._prefixes.retain_endpoints(set(self._endpoints))
 
     def choose(self, entry: Register) -> str | None:
-        """Return the endpoint that should run a request, None where none may."""
+        """Return the endpoint that should run a request, or None if none has room."""
         excluded = set(entry.excluded)
-        if self._service_names <= excluded:
-            # it failed everywhere; to wait for yet another endpoint would hold
-            # the caller until its deadline
+        if self._service_endpoints <= excluded:
+            # The request failed on all endpoints. To wait for another one would
+            # keep the caller waiting until its deadline.
             excluded = set()
         best, best_score = None, 0.0
         now = self._clock()
@@ -126,19 +130,19 @@
         for name in self._usable(now):
             if name in excluded:
                 continue
-            room = self._room(name, now)
-            if room <= 0:
+            free_slots = self._free_slots_of(name, now)
+            if free_slots <= 0:
                 continue
-            score = self._score(name, room, fastest, entry.prefix)
+            score = self._score(name, free_slots, fastest, entry.prefix)
             if best is None or score > best_score:
                 best, best_score = name, score
         return best
 
     def choose_over_limit(self, entry: Register) -> str | None:
-        """Return the endpoint for a request above the slots, None if none may.
+        """Return the endpoint for a request above the slots, or None.
 
-        A full endpoint may be ejected or leaving as well as one with room; it
-        still runs what it began before.
+        Ejected and blocked endpoints are excluded. A full endpoint may be
+        either, since it still runs the requests that it started before.
         """
         now = self._clock()
         excluded = set(entry.excluded)
@@ -151,102 +155,112 @@
         return min(names, key=self._load, default=None)
 
     def acquire(self, endpoint: str, prefix: int | None = None) -> None:
-        """Note a request that starts."""
-        used = self._used[endpoint] = self._used.get(endpoint, 0) + 1
-        known = self._slots.get(endpoint)
-        if known is not None:
-            known.reported.record_own(used, self._clock())
-        if prefix is not None and known is not None:
+        """Record the start of a request."""
+        running = self._running[endpoint] = self._running.get(endpoint, 0) + 1
+        state = self._endpoints.get(endpoint)
+        if state is not None:
+            state.external_load.record_own(running, self._clock())
+        if prefix is not None and state is not None:
             self._prefixes.record_sent(endpoint, prefix)
 
     def release(
         self, endpoint: str, failed: bool, seconds: float, cost: float = 0.0
     ) -> None:
-        """Note a request that ended.
+        """Record the end of a request.
 
         Parameters
         ----------
         failed : bool
-            Whether the endpoint was at fault.
+            Whether the request failed because of the endpoint.
         seconds : float
-            How long it ran there; 0 where unknown.
+            Duration on the endpoint; 0 if unknown.
         cost : float
-            What it cost; 0 where unknown, or where cost is time.
+            Cost of the request; 0 if unknown, or if the cost is a time.
         """
-        running = self._used.get(endpoint, 0)
-        self._used[endpoint] = max(0, running - 1)
-        known = self._slots.get(endpoint)
-        if known is None:
+        running = self._running.get(endpoint, 0)
+        self._running[endpoint] = max(0, running - 1)
+        state = self._endpoints.get(endpoint)
+        if state is None:
             return
         now = self._clock()
-        known.reported.record_own(self._used[endpoint], now)
+        state.external_load.record_own(self._running[endpoint], now)
         if not failed:
-            known.concurrency.observe(running, seconds, cost, now)
+            state.concurrency.observe(running, seconds, cost, now)
         if self._health.record_result(endpoint, failed, now):
             _log.warning(f"Endpoint {endpoint} fails and is ejected.")
 
     def set_blocked(self, endpoint: str, blocked: bool) -> None:
-        """Take a hint that an endpoint is leaving, or that it is not."""
+        """Block an endpoint that is leaving, or unblock it."""
         if not blocked:
-            self._leaving.pop(endpoint, None)
-        elif endpoint in self._slots:
-            self._leaving[endpoint] = self._clock()
+            self._blocked_since.pop(endpoint, None)
+        elif endpoint in self._endpoints:
+            self._blocked_since[endpoint] = self._clock()
 
     def observe_cache(self, event: CacheEvent) -> None:
-        """Take an event of an engine's prefix cache."""
-        if event.endpoint in self._slots:
+        """Apply an event of an engine's prefix cache."""
+        if event.endpoint in self._endpoints:
             self._prefixes.observe(event)
 
     def observe_load(self, report: LoadReport) -> None:
-        """Take a load report of an endpoint."""
-        known = self._slots.get(report.endpoint)
-        if known is not None and report.running >= 0 and report.queued >= 0:
-            known.reported.observe(report, self._clock())
+        """Apply a load report of an endpoint."""
+        state = self._endpoints.get(report.endpoint)
+        if state is not None and report.running >= 0 and report.queued >= 0:
+            state.external_load.observe(report, self._clock())
 
     def set_zone_ejected(self, zone: str, ejected: bool) -> None:
-        """Learn whether every endpoint of another zone is ejected there."""
-        self._others_sick[zone] = ejected
+        """Set whether all endpoints of another zone are ejected."""
+        self._ejected_zones[zone] = ejected
 
     def _usable(self, now: float) -> list[str]:
-        if not self._leaving:
-            return list(self._slots)
-        for name, told in list(self._leaving.items()):
-            if now - told > BLOCKED_TTL_SECONDS:
-                del self._leaving[name]
-        return [name for name in self._slots if name not in self._leaving]
-
-    def _room(self, name: str, now: float) -> int:
-        known = self._slots[name]
-        limit = known.concurrency.limit
+        if not self._blocked_since:
+            return list(self._endpoints)
+        for name, blocked_since in list(self._blocked_since.items()):
+            if now - blocked_since > BLOCKED_TTL_SECONDS:
+                del self._blocked_since[name]
+        return [name for name in self._endpoints if name not in self._blocked_since]
+
+    def _free_slots_of(self, name: str, now: float) -> int:
+        state = self._endpoints[name]
+        limit = state.concurrency.limit
         if not self._health.all_healthy:
             limit = min(limit, self._healthy_slots(name, now))
-        return limit - self._used.get(name, 0) - known.reported.external_requests(now)
+        return (
+            limit
+            - self._running.get(name, 0)
+            - state.external_load.external_requests(now)
+        )
 
     def _healthy_slots(self, name: str, now: float) -> int:
-        slots = self._slots[name].entry.slots
-        part = self._health.slot_fraction(name, now)
-        if part > 0 or not self.all_ejected:
-            return ceil(slots * part)
-        # the whole shard is ejected: with nothing better in another zone its
-        # endpoints are used as ever, else one request at a time tries them
-        return 1 if self._others_serve() else slots
-
-    def _others_serve(self) -> bool:
-        return any(not self._others_sick.get(zone, False) for zone in self._zones)
+        slots = self._endpoints[name].entry.slots
+        slot_fraction = self._health.slot_fraction(name, now)
+        if slot_fraction > 0 or not self.all_ejected:
+            return ceil(slots * slot_fraction)
+        # The whole shard is ejected. If no other zone serves, its endpoints keep
+        # all their slots; otherwise each gets one request at a time as a probe.
+        return 1 if self._other_zone_serves() else slots
+
+    def _other_zone_serves(self) -> bool:
+        return any(
+            not self._ejected_zones.get(zone, False) for zone in self._other_zones
+        )
 
     def _load(self, name: str) -> float:
-        return self._used.get(name, 0) / self._slots[name].entry.slots
+        return self._running.get(name, 0) / self._endpoints[name].entry.slots
 
     def _fastest(self) -> float:
-        paces = [known.concurrency.seconds_per_unit for known in self._slots.values()]
-        return min(filter(None, paces), default=0.0)
-
-    def _score(self, name: str, room: int, fastest: float, prefix: int | None) -> float:
-        known = self._slots[name]
-        score = room / known.entry.slots
-        pace = known.concurrency.seconds_per_unit
-        if fastest > 0 and pace > 0:
-            score *= max(SLOWEST, fastest / pace)
+        seconds_per_unit = [
+            state.concurrency.seconds_per_unit for state in self._endpoints.values()
+        ]
+        return min(filter(None, seconds_per_unit), default=0.0)
+
+    def _score(
+        self, name: str, free_slots: int, fastest: float, prefix: int | None
+    ) -> float:
+        state = self._endpoints[name]
+        score = free_slots / state.entry.slots
+        seconds_per_unit = state.concurrency.seconds_per_unit
+        if fastest > 0 and seconds_per_unit > 0:
+            score *= max(MIN_SPEED_WEIGHT, fastest / seconds_per_unit)
         if prefix is not None:
-            score += AFFINITY * self._prefixes.confidence(name, prefix)
+            score += CACHED_PREFIX_SCORE * self._prefixes.confidence(name, prefix)
         return score
--- a/packages/router/src/teaselledge/process/retrybudget.py
+++ b/packages/router/src/teaselledge/process/retrybudget.py
@@ -1,4 +1,4 @@
-"""A budget that keeps retries a small part of all attempts."""
+"""A budget that limits retries to a small fraction of all attempts."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,17 +8,16 @@
 
 @dataclass(frozen=True)
 class RetryLimits:
-    """How many retries a router may make.
+    """Limits of the retries of a router.
 
     Attributes
     ----------
     ratio : float
-        Retries for each first attempt.
+        Number of retries for each first attempt.
     per_second : float
-        Retries a second that are allowed besides, so that a quiet service can
-        retry at all.
+        Additional retries per second, for services with few requests.
     max_balance : float
-        Retries that can be saved up.
+        Maximum number of unused retries that accumulate.
     """
 
     ratio: float = 0.1
@@ -27,18 +26,18 @@
 
 
 class RetryBudget:
-    """Counts attempts and allows a share of them to be repeated.
+    """Counts first attempts and allows a fraction of them as retries.
 
-    When a whole service fails, each request would be tried several times, and
-    the retries would keep it down after it has come back. One notices by
-    endpoints that see several times the callers' rate. With the budget they
-    see at most ``1 + ratio`` times it.
+    If a whole service fails, each request would be tried several times, and the
+    retries would overload the service when it recovers. The symptom is endpoints
+    that receive several times the callers' request rate. With the budget they
+    receive at most ``1 + ratio`` times that rate.
     """
 
     def __init__(self, limits: RetryLimits) -> None:
         self._limits = limits
-        self._saved = limits.max_balance
-        self._filled: float | None = None
+        self._balance = limits.max_balance
+        self._refilled_at: float | None = None
 
     @classmethod
     def from_config(cls, limits: RetryLimits | None = None) -> "RetryBudget":
@@ -47,27 +46,27 @@
 
     @property
     def balance(self) -> float:
-        """Retries that are allowed now."""
-        self._fill()
-        return self._saved
+        """Number of retries that are allowed now."""
+        self._refill()
+        return self._balance
 
     def deposit(self) -> None:
-        """Note a first attempt."""
-        self._add(self._limits.ratio)
+        """Record a first attempt."""
+        self._credit(self._limits.ratio)
 
     def try_withdraw(self) -> bool:
-        """Take one retry; False where none is left, and the fault is final."""
-        self._fill()
-        if self._saved < 1:
+        """Consume a retry; return False if none is left and the fault is final."""
+        self._refill()
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = asyncio.get_running_loop().time()
-        if self._filled is not None:
-            self._add((now - self._filled) * self._limits.per_second)
-        self._filled = now
+        if self._refilled_at is not None:
+            self._credit((now - self._refilled_at) * self._limits.per_second)
+        self._refilled_at = now
 
-    def _add(self, amount: float) -> None:
-        self._saved = min(self._limits.max_balance, self._saved + amount)
+    def _credit(self, amount: float) -> None:
+        self._balance = min(self._limits.max_balance, self._balance + amount)
--- a/packages/router/tests/test_concurrency.py
+++ b/packages/router/tests/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Tests of the limit of concurrent requests, against a model of an engine."""
+"""Tests of the limit of concurrent requests with a simulated engine."""
 
 import heapq
 
@@ -8,14 +8,14 @@
 REQUESTS = 3000
 
 
-def drive(limit, pace_of, requests=REQUESTS, now=0.0):
-    """Keep an engine full; return the limits and when the last request ended."""
+def run_engine(limit, get_pace, requests=REQUESTS, now=0.0):
+    """Keep an engine at its limit; return all limits and the time of the end."""
     heap, running, limits = [], 0, []
     for n in range(requests):
         while running < limit.limit:
             running += 1
             work = 50 + 37 * (len(heap) + n) % 100
-            seconds = work * pace_of(running, now)
+            seconds = work * get_pace(running, now)
             heapq.heappush(heap, (now + seconds, running, seconds, work))
         now, _, seconds, work = heapq.heappop(heap)
         limit.observe(running, seconds, work, now)
@@ -29,49 +29,49 @@
 
 
 def thrashing(running, now):
-    """An engine whose cache has room for six requests."""
-    over = max(1.0, running / 6)
-    return healthy(running, now) * over**2.5
+    """Return the pace of an engine whose cache has room for six requests."""
+    overload = max(1.0, running / 6)
+    return healthy(running, now) * overload**2.5
 
 
-def test_a_healthy_engine_keeps_its_slots():
-    limits, _ = drive(ConcurrencyLimit(SLOTS), healthy)
+def test_healthy_engine_keeps_its_slots():
+    limits, _ = run_engine(ConcurrencyLimit(SLOTS), healthy)
     assert min(limits) == SLOTS
 
 
-def test_an_overloaded_engine_gets_fewer_requests():
-    """An engine's cache is exhausted, and each request more slows all of them.
+def test_overloaded_engine_gets_fewer_requests():
+    """The cache of an engine is exhausted, and each further request slows all.
 
-    Callers see answers many times slower, although fewer at once would bring
-    more through.
+    Responses are many times slower, although fewer concurrent requests would
+    give a higher throughput.
     """
     limit = ConcurrencyLimit(SLOTS)
-    _, now = drive(limit, healthy, 200)
-    limits, _ = drive(limit, thrashing, now=now)
+    _, now = run_engine(limit, healthy, 200)
+    limits, _ = run_engine(limit, thrashing, now=now)
     assert 4 <= limits[-1] <= 9
 
 
-def test_an_engine_that_recovers_gets_its_slots_back():
+def test_recovered_engine_regains_its_slots():
     limit = ConcurrencyLimit(SLOTS)
-    _, now = drive(limit, healthy, 200)
-    _, now = drive(limit, thrashing, now=now)
-    limits, _ = drive(limit, healthy, now=now)
+    _, now = run_engine(limit, healthy, 200)
+    _, now = run_engine(limit, thrashing, now=now)
+    limits, _ = run_engine(limit, healthy, now=now)
     assert limits[-1] == SLOTS
 
 
-def test_a_slow_engine_keeps_its_slots():
+def test_slow_engine_keeps_its_slots():
     """An engine is four times slower at any load.
 
-    With fewer requests at once it would be no faster, and its slots would
-    stand idle while work waits.
+    Fewer concurrent requests would not make it faster, and slots would be idle
+    while requests wait.
     """
     limit = ConcurrencyLimit(SLOTS)
-    _, now = drive(limit, healthy, 200)
-    limits, _ = drive(limit, lambda n, t: 4 * healthy(n, t), now=now)
+    _, now = run_engine(limit, healthy, 200)
+    limits, _ = run_engine(limit, lambda n, t: 4 * healthy(n, t), now=now)
     assert limits[-1] == SLOTS
 
 
-def test_unknown_times_teach_nothing():
+def test_requests_of_unknown_duration_or_work_are_ignored():
     limit = ConcurrencyLimit(SLOTS)
     limit.observe(SLOTS, 0.0, 10.0, 1.0)
     limit.observe(SLOTS, 1.0, 0.0, 1.0)
--- a/packages/router/tests/test_dispatcher.py
+++ b/packages/router/tests/test_dispatcher.py
@@ -12,7 +12,7 @@
     INGRESS_TIMEOUT_SECONDS,
     Dispatcher,
 )
-from teaselledge.process.estimate import LARGEST_COST_RATIO, clamp_cost
+from teaselledge.process.estimate import MAX_COST_RATIO, clamp_cost
 from teaselledge.process.holding import digest_of_requests
 from teaselledge.process.latency import LATENCY_POLICIES, get_latency_policy_by_name
 from teaselledge.process.member import Member
@@ -211,7 +211,7 @@
         (-5.0, 400),
         (math.inf, 400),
         (None, 400),
-        (1e300, 400 * LARGEST_COST_RATIO),
+        (1e300, 400 * MAX_COST_RATIO),
     ):
         dispatcher, mesh = make(slots=1)
         dispatcher.handle_register(INGRESS, register(1))
@@ -224,8 +224,8 @@
 
 @given(st.floats(), st.floats(0, 1e6), st.floats(0.001, 1e4))
 def test_clamped_cost_is_in_range(cost, charged, hint):
-    bounded = clamp_cost(cost, charged, hint)
-    assert bounded == charged or 0 <= bounded <= LARGEST_COST_RATIO * hint
+    clamped = clamp_cost(cost, charged, hint)
+    assert clamped == charged or 0 <= clamped <= MAX_COST_RATIO * hint
 
 
 async def test_malformed_registration_is_refused():
--- a/packages/router/tests/test_health.py
+++ b/packages/router/tests/test_health.py
@@ -11,7 +11,7 @@
     return health.slot_fraction("e", now) <= 0
 
 
-def test_failures_in_a_row_eject():
+def test_consecutive_failures_eject():
     assert ejected(OutlierDetector())
 
 
@@ -21,17 +21,17 @@
     assert health.slot_fraction("e", 0.0) == 1.0
 
 
-def test_half_failing_ejects_without_a_row():
+def test_failure_rate_ejects_without_consecutive_failures():
     health = OutlierDetector()
-    noted = [health.record_result("e", n % 5 != 0, 0.0) for n in range(60)]
-    assert any(noted)
+    results = [health.record_result("e", n % 5 != 0, 0.0) for n in range(60)]
+    assert any(results)
 
 
-def test_return_is_slow():
-    """An endpoint fails for a while and is back.
+def test_endpoint_regains_its_slots_slowly():
+    """The ejection of an endpoint ends.
 
-    If it took all its slots at once while it is still broken, as many callers
-    would see errors again.
+    If it regained all its slots at once while it is still faulty, as many
+    callers would get errors.
     """
     health = OutlierDetector()
     assert ejected(health)
@@ -41,7 +41,7 @@
     assert health.slot_fraction("e", back + LIMITS.slow_start_seconds) == 1.0
 
 
-def test_each_ejection_is_longer():
+def test_ejections_become_longer():
     health = OutlierDetector()
     now, lengths = 0.0, []
     for _ in range(8):
@@ -55,8 +55,8 @@
     assert max(lengths) == LIMITS.max_ejection_seconds
 
 
-def test_late_outcomes_do_not_eject_again():
-    """Requests that began before an ejection fail during it."""
+def test_late_results_do_not_eject_again():
+    """Requests that started before an ejection fail during it."""
     health = OutlierDetector()
     assert ejected(health)
     for _ in range(20):
@@ -69,7 +69,7 @@
     )
 
 
-def test_a_healed_endpoint_is_forgotten():
+def test_state_of_a_recovered_endpoint_is_removed():
     health = OutlierDetector()
     assert ejected(health)
     for _ in range(100):
--- a/packages/router/tests/test_pool.py
+++ b/packages/router/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of the choice among a shard's endpoints."""
+"""Tests of the selection among the endpoints of a shard."""
 
 from teaselledge.process.affinity import CacheEvent
 from teaselledge.process.health import OutlierDetectionConfig
@@ -12,7 +12,7 @@
 
 
 class Clock:
-    """A clock that the test sets."""
+    """A clock whose time the test sets."""
 
     def __init__(self):
         self.now = 100.0
@@ -48,14 +48,14 @@
             pool.release(endpoint, True, 0.0)
 
 
-def test_the_endpoint_with_most_room_is_chosen():
+def test_endpoint_with_the_highest_fraction_of_free_slots_is_chosen():
     pool = make()
     pool.acquire("a")
     assert pool.choose(request()) == "b"
     assert pool.free_slots == 2 * SLOTS - 1
 
 
-def test_none_is_chosen_without_room():
+def test_no_endpoint_is_chosen_without_free_slots():
     pool = make()
     for _ in range(SLOTS):
         pool.acquire("a")
@@ -63,8 +63,8 @@
     assert pool.choose(request()) is None
 
 
-def test_a_failing_endpoint_gets_no_work():
-    """An endpoint refuses every request and is therefore always free."""
+def test_failing_endpoint_gets_no_requests():
+    """An endpoint rejects every request and therefore always has free slots."""
     pool = make()
     fail(pool, "a")
     chosen = []
@@ -75,7 +75,7 @@
     assert pool.choose(request()) is None
 
 
-def test_an_ejected_endpoint_comes_back():
+def test_ejected_endpoint_returns():
     clock = Clock()
     pool = make(clock=clock)
     fail(pool, "a")
@@ -86,11 +86,10 @@
     assert pool.free_slots == 1
 
 
-def test_a_service_whose_every_endpoint_is_bad_stays_in_use():
-    """The only zone of a service fails, perhaps by one organisation's requests.
+def test_service_with_all_endpoints_ejected_stays_in_use():
+    """All endpoints of the only zone fail, maybe because of one organisation.
 
-    Were it ejected whole, nobody could use it and nothing would show that it
-    has come back.
+    If all stayed ejected, no request could succeed or show that they recovered.
     """
     pool = make({"a": "z", "b": "z"})
     fail(pool, "a", "b")
@@ -98,7 +97,7 @@
     assert pool.free_slots == 2 * SLOTS
 
 
-def test_a_bad_shard_is_tried_while_other_zones_serve():
+def test_failing_shard_is_probed_while_other_zones_serve():
     pool = make()
     fail(pool, "a", "b")
     assert pool.free_slots == 2
@@ -108,7 +107,7 @@
     assert pool.free_slots == 2
 
 
-def test_a_leaving_endpoint_gets_no_work():
+def test_blocked_endpoint_gets_no_requests_until_the_block_expires():
     clock = Clock()
     pool = make(clock=clock)
     pool.set_blocked("a", blocked=True)
@@ -118,14 +117,14 @@
     assert pool.free_slots == 2 * SLOTS
 
 
-def test_a_leaving_endpoint_of_the_document_gets_no_work():
+def test_leaving_endpoint_of_the_document_gets_no_requests():
     pool = make()
     pool.apply_document(document({"a": "z", "b": "z"}, leaving=("a",)))
     assert pool.choose(request()) == "b"
 
 
-def test_a_replaced_process_starts_with_a_clean_record():
-    """An endpoint's VM is replaced while its old process was ejected."""
+def test_replaced_process_starts_with_a_new_state():
+    """The VM of an endpoint is replaced while the endpoint is ejected."""
     pool = make({"a": "z", "b": "z"})
     fail(pool, "a")
     moved = document({"b": "z"})
@@ -134,25 +133,25 @@
     assert pool.free_slots == 2 * SLOTS
 
 
-def test_a_request_that_failed_everywhere_is_not_held():
-    """A service has one endpoint, and it failed this request already.
+def test_request_that_failed_on_all_endpoints_is_placed_again():
+    """A request failed on the only endpoint of a service.
 
-    Without a choice the request would wait until its deadline for another.
+    If that endpoint stayed excluded, the request would wait until its deadline.
     """
     pool = make({"a": "z"})
     assert pool.choose(request(excluded=["a"])) == "a"
 
 
-def test_excluded_endpoints_are_left_out():
+def test_excluded_endpoints_are_not_chosen():
     pool = make()
     assert pool.choose(request(excluded=["a"])) == "b"
     assert pool.choose(request(excluded=["a", "b"])) is None
 
 
-def test_above_the_slots_goes_the_least_loaded_healthy_endpoint():
+def test_least_loaded_healthy_endpoint_is_chosen_over_the_limit():
     """An endpoint begins to fail while it still runs long requests.
 
-    A lookup that is started above the slots must not go there.
+    An interactive request above the slots must not start there.
     """
     pool = make()
     for _ in range(SLOTS):
@@ -166,7 +165,7 @@
     assert pool.choose_over_limit(request()) is None
 
 
-def test_the_cached_prefix_is_preferred_while_load_allows():
+def test_cached_prefix_is_preferred_up_to_a_load_difference():
     pool = make()
     pool.observe_cache(CacheEvent("b", 1, stored=(7,)))
     pool.acquire("b")
@@ -177,7 +176,7 @@
     assert pool.choose(request(prefix=7)) == "a"
 
 
-def test_requests_of_others_take_room():
+def test_external_requests_reduce_the_free_slots():
     pool = make()
     pool.observe_load(LoadReport("a", 3, 0))
     assert pool.free_slots == 2 * SLOTS - 3
@@ -186,7 +185,7 @@
     assert pool.free_slots == 2 * SLOTS - 3
 
 
-def test_the_faster_endpoint_is_preferred():
+def test_faster_endpoint_is_preferred():
     pool = make()
     for endpoint, seconds in (("a", 4.0), ("b", 1.0)):
         for _ in range(SLOTS):
--- a/packages/router/tests/test_retrybudget.py
+++ b/packages/router/tests/test_retrybudget.py
@@ -8,10 +8,10 @@
 LIMITS = RetryLimits(ratio=0.1, per_second=0.5, max_balance=5.0)
 
 
-async def test_retries_stay_a_part_of_the_attempts():
-    """Every endpoint of a service fails, and each request wants to be retried.
+async def test_retries_are_limited_to_a_fraction_of_the_attempts():
+    """Every endpoint of a service fails, so that each request is retried.
 
-    The endpoints must not see several times the callers' rate.
+    The endpoints must not receive several times the callers' request rate.
     """
     budget = RetryBudget.from_config(LIMITS)
     retries = 0
@@ -21,7 +21,7 @@
     assert retries <= 1000 * LIMITS.ratio + LIMITS.max_balance
 
 
-async def test_a_quiet_service_can_retry():
+async def test_service_with_few_requests_can_retry():
     budget = RetryBudget.from_config(LIMITS)
     spent = sum(budget.try_withdraw() for _ in range(100))
     assert spent == LIMITS.max_balance
@@ -30,7 +30,7 @@
     assert not budget.try_withdraw()
 
 
-async def test_savings_are_bounded():
+async def test_balance_is_limited():
     budget = RetryBudget.from_config(LIMITS)
     for _ in range(1000):
         budget.deposit()
