--- a/packages/router/src/teaselledge/process/dispatch.py
+++ b/packages/router/src/teaselledge/process/dispatch.py
@@ -1,4 +1,4 @@
-"""The dispatchers that this VM runs, by shard."""
+"""Management of the dispatchers of this VM."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -17,22 +17,22 @@
 __all__ = ["DispatcherManager"]
 
 TICK_SECONDS = 0.05
-IDLE_SECONDS = 0.5
-"""Interval of the work that is due while there is no request."""
+IDLE_TICK_SECONDS = 0.5
+"""Interval of ticks while there are no requests."""
 
-FOLLOW_SECONDS = 0.2
-"""Interval between two looks at the members."""
+REFRESH_INTERVAL_SECONDS = 0.2
+"""Interval of updates of the placement."""
 
-LINGER_SECONDS = 30.0
-"""Time for which a dispatcher without requests stays after its shard moved."""
+IDLE_DISPATCHER_TTL_SECONDS = 30.0
+"""Time after which an unassigned dispatcher without requests is removed."""
 
-GRACE_SECONDS = 1.5
-"""Age from which a router knows enough members to place shards by itself."""
+CONVERGENCE_SECONDS = 1.5
+"""Time after the start until the membership view is complete enough to use."""
 
-LIVES_BITS = 10
-"""Bits of a dispatcher's incarnation that count those of one process."""
+DISPATCHER_COUNTER_BITS = 10
+"""Bits of a dispatcher's incarnation that count the dispatchers of a process."""
 
-MESSAGES: dict[str, Callable[[Dispatcher, Origin, Any], None]] = {
+MESSAGE_HANDLERS: dict[str, Callable[[Dispatcher, Origin, Any], None]] = {
     "registration": Dispatcher.handle_register,
     "withdraw": Dispatcher.handle_withdraw,
     "accept": Dispatcher.handle_accept,
@@ -47,10 +47,10 @@
 
 
 class DispatcherManager:
-    """Runs the dispatchers of the shards that fall to this VM.
+    """Runs the dispatchers of the shards that are assigned to this VM.
 
-    The senders choose the dispatcher: one is started too when a message for
-    its shard arrives, since views of the members differ for seconds.
+    Since membership views differ for seconds, the sender of a message decides
+    which VM dispatches: a message for a shard starts its dispatcher, too.
     """
 
     def __init__(
@@ -62,15 +62,15 @@
         leaving: Callable[[], Iterable[EndpointKey]] = tuple,
     ) -> None:
         self._mesh = mesh
-        self._leaving = leaving
+        self._leaving_endpoints = leaving
         self._version = version
         self._metrics = metrics
         self._placement = Placement(members)
         self._by_shard: dict[Shard, Dispatcher] = {}
-        self._lives = 0
-        self._settled = False
-        self._woken = asyncio.Event()
-        for name, method in MESSAGES.items():
+        self._dispatcher_counter = 0
+        self._converged = False
+        self._wakeup = asyncio.Event()
+        for name, method in MESSAGE_HANDLERS.items():
             mesh.subscribe(name, self._handler(method))
 
     @property
@@ -79,76 +79,76 @@
         return list(self._by_shard.values())
 
     def apply_version(self, version: Version) -> None:
-        """Take a new version of the document."""
+        """Apply a new version of the document."""
         for shard, dispatcher in list(self._by_shard.items()):
             if shard.service not in version.document.services:
                 del self._by_shard[shard]
                 continue
             dispatcher.apply_document(version.document)
-        self._place()
+        self._start_assigned()
 
     async def run(self) -> None:
-        """Do what is due until cancelled."""
+        """Run the dispatchers until cancelled."""
         loop = asyncio.get_running_loop()
-        settles = loop.time() + GRACE_SECONDS
-        follows = loop.time() + FOLLOW_SECONDS
+        converged_at = loop.time() + CONVERGENCE_SECONDS
+        refresh_at = loop.time() + REFRESH_INTERVAL_SECONDS
         while True:
-            await self._pause()
+            await self._wait_for_tick()
             now = loop.time()
-            if not self._settled and is_due(now, settles):
-                self._settled = True
-                self._place()
-            if is_due(now, follows):
-                follows = now + FOLLOW_SECONDS
+            if not self._converged and is_due(now, converged_at):
+                self._converged = True
+                self._start_assigned()
+            if is_due(now, refresh_at):
+                refresh_at = now + REFRESH_INTERVAL_SECONDS
                 self.refresh_placement()
             self.tick()
 
-    async def _pause(self) -> None:
-        """Wait for the next tick, which may be late while there is no request."""
+    async def _wait_for_tick(self) -> None:
+        """Wait for the next tick; without requests ticks are less frequent."""
         if any(d.waiting or d.running for d in self.dispatchers):
             await asyncio.sleep(TICK_SECONDS)
             return
-        self._woken.clear()
+        self._wakeup.clear()
         with suppress(TimeoutError):
-            async with asyncio.timeout(IDLE_SECONDS):
-                await self._woken.wait()
+            async with asyncio.timeout(IDLE_TICK_SECONDS):
+                await self._wakeup.wait()
 
     def refresh_placement(self) -> None:
-        """Look at the members and at the endpoints that leave."""
+        """Update the members and the endpoints that are leaving."""
         if self._placement.refresh():
-            self._place()
-        leaving = list(self._leaving())
+            self._start_assigned()
+        leaving = list(self._leaving_endpoints())
         for dispatcher in self.dispatchers:
             service = dispatcher.shard.service
             dispatcher.set_blocked_endpoints({e for s, e in leaving if s == service})
 
     def tick(self) -> None:
-        """Do what is due in each dispatcher."""
+        """Run the tick of each dispatcher and remove expired dispatchers."""
         now = asyncio.get_running_loop().time()
         for dispatcher in self.dispatchers:
             dispatcher.tick(now)
-            idle = now - dispatcher.last_active > LINGER_SECONDS
-            if idle and not self._falls_here(dispatcher.shard):
+            expired = now - dispatcher.last_active > IDLE_DISPATCHER_TTL_SECONDS
+            if expired and not self._is_assigned(dispatcher.shard):
                 del self._by_shard[dispatcher.shard]
 
-    def _place(self) -> None:
-        """Start the dispatchers that fall to this VM.
+    def _start_assigned(self) -> None:
+        """Start the dispatchers of the shards that are assigned to this VM.
 
-        A shard whose endpoints are idle gets no message from any ingress, and
-        without a dispatcher nobody would fetch work for it.
+        A shard with idle endpoints may get no message from any ingress. Without
+        a dispatcher no requests would be fetched for it.
         """
         version = self._version()
         if version is None:
             return
-        services = version.document.services if self._settled else {}
+        services = version.document.services if self._converged else {}
         for service in services:
             for zone in service_zones(version.document, service):
-                if self._falls_here(Shard(service, zone)):
-                    self._find(Shard(service, zone))
+                if self._is_assigned(Shard(service, zone)):
+                    self._get_or_create(Shard(service, zone))
         for shard, dispatcher in self._by_shard.items():
-            dispatcher.set_assigned(self._falls_here(shard), self._settled)
+            dispatcher.set_assigned(self._is_assigned(shard), self._converged)
 
-    def _falls_here(self, shard: Shard) -> bool:
+    def _is_assigned(self, shard: Shard) -> bool:
         version = self._version()
         if version is None:
             return False
@@ -159,15 +159,15 @@
         self, method: Callable[[Dispatcher, Origin, Any], None]
     ) -> Callable[[Origin, str, str, Any], None]:
         def handle(origin: Origin, service: str, zone: str, body: Any) -> None:
-            dispatcher = self._find(Shard(service, zone))
+            dispatcher = self._get_or_create(Shard(service, zone))
             if dispatcher is not None:
                 method(dispatcher, origin, body)
                 if dispatcher.waiting or dispatcher.running:
-                    self._woken.set()
+                    self._wakeup.set()
 
         return handle
 
-    def _find(self, shard: Shard) -> Dispatcher | None:
+    def _get_or_create(self, shard: Shard) -> Dispatcher | None:
         found = self._by_shard.get(shard)
         if found is not None:
             return found
@@ -176,10 +176,14 @@
             return None
         if shard.zone not in version.document.zones:
             return None
-        # twice the count, since each dispatcher has two series of counters
-        life = 2 * self._lives
-        self._lives = (self._lives + 1) % (1 << (LIVES_BITS - 1))
-        incarnation = (self._mesh.origin.incarnation << LIVES_BITS) + life
+        # Each dispatcher uses two incarnations: its own and that of its region.
+        counter = 2 * self._dispatcher_counter
+        self._dispatcher_counter = (self._dispatcher_counter + 1) % (
+            1 << (DISPATCHER_COUNTER_BITS - 1)
+        )
+        incarnation = (
+            self._mesh.origin.incarnation << DISPATCHER_COUNTER_BITS
+        ) + counter
         created = Dispatcher(
             shard,
             self._mesh,
@@ -189,5 +193,5 @@
             incarnation,
         )
         self._by_shard[shard] = created
-        created.set_assigned(self._falls_here(shard), self._settled)
+        created.set_assigned(self._is_assigned(shard), self._converged)
         return created
--- a/packages/router/src/teaselledge/process/holding.py
+++ b/packages/router/src/teaselledge/process/holding.py
@@ -1,4 +1,4 @@
-"""What each ingress holds at a dispatcher, compared by count and digest."""
+"""Requests that each ingress holds at a dispatcher, compared by digest."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -8,25 +8,25 @@
 
 __all__ = ["Digest", "HeldRequests", "digest_of_requests"]
 
-MIX = 0x9E3779B97F4A7C15
-MASK = (1 << 63) - 1
+MIX_MULTIPLIER = 0x9E3779B97F4A7C15
+MASK_63_BITS = (1 << 63) - 1
 
 
 @dataclass(frozen=True)
 class Digest:
-    """Count and mixed sum of request numbers; equal for equal sets."""
+    """Count and hash of a set of request numbers, equal for equal sets."""
 
     count: int = 0
     value: int = 0
 
 
 def _mix(request: int) -> int:
-    mixed = (request * MIX) & MASK
-    return (mixed ^ (mixed >> 29)) * MIX & MASK
+    mixed = (request * MIX_MULTIPLIER) & MASK_63_BITS
+    return (mixed ^ (mixed >> 29)) * MIX_MULTIPLIER & MASK_63_BITS
 
 
 def digest_of_requests(requests: Iterable[int]) -> Digest:
-    """Return the digest of some request numbers."""
+    """Return the digest of a set of request numbers."""
     count = value = 0
     for request in requests:
         count += 1
@@ -36,32 +36,32 @@
 
 @dataclass
 class _Held:
-    heard: float
+    last_message_at: float
     requests: set[int] = field(default_factory=set)
     value: int = 0
 
 
 class HeldRequests:
-    """Request numbers by ingress, with the time when it was last heard."""
+    """Request numbers by ingress, with the time of its last message."""
 
     def __init__(self) -> None:
         self._held: dict[Origin, _Held] = {}
 
     def touch(self, origin: Origin, now: float) -> list[Origin]:
-        """Note a message and return earlier lives of the same ingress."""
+        """Record a message and return other incarnations of the same ingress."""
         held = self._held.get(origin)
         if held is not None:
-            held.heard = now
+            held.last_message_at = now
             return []
         self._held[origin] = _Held(now)
         return [o for o in self._held if o.vm == origin.vm and o != origin]
 
     def timed_out(self, before: float) -> list[Origin]:
-        """Return the ingresses that were last heard before a time."""
-        return [o for o, held in self._held.items() if held.heard < before]
+        """Return the ingresses whose last message arrived before a time."""
+        return [o for o, held in self._held.items() if held.last_message_at < before]
 
     def add(self, key: RequestKey) -> None:
-        """Note that an ingress holds a request here."""
+        """Record that an ingress holds a request here."""
         held = self._held.get(Origin(key.vm, key.incarnation))
         if held is None or key.request in held.requests:
             return
@@ -69,7 +69,7 @@
         held.value ^= _mix(key.request)
 
     def discard(self, key: RequestKey) -> None:
-        """Note that a request is gone."""
+        """Record that an ingress no longer holds a request."""
         held = self._held.get(Origin(key.vm, key.incarnation))
         if held is None or key.request not in held.requests:
             return
@@ -82,10 +82,10 @@
         return set(held.requests) if held else set()
 
     def digest(self, origin: Origin) -> Digest:
-        """Return the digest of an ingress's requests."""
+        """Return the digest of the requests of an ingress."""
         held = self._held.get(origin)
         return Digest(len(held.requests), held.value) if held else Digest()
 
     def remove(self, origin: Origin) -> None:
-        """Drop an ingress."""
+        """Remove an ingress with its requests."""
         self._held.pop(origin, None)
--- a/packages/router/src/teaselledge/process/placement.py
+++ b/packages/router/src/teaselledge/process/placement.py
@@ -1,4 +1,4 @@
-"""Which VM dispatches for a shard."""
+"""Assignment of shards to the VMs that dispatch for them."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True)
 class PeerDispatcher:
-    """The dispatcher of another shard of the service.
+    """Dispatcher of another shard of the service.
 
     Attributes
     ----------
     vm : str
-        VM on which it runs.
+        VM of the dispatcher.
     zone : str
         Zone of its shard.
     """
@@ -48,7 +48,7 @@
 
 
 def distance(document: Document, zone: str, other: str) -> int:
-    """Return 0 in a zone, 1 in a region and 2 across regions."""
+    """Return 0 for the same zone, 1 for the same region and 2 across regions."""
     if zone == other:
         return 0
     here, there = document.zones.get(zone), document.zones.get(other)
@@ -67,25 +67,29 @@
 ) -> Member | None:
     """Return the VM that dispatches for a shard.
 
-    Rendezvous hashing over the VMs that are not leaving, nearest zone first:
-    a VM that comes or goes moves only its own shards. Views of the members
-    differ for seconds; until they agree a shard may have two dispatchers,
-    which over-admits a little and harms nothing else.
+    Uses rendezvous hashing over the VMs of the nearest zone that are not
+    leaving, so that a VM that joins or leaves moves only its own shards.
+    Membership views differ for seconds. Until they converge, a shard may have
+    two dispatchers, which admit slightly too many requests; there is no other
+    harm.
     """
-    staying = [member for member in members if not member.leaving]
-    if not staying:
+    active = [member for member in members if not member.leaving]
+    if not active:
         return None
     return min(
-        staying,
+        active,
         key=lambda m: (distance(document, shard.zone, m.zone), -_score(m, shard)),
     )
 
 
 def service_zones(document: Document, service: str) -> set[str]:
-    """Return the zones in which a service has endpoints that take work."""
+    """Return the zones in which a service has endpoints that are not leaving.
+
+    If all are leaving, return the zones of all endpoints.
+    """
     endpoints = document.services[service].endpoints.values()
-    staying = {endpoint.zone for endpoint in endpoints if not endpoint.leaving}
-    return staying or {endpoint.zone for endpoint in endpoints}
+    active = {endpoint.zone for endpoint in endpoints if not endpoint.leaving}
+    return active or {endpoint.zone for endpoint in endpoints}
 
 
 def home_shard(
@@ -93,14 +97,16 @@
 ) -> Shard | None:
     """Return the shard where an ingress in a zone registers its requests.
 
-    It is the nearest with an endpoint that is not excluded.
+    It is the nearest one with an endpoint that is not excluded.
     """
-    found = document.services.get(service)
-    if found is None:
+    definition = document.services.get(service)
+    if definition is None:
         return None
-    usable = {name: e for name, e in found.endpoints.items() if name not in excluded}
-    staying = [e for e in usable.values() if not e.leaving]
-    zones = {endpoint.zone for endpoint in staying or usable.values()}
+    usable = {
+        name: e for name, e in definition.endpoints.items() if name not in excluded
+    }
+    active = [e for e in usable.values() if not e.leaving]
+    zones = {endpoint.zone for endpoint in active or usable.values()}
     if not zones:
         return None
     nearest = min(zones, key=lambda z: (distance(document, zone, z), z))
@@ -108,7 +114,7 @@
 
 
 def representative_zone(document: Document, service: str, region: str) -> str | None:
-    """Return the zone whose dispatcher speaks for a region to the others."""
+    """Return the zone whose dispatcher exchanges reports with other regions."""
     zones = [
         zone
         for zone in service_zones(document, service)
@@ -122,66 +128,68 @@
 
 
 class Placement:
-    """Which VM dispatches for which shard, in this router's view.
+    """Assignment of the shards to VMs, in the membership view of this router.
 
-    Answers are kept until the members change. A VM under suspicion does not
-    answer although it is heard, as after a split in one direction; it is
-    passed over until it answers.
+    Results are cached until the members change. A suspected VM does not reply
+    although its messages arrive, as after a network partition in one direction;
+    it is excluded until it replies.
     """
 
     def __init__(self, members: Callable[[], Iterable[Member]]) -> None:
         self._members = members
-        self._seen: frozenset[tuple[str, str, int]] = frozenset()
+        self._known_members: frozenset[tuple[str, str, int]] = frozenset()
         self._suspects: set[str] = set()
-        self._by_zone: dict[str, list[Member]] = {}
-        self._found: dict[Shard, Member | None] = {}
+        self._members_by_zone: dict[str, list[Member]] = {}
+        self._dispatchers: dict[Shard, Member | None] = {}
         self._document: Document | None = None
 
     @property
     def suspects(self) -> set[str]:
-        """VMs that are passed over."""
+        """VMs that are excluded."""
         return self._suspects
 
     def suspect(self, vm: str) -> None:
-        """Pass a VM over."""
+        """Exclude a VM until `clear_suspect`."""
         self._suspects.add(vm)
-        self._seen = frozenset()
+        self._known_members = frozenset()
 
     def clear_suspect(self, vm: str) -> None:
-        """End the suspicion against a VM."""
+        """Include a suspected VM again."""
         if vm in self._suspects:
             self._suspects.discard(vm)
-            self._seen = frozenset()
+            self._known_members = frozenset()
 
     def refresh(self) -> bool:
-        """Look at the members again and return whether any came or went."""
-        staying = [member for member in self._members() if not member.leaving]
-        seen = frozenset((m.vm, m.zone, m.incarnation) for m in staying)
-        if seen == self._seen:
+        """Update the members and return whether any joined or left."""
+        active = [member for member in self._members() if not member.leaving]
+        known_members = frozenset((m.vm, m.zone, m.incarnation) for m in active)
+        if known_members == self._known_members:
             return False
-        self._seen = seen
-        self._suspects &= {member.vm for member in staying}
-        self._by_zone = {}
-        for member in staying:
+        self._known_members = known_members
+        self._suspects &= {member.vm for member in active}
+        self._members_by_zone = {}
+        for member in active:
             if member.vm not in self._suspects:
-                self._by_zone.setdefault(member.zone, []).append(member)
-        self._found = {}
+                self._members_by_zone.setdefault(member.zone, []).append(member)
+        self._dispatchers = {}
         return True
 
     def live(self, vm: str) -> bool:
         """Return whether a VM was a member at the last refresh."""
-        return any(name == vm for name, _, _ in self._seen)
+        return any(name == vm for name, _, _ in self._known_members)
 
     def dispatcher(self, document: Document, shard: Shard) -> Member | None:
         """Return the VM that dispatches for a shard, see `select_dispatcher`."""
-        if not self._seen:
+        if not self._known_members:
             self.refresh()
         if document is not self._document:
             self._document = document
-            self._found = {}
-        if shard not in self._found:
-            candidates = self._by_zone.get(shard.zone)
+            self._dispatchers = {}
+        if shard not in self._dispatchers:
+            candidates = self._members_by_zone.get(shard.zone)
             if not candidates:
-                candidates = [m for zone in self._by_zone.values() for m in zone]
-            self._found[shard] = select_dispatcher(document, shard, candidates)
-        return self._found[shard]
+                candidates = [
+                    m for zone in self._members_by_zone.values() for m in zone
+                ]
+            self._dispatchers[shard] = select_dispatcher(document, shard, candidates)
+        return self._dispatchers[shard]
--- a/packages/router/src/teaselledge/process/preset.py
+++ b/packages/router/src/teaselledge/process/preset.py
@@ -1,4 +1,4 @@
-"""Presets of the report exchange: fairness gap against control traffic."""
+"""Presets of the usage exchange, which trade fairness for control traffic."""
 
 from dataclasses import dataclass
 
@@ -9,26 +9,26 @@
 
 @dataclass(frozen=True)
 class Preset:
-    """How soon dispatchers of one service tell each other what they served.
+    """Parameters of the exchange of usage reports in a service.
 
     Attributes
     ----------
     name : str
-        As in the document.
+        Name in the document.
     quantum_hints : float
-        Unreported service that makes a report due, as a multiple of the
-        largest cost hint of the service.
+        Unreported usage that makes a report due, as a multiple of the largest
+        cost hint of the service.
     interval : float
-        Seconds after which a changed account is reported at the latest,
-        within a region.
+        Maximum time in seconds until a changed account is reported within a
+        region.
     region_interval : float
-        Seconds between the sums that one region sends to another.
+        Seconds between reports of the sums of a region to other regions.
     fetch_margin_hints : float
-        Deficit, as a multiple of the largest cost hint, from which work of a
-        needier organisation is fetched from another zone.
+        Deficit of an organisation, as a multiple of the largest cost hint,
+        above which its requests are fetched from another zone.
     report_bytes : float
-        Bytes of reports that a dispatcher may send in a second; with many
-        backlogged organisations the interval grows instead.
+        Maximum bytes of reports per second of a dispatcher; with many
+        backlogged organisations the interval becomes longer instead.
     """
 
     name: str
@@ -39,11 +39,11 @@
     report_bytes: float
 
     def quantum(self, service: Service) -> float:
-        """Return the quantum in the service's unit of cost."""
+        """Return the quantum in the unit of cost of the service."""
         return self.quantum_hints * largest_hint(service)
 
     def fetch_margin(self, service: Service) -> float:
-        """Return the margin in the service's unit of cost."""
+        """Return the margin in the unit of cost of the service."""
         return self.fetch_margin_hints * largest_hint(service)
 
 
@@ -72,5 +72,5 @@
 
 
 def largest_hint(service: Service) -> float:
-    """Return the largest cost hint among the kinds, 1 where there is none."""
+    """Return the largest cost hint of the kinds, or 1 if there are none."""
     return max((kind.cost_hint for kind in service.kinds.values()), default=1.0)
--- a/packages/router/src/teaselledge/process/shares.py
+++ b/packages/router/src/teaselledge/process/shares.py
@@ -1,4 +1,4 @@
-"""Figures of the dispatchers that this router runs, for the status page."""
+"""Statistics of the dispatchers of this router, for the status page."""
 
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
@@ -14,24 +14,24 @@
 __all__ = ["DispatcherShares", "ShardStats", "ShareStats", "ShareSource"]
 
 MAX_SHARE_STATS = 1000
-"""Organisations that one status tells of, those with most waiting first."""
+"""Maximum number of organisations in a status, sorted by waiting requests."""
 
 
 @dataclass(frozen=True)
 class ShardStats:
-    """One shard, as its dispatcher sees it.
+    """Statistics of a shard from its dispatcher.
 
     Attributes
     ----------
     service, zone : str
         The shard.
     waiting, running, free : int
-        Requests that wait and run, and free slots.
+        Number of waiting and running requests, and of free slots.
     rate : float
-        Cost that the whole service completes in a second.
+        Cost that the whole service completes per second.
     gap : float
-        Largest lead among the backlogged organisations, as a part of the
-        bound for requests that cost what their kind's hint says.
+        Maximum lead among the backlogged organisations, as a fraction of the
+        bound for requests whose cost equals the hint of their kind.
     """
 
     service: str
@@ -44,13 +44,13 @@
 
     @property
     def idle(self) -> int:
-        """Slots that are free while requests wait for them."""
+        """Number of slots that are free while requests wait."""
         return min(self.waiting, self.free)
 
 
 @dataclass(frozen=True)
 class ShareStats:
-    """What one organisation is due and gets, as one dispatcher sees it.
+    """Share and usage of an organisation from one dispatcher.
 
     Attributes
     ----------
@@ -59,13 +59,13 @@
     organisation : str
         The organisation.
     share : float
-        Its share.
+        Share of the organisation.
     served : float
-        Cost that this dispatcher granted so far.
+        Cost that this dispatcher has charged.
     waiting : int
-        Requests that wait here.
+        Number of requests that wait here.
     lead : float
-        Normalised service above the neediest organisation that waits.
+        Normalised usage above the lowest backlogged usage.
     """
 
     service: str
@@ -78,24 +78,24 @@
 
 
 class ShareSource(Protocol):
-    """Where the figures of the dispatchers come from."""
+    """Source of the statistics of dispatchers."""
 
     def shards(self) -> Sequence[ShardStats]:
-        """Return the figures of all shards that this router dispatches for."""
+        """Return the statistics of the shards that this router dispatches for."""
 
     def shares(self) -> Sequence[ShareStats]:
-        """Return the figures of their organisations."""
+        """Return the statistics of their organisations."""
 
 
 class DispatcherShares:
-    """Reads the figures from the dispatchers.
+    """Reads the statistics from the dispatchers.
 
     Parameters
     ----------
     running : callable
-        The dispatchers of this router.
+        Returns the dispatchers of this router.
     version : callable
-        The configuration in force.
+        Returns the configuration in force.
     """
 
     def __init__(
@@ -103,49 +103,49 @@
         running: Callable[[], Iterable[Dispatcher]],
         version: Callable[[], Version | None],
     ) -> None:
-        self._running = running
+        self._dispatchers = running
         self._version = version
 
     def shards(self) -> list[ShardStats]:
-        """Return the figures of all shards that this router dispatches for."""
+        """Return the statistics of the shards that this router dispatches for."""
         version = self._version()
-        figures = []
-        for dispatcher in self._running():
-            standings = dispatcher.usage
+        stats = []
+        for dispatcher in self._dispatchers():
+            usage = dispatcher.usage
             name = dispatcher.shard.service
             service = version.document.services.get(name) if version else None
             if service is None:
                 continue
-            figures.append(
+            stats.append(
                 ShardStats(
                     dispatcher.shard.service,
                     dispatcher.shard.zone,
                     dispatcher.waiting,
                     dispatcher.running,
                     dispatcher.free_slots,
-                    standings.rate,
-                    _gap(standings, service),
+                    usage.rate,
+                    _relative_gap(usage, service),
                 )
             )
-        return figures
+        return stats
 
     def shares(self) -> list[ShareStats]:
-        """Return the figures of organisations that were served or wait."""
+        """Return the statistics of organisations with usage or waiting requests."""
         version = self._version()
         if version is None:
             return []
-        figures = [
-            figure
-            for dispatcher in self._running()
+        stats = [
+            entry
+            for dispatcher in self._dispatchers()
             for name in version.document.organisations
-            if (figure := _figure(dispatcher.shard, dispatcher.usage, name))
+            if (entry := _share_stats(dispatcher.shard, dispatcher.usage, name))
         ]
-        figures.sort(key=lambda f: (-f.waiting, f.service, f.zone, f.organisation))
-        return figures[:MAX_SHARE_STATS]
+        stats.sort(key=lambda f: (-f.waiting, f.service, f.zone, f.organisation))
+        return stats[:MAX_SHARE_STATS]
 
 
-def _gap(standings: UsageAccounts, service: Service) -> float:
-    names = list(standings.backlogged)
+def _relative_gap(usage: UsageAccounts, service: Service) -> float:
+    names = list(usage.backlogged)
     if not names:
         return 0.0
     preset = get_preset_by_name(service.preset)
@@ -154,25 +154,25 @@
         largest_hint(service),
         preset.quantum(service),
         preset.interval + preset.region_interval,
-        standings.rate,
-        min(standings.share(name) for name in names),
+        usage.rate,
+        min(usage.share(name) for name in names),
         len({endpoint.zone for endpoint in service.endpoints.values()}),
     )
-    return max(standings.lead(name) for name in names) / bound
+    return max(usage.lead(name) for name in names) / bound
 
 
-def _figure(shard: Shard, standings: UsageAccounts, name: str) -> ShareStats | None:
-    if name not in standings:
+def _share_stats(shard: Shard, usage: UsageAccounts, name: str) -> ShareStats | None:
+    if name not in usage:
         return None
-    served, waiting = standings.local_usage(name), standings.local_waiting(name)
+    served, waiting = usage.local_usage(name), usage.local_waiting(name)
     if not served and not waiting:
         return None
     return ShareStats(
         shard.service,
         shard.zone,
         name,
-        standings.share(name),
+        usage.share(name),
         served,
         waiting,
-        standings.lead(name),
+        usage.lead(name),
     )
--- a/packages/router/tests/test_coldstart.py
+++ b/packages/router/tests/test_coldstart.py
@@ -1,4 +1,4 @@
-"""Tests of a router that starts and knows nothing."""
+"""Tests of a router that starts without state while other parts are down."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -45,15 +45,15 @@
     return await caller.complete(router.caller_address, "x", 5, "amber")
 
 
-async def test_with_the_store_up(running):
+async def test_start_with_the_store(running):
     router = await start(running)
     assert router.ready
     assert is_whole_completion(await complete(router), "x", 5)
 
 
-async def test_with_the_store_down_and_peers_in_the_list(running):
-    """A VM is replaced while the table service is down. It learns the configuration
-    from its peers, whom the platform's list names.
+async def test_start_without_the_store_from_listed_peers(running):
+    """A VM is replaced while the table service is down. It must get the
+    configuration from its peers, which the list of VMs of the platform contains.
     """
     running.tables.faults.down = True
     router = await start(running)
@@ -62,9 +62,9 @@
     assert is_whole_completion(await complete(router), "x", 5)
 
 
-async def test_with_store_and_list_down_and_a_seed(running):
-    """The list is out of reach as well; one peer's address stands in the settings,
-    and the others are learnt from it.
+async def test_start_without_store_and_list_from_a_seed(running):
+    """The list of VMs is unreachable as well. The settings contain the address of
+    one peer, from which the router must get the other addresses.
     """
     running.tables.faults.down = True
     running.vms.faults.down = True
@@ -74,9 +74,9 @@
     assert len(router.node.membership.live()) == 4
 
 
-async def test_with_everything_down(running):
-    """Neither the platform nor a peer can be reached. The router lives, says that it
-    is not ready and refuses with "not run"; it serves as soon as the store is back.
+async def test_start_with_everything_down(running):
+    """Neither the platform nor a peer is reachable. The router must run without
+    being ready, refuse requests as not run, and serve when the store is back.
     """
     running.tables.faults.down = True
     running.vms.faults.down = True
--- a/packages/router/tests/test_fair_failures.py
+++ b/packages/router/tests/test_fair_failures.py
@@ -1,4 +1,4 @@
-"""Tests of dispatch over a whole fleet when parts of it fail."""
+"""Tests of fair dispatch in a fleet while parts of it fail."""
 
 import asyncio
 from collections import Counter
@@ -13,7 +13,7 @@
 SERVICE = "sazetak"
 FAR = "osijek-a"
 COST = 100.0
-"""Tokens of a request; it takes a second on an idle engine."""
+"""Tokens of a request, which takes a second on an idle engine."""
 
 
 @asynccontextmanager
@@ -27,7 +27,7 @@
 
 
 class Load:
-    """Organisations that keep a number of requests in progress."""
+    """Callers that keep a number of requests of each organisation in progress."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -36,13 +36,13 @@
         self.number = 0
 
     def keep(self, organisation, vm, count, cost=COST):
-        """Keep requests of an organisation in progress at a router."""
+        """Start callers of an organisation at a router."""
         for _ in range(count):
             work = self._work(organisation, vm, cost)
             self.tasks.append(asyncio.create_task(work))
 
     async def end(self):
-        """Stop asking."""
+        """Stop all callers."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -85,9 +85,9 @@
     return asyncio.get_running_loop().time()
 
 
-async def test_idle_zones_take_work_that_waits_elsewhere(fleet):
-    """All callers ask one router. The endpoints of the other zones and of the
-    other region would idle while the queue of the first grows.
+async def test_idle_zones_fetch_requests_from_other_zones(fleet):
+    """All callers use one router. Without fetches the endpoints of the other
+    zones and region would be idle while the queue of the first zone grows.
     """
     load = Load(fleet)
     load.keep("org-00", zone_vms(fleet, "split-a")[0], 60)
@@ -96,16 +96,16 @@
     await load.end()
 
 
-async def test_organisation_in_the_far_zone_only_gets_its_share(fleet):
-    """A large organisation's callers are all in the far region, whose own
-    endpoints are fewer than its share is worth.
+async def test_organisation_with_callers_only_in_the_far_zone_gets_its_share(fleet):
+    """All callers of a large organisation are in the far region, whose endpoints
+    have less capacity than its share.
     """
     load = Load(fleet)
     far, near = zone_vms(fleet, FAR), zone_vms(fleet, "split-a")
     load.keep("org-00", far[0], 40)
     for name in ("org-03", "org-04", "org-05", "org-06"):
         load.keep(name, near[0], 25)
-    # the hint is four times the cost, which has to be learnt first
+    # the hint is four times the cost, and the estimate must adapt first
     await asyncio.sleep(10.0)
     start = now()
     await asyncio.sleep(10.0)
@@ -116,9 +116,9 @@
     assert 0.85 < ratio < 1.15, counts
 
 
-async def test_death_of_a_dispatcher_loses_no_request(fleet):
-    """The VM that dispatches for a zone dies while requests wait and run there.
-    Callers of the other routers must notice no more than a pause.
+async def test_failure_of_a_dispatcher_loses_no_request(fleet):
+    """The VM that dispatches for a zone fails while requests wait and run there.
+    For callers of the other routers requests must only be delayed.
     """
     load = Load(fleet)
     vms = zone_vms(fleet, "split-a")
@@ -129,16 +129,16 @@
     for vm in vms:
         await fleet.kill(vm)
     await asyncio.sleep(8.0)
-    # the endpoints of the zone go on under a dispatcher in another
+    # a dispatcher in another zone uses the endpoints of this zone
     assert running(fleet) >= 38
     await asyncio.sleep(2.0)
     assert set(load.outcomes) == {"right"}, load.outcomes
     await load.end()
 
 
-async def test_one_way_loss_stops_nobody(fleet):
-    """A router hears the others, but nothing that it sends arrives. Its callers'
-    requests can be registered nowhere.
+async def test_one_way_loss_blocks_no_organisation(fleet):
+    """A router receives messages, but none that it sends arrive, so that it
+    can't register requests. Its callers must still be served.
     """
     load = Load(fleet)
     lost = zone_vms(fleet, "rijeka-b")[0]
@@ -151,9 +151,10 @@
     await load.end()
 
 
-async def test_paused_dispatcher_comes_back_in_step(fleet):
-    """The VM of a dispatcher is paused for some seconds. When it goes on, its
-    grants and counts are old; nobody may be starved nor run twice.
+async def test_paused_dispatcher_converges_after_the_pause(fleet):
+    """The VM of a dispatcher is paused for some seconds, and its grants and
+    counters are outdated afterwards. No organisation may starve and no request
+    may run twice.
     """
     load = Load(fleet)
     for vm in fleet.nodes:
@@ -179,10 +180,10 @@
     assert running(fleet) == 0
 
 
-async def test_region_that_was_cut_off_returns_within_its_bound(fleet):
-    """A region is cut off, and one organisation has it alone. After the heal it
-    must neither go on as if nothing had been served to it there nor starve until
-    the others have had as much.
+async def test_lead_gained_in_a_partitioned_region_is_limited(fleet):
+    """A region is partitioned, and one organisation uses it alone. After the
+    partition its usage there must count, but the organisation must not starve
+    until the others have used as much.
     """
     load = Load(fleet)
     far = set(zone_vms(fleet, FAR)) | {
@@ -195,7 +196,7 @@
     for vm in zone_vms(fleet, "split-a"):
         load.keep("org-04", vm, 12, cost=400.0)
         load.keep("org-05", vm, 12, cost=400.0)
-    # the debt is at its limit after seconds; an hour would end no differently
+    # the lead reaches its limit within seconds, so an hour would not differ
     await asyncio.sleep(30.0)
     fleet.network.heal()
     await asyncio.sleep(10.0)
@@ -206,9 +207,9 @@
     assert max(counts.values()) < 1.2 * min(counts.values()), counts
 
 
-async def test_returning_router_gets_no_credit(fleet):
-    """A router dies and restarts empty, with a new incarnation. What it had
-    counted stays counted, and it takes the others' standings over.
+async def test_restarted_router_causes_no_credit(fleet):
+    """Routers fail and restart without state, with new incarnations. The usage that
+    they reported must still count, and they must adopt the usage of the others.
     """
     load = Load(fleet)
     for vm in fleet.nodes:
@@ -228,8 +229,11 @@
     assert max(counts.values()) < 1.25 * min(counts.values()), counts
 
 
-async def test_flood_takes_no_memory_and_nobodys_share(fleet):
-    """One organisation keeps fifty times what the others do in progress."""
+async def test_flood_of_one_organisation_takes_no_share_of_others(fleet):
+    """One organisation keeps many more requests in progress than the others.
+
+    It must get only its share, and the number of waiting requests is limited.
+    """
     load = Load(fleet)
     vm = zone_vms(fleet, "split-a")[0]
     load.keep("org-09", vm, 600)
--- a/packages/router/tests/test_limits.py
+++ b/packages/router/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the limits that one router keeps."""
+"""Tests of the limits of a router."""
 
 import asyncio
 import json
@@ -53,19 +53,19 @@
 
 @asynccontextmanager
 async def uploading():
-    """Run one router that keeps small bodies and passes larger ones on."""
+    """Run one router that buffers small bodies and streams larger ones."""
     limits = Limits(body_bytes=2048, upload_bytes=1 << 20)
     async with running_fleet(FleetPlan({"r1": "north-a"}, limits=limits)) as fleet:
         yield fleet
 
 
 def padded(name, size):
-    """Return a body of about that size."""
+    """Return a body of at least the given size."""
     return json.dumps({"name": name, "seconds": 0, "padding": "x" * size}).encode()
 
 
-async def test_large_body_is_passed_on_as_it_arrives(uploading):
-    """A caller uploads much more than the router keeps of a body."""
+async def test_large_body_is_streamed(uploading):
+    """A caller uploads much more than the router buffers of a body."""
     body = padded("big", 900_000)
     reply = await Caller(key_of("amber")).call(
         address_of(uploading), "POST", "/v1/services/ledger/work", body
@@ -75,8 +75,8 @@
     await until(lambda: uploading.routers["r1"].bodies.reserved_bytes == 0)
 
 
-async def test_chunked_body_that_grows_is_passed_on(uploading):
-    """A body without an announced length grows beyond what the router keeps."""
+async def test_growing_chunked_body_is_streamed(uploading):
+    """A body of unknown length grows beyond what the router buffers."""
     body = padded("chunked", 50_000)
     async with raw_caller(address_of(uploading)) as caller:
         await caller.send(
@@ -94,9 +94,9 @@
     assert f'"received": {len(body)}'.encode() in answer
 
 
-async def test_caller_that_stops_uploading_leaves_no_whole_body_behind(uploading):
-    """A caller goes away in the middle of an upload. The endpoint must not take
-    the part it has got for a whole request.
+async def test_interrupted_upload_does_not_run(uploading):
+    """A caller disconnects during an upload. The endpoint must not run the
+    incomplete body as a request.
     """
     body = padded("torn", 900_000)
     async with raw_caller(address_of(uploading)) as caller:
@@ -113,10 +113,10 @@
     assert not [r for p in uploading.plains.values() for r in p.runs]
 
 
-async def test_upload_that_no_endpoint_takes_ends_at_once(uploading):
-    """Every endpoint is gone while a caller uploads. It must get its refusal before
-    it has sent everything, and the connection must not be held by parts that
-    nobody takes any more.
+async def test_upload_without_a_reachable_endpoint_ends_at_once(uploading):
+    """No endpoint is reachable while a caller uploads. The caller must get the
+    error before it has sent the whole body, and the connection must not stay
+    open because of body parts that no endpoint receives.
     """
     for plain in uploading.plains.values():
         await plain.close()
@@ -136,9 +136,9 @@
 
 
 async def test_large_order_is_refused(uploading):
-    """An order must be kept whole, since its digest is journaled before it goes
-    out. What is refused at the door says nothing of earlier attempts under its
-    key, which may have reached an endpoint through another router.
+    """An order must be buffered completely, since its digest is journaled before
+    it is sent. The refusal must not deny that an earlier attempt with the same
+    key ran, since it may have reached an endpoint through another router.
     """
     reply = await Caller(key_of("amber")).call(
         address_of(uploading), "POST", ORDERS, padded("order", 5000), "k"
@@ -146,9 +146,9 @@
     assert (reply.status, reply.kind, reply.ran) == (413, "body-too-large", "unknown")
 
 
-async def test_refusal_at_the_door_does_not_deny_an_order_that_ran(small):
-    """An order ran. Its caller asks again under the same key while the router is
-    full of other bodies, and must not be told that the order has not run.
+async def test_refusal_by_a_limit_does_not_deny_that_an_order_ran(small):
+    """An order ran. Its caller repeats it with the same key while other bodies
+    use the memory of the router. The refusal must not deny that the order ran.
     """
     caller = Caller(key_of("amber"))
     assert (await caller.order(address_of(small), "twice", "amber")).status == 200
@@ -179,7 +179,7 @@
 
 
 async def test_chunked_body_over_limit_is_refused_midway(small):
-    """A chunked body does not tell its size; it grows over the limit."""
+    """A chunked body, whose size is not announced, grows over the limit."""
     async with raw_caller(address_of(small)) as caller:
         await caller.send(
             f"POST {ORDERS} HTTP/1.1",
@@ -203,8 +203,8 @@
 
 
 async def test_connection_over_limit_is_refused_at_once(small):
-    """Callers hold as many idle connections as the router allows; the next one
-    is told so, and a place that frees up can be used again.
+    """Callers keep as many idle connections as the router allows. The next one
+    must get an error, and a connection that closes must allow another.
     """
     async with raw_caller(address_of(small)), raw_caller(address_of(small)):
         async with raw_caller(address_of(small)) as third:
@@ -218,9 +218,9 @@
         assert reply.status == 200
 
 
-async def test_bodies_in_total_are_bounded(small):
-    """Two callers send bodies that are each under the limit, slowly. Together
-    they are over the memory for bodies: the second is refused, not the first.
+async def test_total_size_of_bodies_is_limited(small):
+    """Two callers slowly send bodies below the limit that together exceed the
+    memory for bodies. The second must be refused, not the first.
     """
     head = (
         f"POST {ORDERS} HTTP/1.1",
@@ -238,9 +238,9 @@
     await until(lambda: small.routers["r1"].bodies.reserved_bytes == 0)
 
 
-async def test_caller_that_leaves_while_queued_frees_its_place(single):
-    """Every slot is taken and a caller gives up waiting. Its request must not
-    reach an endpoint later, when nobody is there to read the answer.
+async def test_request_of_a_caller_that_disconnects_leaves_the_queue(single):
+    """All slots are in use, and a caller with a waiting request disconnects. The
+    request must not run later, when no caller reads the response.
     """
     caller = Caller(key_of("amber"))
     slots = single.plan.slots
@@ -260,9 +260,9 @@
     assert "gone" not in names
 
 
-async def test_caller_that_leaves_while_running_stops_the_engine(single):
-    """A caller drops its connection in the middle of a long stream. The engine
-    must not go on to generate what nobody reads.
+async def test_disconnect_of_the_caller_stops_the_engine(single):
+    """A caller disconnects during a long stream. The engine must not continue to
+    generate tokens that no caller reads.
     """
     body = json.dumps({"prompt": "long", "max_tokens": 2000}).encode()
     async with raw_caller(address_of(single)) as leaving:
@@ -275,9 +275,9 @@
     assert single.routers["r1"].node.ingress.running == 0
 
 
-async def test_slow_caller_takes_bounded_memory_and_costs_nobody_else(single):
-    """A caller reads nothing of a long answer. The router keeps a fixed part of
-    it, and another caller's answer is not delayed by it.
+async def test_slow_caller_does_not_delay_others(single):
+    """A caller does not read a long response. The router buffers only a limited
+    part of it, and the response of another caller must not be delayed.
     """
     body = json.dumps({"prompt": "x" * 2000, "max_tokens": 2000}).encode()
     async with raw_caller(address_of(single)) as slow:
@@ -289,9 +289,9 @@
     assert is_whole_completion(reply, "quick", 5)
 
 
-async def test_endpoint_that_sends_garbage(single):
-    """An endpoint answers with bytes that are no HTTP. The caller gets a problem
-    object, and the next request is served.
+async def test_invalid_response_of_an_endpoint(single):
+    """An endpoint responds with bytes that are not HTTP. The caller must get a
+    problem object, and the next request must be served.
     """
     for plain in single.plains.values():
         plain.faults.garbage = 1
@@ -303,9 +303,9 @@
     assert reply.status == 200
 
 
-async def test_endpoint_that_stops_midway_breaks_the_answer_visibly(single):
-    """Every engine drops its connection in the middle of an answer. The caller
-    must not take the part it has got for the whole.
+async def test_truncated_response_of_an_endpoint_is_visible(single):
+    """Every engine closes its connection during a response. The caller must be
+    able to detect that the response is truncated.
     """
     for engine in single.engines.values():
         engine.faults.break_after = 300
