--- a/packages/router/src/teaselledge/process/concurrency.py
+++ b/packages/router/src/teaselledge/process/concurrency.py
@@ -77,7 +77,7 @@
 
     @property
     def limit(self) -> int:
-        """Requests that it may run at once now."""
+        """Maximum number of concurrent requests, that of a trial while one runs."""
         return self._limit if self._trial is None else self._trial.limit
 
     @property
--- a/packages/router/src/teaselledge/process/dispatcher.py
+++ b/packages/router/src/teaselledge/process/dispatcher.py
@@ -395,8 +395,8 @@
         key = entry.key
         if key in self._granted or key in self._transfer:
             return False
-        fetched = self._queue.get(key)
-        if fetched is not None and fetched.fetched_from is not None:
+        queued = self._queue.get(key)
+        if queued is not None and queued.fetched_from is not None:
             self._queue.remove(key)
         if not self._queue.add(entry):
             return False
--- a/packages/router/src/teaselledge/process/exchange.py
+++ b/packages/router/src/teaselledge/process/exchange.py
@@ -53,7 +53,10 @@
 """
 
 MAX_SENDERS = 4096
+"""Maximum number of incarnations whose counters are kept."""
+
 MAX_USAGE = 1e18
+"""Limit of the values in a report; larger values are rejected."""
 
 
 @dataclass
--- a/packages/router/src/teaselledge/process/fetch.py
+++ b/packages/router/src/teaselledge/process/fetch.py
@@ -57,6 +57,7 @@
 """
 
 MAX_REGISTRATION_VALUE = 1e9
+"""Limit of the numbers in a registration; larger numbers are rejected."""
 
 
 def make_queued_request(
--- a/packages/router/tests/test_coldstart.py
+++ b/packages/router/tests/test_coldstart.py
@@ -84,8 +84,12 @@
     await asyncio.sleep(1.5)
     assert (await get(router, "/healthz")).code == 200
     assert (await get(router, "/readyz")).code == 503
-    reply = await complete(router)
-    assert (reply.status, reply.kind, reply.ran) == (503, "not-configured", "no")
+    response = await complete(router)
+    assert (response.status, response.kind, response.ran) == (
+        503,
+        "not-configured",
+        "no",
+    )
     running.tables.faults.down = False
     await until_ready(router)
     assert (await get(router, "/readyz")).code == 200
--- a/packages/router/tests/test_limits.py
+++ b/packages/router/tests/test_limits.py
@@ -41,8 +41,8 @@
     return fleet.routers["r1"].caller_address
 
 
-def problem_of(answer):
-    return json.loads(answer.partition(b"\r\n\r\n")[2])
+def problem_of(raw_response):
+    return json.loads(raw_response.partition(b"\r\n\r\n")[2])
 
 
 async def until(condition, seconds=5.0):
@@ -67,11 +67,11 @@
 async def test_large_body_is_streamed(uploading):
     """A caller uploads much more than the router buffers of a body."""
     body = padded("big", 900_000)
-    reply = await Caller(key_of("amber")).call(
+    response = await Caller(key_of("amber")).call(
         address_of(uploading), "POST", "/v1/services/ledger/work", body
     )
-    assert reply.status == 200, reply
-    assert json.loads(reply.body)["received"] == len(body)
+    assert response.status == 200, response
+    assert json.loads(response.body)["received"] == len(body)
     await until(lambda: uploading.routers["r1"].bodies.reserved_bytes == 0)
 
 
@@ -89,9 +89,9 @@
             part = body[start : start + 1000]
             await caller.send_bytes(b"%x\r\n" % len(part) + part + b"\r\n")
         await caller.send_bytes(b"0\r\n\r\n")
-        answer = await caller.read_all()
-    assert answer.startswith(b"HTTP/1.1 200"), answer
-    assert f'"received": {len(body)}'.encode() in answer
+        raw_response = await caller.read_all()
+    assert raw_response.startswith(b"HTTP/1.1 200"), raw_response
+    assert f'"received": {len(body)}'.encode() in raw_response
 
 
 async def test_interrupted_upload_does_not_run(uploading):
@@ -128,9 +128,9 @@
             f"Content-Length: {len(body)}",
             body=body[:700_000],
         )
-        answer = await caller.read_all()
-    assert answer.startswith(b"HTTP/1.1 502"), answer[:200]
-    assert problem_of(answer)["ran"] == "no"
+        raw_response = await caller.read_all()
+    assert raw_response.startswith(b"HTTP/1.1 502"), raw_response[:200]
+    assert problem_of(raw_response)["ran"] == "no"
     await until(lambda: uploading.routers["r1"].bodies.reserved_bytes == 0)
     await until(lambda: uploading.routers["r1"]._server.connections == 0)
 
@@ -140,10 +140,14 @@
     it is sent. The refusal must not deny that an earlier attempt with the same
     key ran, since it may have reached an endpoint through another router.
     """
-    reply = await Caller(key_of("amber")).call(
+    response = await Caller(key_of("amber")).call(
         address_of(uploading), "POST", ORDERS, padded("order", 5000), "k"
     )
-    assert (reply.status, reply.kind, reply.ran) == (413, "body-too-large", "unknown")
+    assert (response.status, response.kind, response.ran) == (
+        413,
+        "body-too-large",
+        "unknown",
+    )
 
 
 async def test_refusal_by_a_limit_does_not_deny_that_an_order_ran(small):
@@ -160,8 +164,8 @@
         )
         await until(lambda: small.routers["r1"].bodies.reserved_bytes == 2040)
         body = json.dumps({"name": "twice", "padding": "x" * 1000}).encode()
-        reply = await caller.call(address_of(small), "POST", ORDERS, body, "twice")
-    assert (reply.kind, reply.ran) == ("router-full", "unknown")
+        response = await caller.call(address_of(small), "POST", ORDERS, body, "twice")
+    assert (response.kind, response.ran) == ("router-full", "unknown")
 
 
 async def test_body_over_limit_is_refused_before_it_is_read(small):
@@ -172,10 +176,10 @@
             f"Authorization: Bearer {key_of('amber')}",
             "Content-Length: 4000",
         )
-        answer = await caller.read_all()
-    assert answer.startswith(b"HTTP/1.1 413")
-    assert problem_of(answer)["kind"] == "body-too-large"
-    assert problem_of(answer)["ran"] == "no"
+        raw_response = await caller.read_all()
+    assert raw_response.startswith(b"HTTP/1.1 413")
+    assert problem_of(raw_response)["kind"] == "body-too-large"
+    assert problem_of(raw_response)["ran"] == "no"
 
 
 async def test_chunked_body_over_limit_is_refused_midway(small):
@@ -188,8 +192,8 @@
         )
         for _ in range(5):
             await caller.send_bytes(b"200\r\n" + b"x" * 512 + b"\r\n")
-        answer = await caller.read_all()
-    assert answer.startswith(b"HTTP/1.1 413"), answer
+        raw_response = await caller.read_all()
+    assert raw_response.startswith(b"HTTP/1.1 413"), raw_response
     assert small.routers["r1"].bodies.reserved_bytes == 0
 
 
@@ -198,8 +202,8 @@
         await caller.send(
             f"GET {ORDERS} HTTP/1.1", "X-Long: " + "x" * 1500, "Connection: close"
         )
-        answer = await caller.read_all()
-    assert problem_of(answer)["kind"] == "headers-too-large"
+        raw_response = await caller.read_all()
+    assert problem_of(raw_response)["kind"] == "headers-too-large"
 
 
 async def test_connection_over_limit_is_refused_at_once(small):
@@ -210,12 +214,12 @@
         async with raw_caller(address_of(small)) as third:
             await until(lambda: small.routers["r1"]._server.connections == 3)
             async with raw_caller(address_of(small)) as fourth:
-                answer = await fourth.read_all()
-            assert problem_of(answer)["kind"] == "router-full"
+                raw_response = await fourth.read_all()
+            assert problem_of(raw_response)["kind"] == "router-full"
             third.close()
         await until(lambda: small.routers["r1"]._server.connections == 2)
-        reply = await Caller(key_of("amber")).order(address_of(small), "o", "amber")
-        assert reply.status == 200
+        response = await Caller(key_of("amber")).order(address_of(small), "o", "amber")
+        assert response.status == 200
 
 
 async def test_total_size_of_bodies_is_limited(small):
@@ -232,8 +236,8 @@
         await until(lambda: small.routers["r1"].bodies.reserved_bytes == 2000)
         async with raw_caller(address_of(small)) as second:
             await second.send(*head)
-            answer = await second.read_all()
-        assert problem_of(answer)["kind"] == "router-full"
+            raw_response = await second.read_all()
+        assert problem_of(raw_response)["kind"] == "router-full"
         assert small.routers["r1"].bodies.reserved_bytes == 2000
     await until(lambda: small.routers["r1"].bodies.reserved_bytes == 0)
 
@@ -283,10 +287,10 @@
     async with raw_caller(address_of(single)) as slow:
         await slow.post(COMPLETIONS, key_of("amber"), body)
         await slow.read_until(b"data:")
-        reply = await Caller(key_of("birch")).complete(
+        response = await Caller(key_of("birch")).complete(
             address_of(single), "quick", 5, "birch"
         )
-    assert is_whole_completion(reply, "quick", 5)
+    assert is_whole_completion(response, "quick", 5)
 
 
 async def test_invalid_response_of_an_endpoint(single):
@@ -296,11 +300,11 @@
     for plain in single.plains.values():
         plain.faults.garbage = 1
     caller = Caller(key_of("amber"))
-    reply = await caller.order(address_of(single), "g", "amber")
-    assert reply.status in (502, 504), reply
-    assert reply.ran in ("unknown", "yes")
-    reply = await caller.order(address_of(single), "h", "amber")
-    assert reply.status == 200
+    response = await caller.order(address_of(single), "g", "amber")
+    assert response.status in (502, 504), response
+    assert response.ran in ("unknown", "yes")
+    response = await caller.order(address_of(single), "h", "amber")
+    assert response.status == 200
 
 
 async def test_truncated_response_of_an_endpoint_is_visible(single):
@@ -310,6 +314,6 @@
     for engine in single.engines.values():
         engine.faults.break_after = 300
     caller = Caller(key_of("amber"))
-    reply = await caller.complete(address_of(single), "cut", 50, "amber")
-    assert not is_whole_completion(reply, "cut", 50)
-    assert reply.status != 200
+    response = await caller.complete(address_of(single), "cut", 50, "amber")
+    assert not is_whole_completion(response, "cut", 50)
+    assert response.status != 200
