--- a/packages/router/src/teaselledge/process/dispatch.py
+++ b/packages/router/src/teaselledge/process/dispatch.py
@@ -105,7 +105,7 @@
 
     async def _wait_for_tick(self) -> None:
         """Wait for the next tick; without requests ticks are less frequent."""
-        if any(d.waiting or d.running for d in self.dispatchers):
+        if any(d.waiting or d.running for d in self.running):
             await asyncio.sleep(TICK_SECONDS)
             return
         self._wakeup.clear()
@@ -118,7 +118,7 @@
         if self._placement.refresh():
             self._start_assigned()
         leaving = list(self._leaving_endpoints())
-        for dispatcher in self.dispatchers:
+        for dispatcher in self.running:
             service = dispatcher.shard.service
             dispatcher.set_blocked_endpoints({e for s, e in leaving if s == service})
 
--- a/packages/router/tests/test_dispatcher.py
+++ b/packages/router/tests/test_dispatcher.py
@@ -323,7 +323,7 @@
         dispatcher.handle_accept(INGRESS, Accept(grant.grant))
     dispatcher.usage.charge("birch", 1000)
     dispatcher.handle_register(INGRESS, register(3, "amber", "lookup"))
-    (preempted,) = mesh.take("preempt")
+    (preempted,) = mesh.pop_sent("preempt")
     assert preempted.body.grant == granted[2].grant
     dispatcher.handle_done(INGRESS, Done(granted[2].grant, 100.0, False, 1.0, 2))
     assert list(grants(mesh)) == [3]
--- a/packages/router/tests/test_exchange.py
+++ b/packages/router/tests/test_exchange.py
@@ -234,7 +234,7 @@
         body = report(1, {"amber": 5.0}, zone="c", incarnation=301)
         body.region = "far"
         exchange.handle_report(Origin("vm-c", 9), body)
-        forwarded = [s for s in mesh.take("report") if s.body.region == "far"]
+        forwarded = [s for s in mesh.pop_sent("report") if s.body.region == "far"]
         assert bool(forwarded) == bool(far)
     assert len(representatives) == 1
 
