--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Puts the libraries and the workspace's packages into target/deps.
+# Installs the libraries and copies the workspace's packages into target/deps.
 set -eu
 cd "$(dirname "$0")/.."
 mkdir -p target
@@ -10,7 +10,7 @@
         --requirement deploy/requirements.txt
     touch "$stamp"
 fi
-# copied each time, so that a change of the sources reaches the next start
+# copied on each build, so that changes of the sources take effect at the next start
 for package in packages/wire/src/teaselledge_wire packages/fleet/src/teaselledge_fleet \
     platform/src/teaselledge_platform; do
     rm -rf "target/deps/$(basename "$package")"
