--- a/packages/router/tests/test_limits.py
+++ b/packages/router/tests/test_limits.py
@@ -218,7 +218,9 @@
             assert problem_of(raw_response)["kind"] == "router-full"
             third.close()
         await until(lambda: small.routers["r1"]._server.connections == 2)
-        response = await Caller(key_of("amber")).order(address_of(small), "o", "amber")
+        response = await Caller(key_of("amber")).place_order(
+            address_of(small), "o", "amber"
+        )
         assert response.status == 200
 
 
@@ -289,10 +291,10 @@
     async with raw_caller(address_of(single)) as slow:
         await slow.post(COMPLETIONS, key_of("amber"), body)
         await slow.read_until(b"data:")
-        response = await Caller(key_of("birch")).complete(
+        response = await Caller(key_of("birch")).request_completion(
             address_of(single), "quick", 5, "birch"
         )
-    assert is_whole_completion(response, "quick", 5)
+    assert is_complete_response(response, "quick", 5)
 
 
 async def test_invalid_response_of_an_endpoint(single):
@@ -302,10 +304,10 @@
     for plain in single.plains.values():
         plain.faults.garbage = 1
     caller = Caller(key_of("amber"))
-    response = await caller.order(address_of(single), "g", "amber")
+    response = await caller.place_order(address_of(single), "g", "amber")
     assert response.status in (502, 504), response
     assert response.ran in ("unknown", "yes")
-    response = await caller.order(address_of(single), "h", "amber")
+    response = await caller.place_order(address_of(single), "h", "amber")
     assert response.status == 200
 
 
@@ -316,6 +318,6 @@
     for engine in single.engines.values():
         engine.faults.break_after = 300
     caller = Caller(key_of("amber"))
-    response = await caller.complete(address_of(single), "cut", 50, "amber")
-    assert not is_whole_completion(response, "cut", 50)
+    response = await caller.request_completion(address_of(single), "cut", 50, "amber")
+    assert not is_complete_response(response, "cut", 50)
     assert response.status != 200
