--- a/packages/router/src/teaselledge/request/journal.py
+++ b/packages/router/src/teaselledge/request/journal.py
@@ -1,14 +1,14 @@
-"""The order journal: one attempt's reads and writes of an order's record.
+"""The order journal: reads and writes of an order's record by its attempts.
 
-Safety rests on conditional writes of one row alone:
+Safety depends only on conditional writes of a single row:
 
-- An attempt sends nothing before its own started record is known to be there.
-- A started record is changed by its own attempt only, or by an operator.
-- An attempt that sent nothing releases its record. The released record stays
-  as a mark: whoever read the row before cannot claim it any more.
+- An attempt sends nothing before its own started record is known to be stored.
+- Only its own attempt or an operator changes a started record.
+- An attempt that sent nothing releases its record. The released record stays in
+  the row, so an attempt that read the row earlier can no longer claim it.
 
-So a refusal may say that an order did not run only after the row was marked, or
-while the refusing attempt holds the row and has sent nothing.
+A refusal may therefore state that an order did not run only after the released
+record was written, or while the refusing attempt holds the row and has sent nothing.
 """
 
 from collections.abc import Callable
@@ -39,32 +39,32 @@
 __all__ = ["RecordClaim", "JournalRow", "Journal", "ClaimStatus"]
 
 MAX_CLOCK_SKEW_SECONDS = 1.0
-"""Bound on the difference between the wall clocks of two VMs."""
+"""Upper limit of the difference between the wall clocks of two VMs."""
 
 
 class ClaimStatus(Enum):
-    """How an attempt stands to the record under its key."""
+    """Relation of an attempt to the record under its key."""
 
     FREE = "free"
-    """Nobody holds the key; the attempt may claim it."""
+    """No attempt holds the key; this one may claim it."""
 
     MINE = "mine"
-    """The attempt's own started record is there."""
+    """The row holds this attempt's own started record, or its outcome."""
 
     RELEASED = "released"
-    """The attempt's own released record is there."""
+    """The row holds this attempt's own released record."""
 
     FENCED = "fenced"
-    """A release that may be younger than this attempt; it must not claim."""
+    """The row may hold a newer release, so this attempt must not claim."""
 
     TAKEN = "taken"
-    """The record is another attempt's."""
+    """The record belongs to another attempt."""
 
     MISMATCH = "mismatch"
-    """The record is another request's."""
+    """The record belongs to another request."""
 
     UNREADABLE = "unreadable"
-    """The stored bytes are no record."""
+    """The stored bytes are not a valid record."""
 
 
 @dataclass(frozen=True)
@@ -74,9 +74,9 @@
     Attributes
     ----------
     record : OrderRecord or None
-        None where the row is absent or cannot be read.
+        None if the row is absent or its content is invalid.
     version : int
-        Version of the row, `ABSENT` where there is none.
+        Version of the row, `ABSENT` if there is none.
     """
 
     record: OrderRecord | None
@@ -84,7 +84,7 @@
 
 
 class Journal:
-    """The journal's rows in the platform's tables, and its large answers."""
+    """Reads and writes the journal's rows in the platform's table service."""
 
     def __init__(
         self,
@@ -127,24 +127,24 @@
     async def write(
         self, row: str, record: OrderRecord, expect: int, indexed: bool = False
     ) -> Result[None, StoreError]:
-        """Write a record where its row still has the expected version.
+        """Write a record on condition that its row has the expected version.
 
         Parameters
         ----------
         row : str
             Key of the row.
         record : OrderRecord
-            What to write.
+            Record to write.
         expect : int
             Version that the row must have.
         indexed : bool
-            Whether the row is in the index of unknown orders.
+            Whether the index of unknown orders lists the row.
         """
         self._metrics.count("order.writes")
         value = encode_record(record)
         writes = [Write(ORDERS_TABLE, row, value, expect)]
-        # the index changes in the same commit, so that an operator's list
-        # neither misses an unknown order nor shows one that is known
+        # the index changes in the same commit, so that it lists exactly the
+        # unknown orders
         if record.state is OrderState.UNKNOWN:
             writes.append(Write(UNKNOWN_TABLE, row, value))
         elif indexed:
@@ -156,7 +156,7 @@
 
 
 class RecordClaim:
-    """One attempt at an order, and what it knows about the order's row."""
+    """Claims, releases and updates the record of an order for one attempt."""
 
     def __init__(
         self, journal: Journal, row: str, record: OrderRecord, arrived: float
@@ -167,7 +167,7 @@
         self._arrived = arrived
         self._expect = ABSENT
         self._outstanding: int | None = None
-        self._unclear = False
+        self._write_uncertain = False
         self._claimed = False
         self._indexed = False
 
@@ -183,82 +183,82 @@
 
     @property
     def may_be_written(self) -> bool:
-        """Whether a claim of this attempt may be in the row, or get there."""
+        """Whether a claim of this attempt may be stored, now or later."""
         return self._outstanding is not None
 
     @property
     def claimed(self) -> bool:
-        """Whether this attempt is known to hold the row."""
+        """Whether this attempt held the row when it was last read or written."""
         return self._claimed
 
     async def read(self) -> Result[tuple[ClaimStatus, JournalRow], StoreError]:
-        """Read the row once, and remember its version."""
+        """Read the row once; later writes expect its version."""
         read = await self._journal.read(self._row)
-        return read.map(lambda held: (self._judge(held), held))
+        return read.map(lambda row: (self._update_status(row), row))
 
     async def claim(self) -> Result[tuple[ClaimStatus, JournalRow], StoreError]:
-        """Try once to put this attempt's started record into the row.
+        """Try once to write this attempt's started record into the row.
 
-        Repeating it is harmless. Where the answer was lost, the row tells
-        whether the record got there. One that gets there after the row was
-        read does not harm either: the next claim then meets this attempt's
-        own record, and a release in between makes the late one fail.
+        A claim may be repeated. If the store's response is lost, the row is
+        read to find out whether the record was written. A write that takes
+        effect after that read does no harm: the next claim finds this attempt's
+        own record, and a release in between makes the delayed write fail.
         """
-        before = self._outstanding
+        previous = self._outstanding
         self._outstanding = self._expect
-        claimed = await self._put(self._record)
-        if claimed.is_error() and not self._unclear:
-            # this write was refused; only an earlier one may be on its way
-            self._outstanding = before
+        claimed = await self._write(self._record)
+        if claimed.is_error() and not self._write_uncertain:
+            # the store refused this write; only an earlier one may still take effect
+            self._outstanding = previous
         return claimed
 
     async def release(self) -> Result[tuple[ClaimStatus, JournalRow], StoreError]:
-        """Try once to mark the row, so that no attempt so far can claim it.
+        """Try once to write the released record, so that no earlier attempt can claim.
 
-        The caller repeats it until the standing is `RELEASED`, or until the
-        row is another attempt's. It must have sent nothing.
+        The caller repeats this until the status is `RELEASED`, or until the row
+        belongs to another attempt. The attempt must have sent nothing.
         """
         now = self._journal.now()
-        return await self._put(self._record.with_state(OrderState.RELEASED, now))
+        return await self._write(self._record.with_state(OrderState.RELEASED, now))
 
     async def record_outcome(
-        self, state: OrderState, answer: StoredResponse | None, reason: str = ""
+        self, state: OrderState, response: StoredResponse | None, reason: str = ""
     ) -> Result[tuple[ClaimStatus, JournalRow], StoreError]:
-        """Try once to record how the order ended."""
+        """Try once to record the outcome of the order."""
         now = self._journal.now()
-        return await self._put(self._record.with_state(state, now, answer, reason))
+        return await self._write(self._record.with_state(state, now, response, reason))
 
-    async def _put(
+    async def _write(
         self, record: OrderRecord
     ) -> Result[tuple[ClaimStatus, JournalRow], StoreError]:
-        self._unclear = True
+        self._write_uncertain = True
         written = await self._journal.write(
             self._row, record, self._expect, self._indexed
         )
         if written.is_ok():
-            # platforms differ in how versions grow; where this guess is wrong,
-            # the next write meets a conflict and reads the version
-            held = JournalRow(record, self._expect + 1)
-            return Ok((self._judge(held), held))
+            # platforms differ in how versions grow; if this guess is wrong, the
+            # next write fails with a conflict and reads the version
+            row = JournalRow(record, self._expect + 1)
+            return Ok((self._update_status(row), row))
         if written.error.kind is StoreErrorKind.UNAVAILABLE:
-            self._unclear = False
+            self._write_uncertain = False
             return Error(written.error)
         return await self.read()
 
-    def _judge(self, held: JournalRow) -> ClaimStatus:
-        standing = self._standing(held)
-        self._claimed = standing is ClaimStatus.MINE
-        self._expect = held.version
-        record = held.record
+    def _update_status(self, row: JournalRow) -> ClaimStatus:
+        status = self._status_of(row)
+        self._claimed = status is ClaimStatus.MINE
+        self._expect = row.version
+        record = row.record
         self._indexed = record is not None and record.state is OrderState.UNKNOWN
-        # a claim that is still on its way fails once the row has moved on
-        if not self._claimed and held.version != self._outstanding:
+        # a claim that is still outstanding fails once the row has another version
+        if not self._claimed and row.version != self._outstanding:
             self._outstanding = None
-        return standing
+        return status
 
-    def _standing(self, held: JournalRow) -> ClaimStatus:
-        record = held.record
-        if held.version == ABSENT:
+    def _status_of(self, row: JournalRow) -> ClaimStatus:
+        record = row.record
+        if row.version == ABSENT:
             return ClaimStatus.FREE
         if record is None:
             return ClaimStatus.UNREADABLE
@@ -267,15 +267,15 @@
                 return ClaimStatus.RELEASED
             return ClaimStatus.MINE
         if record.state is OrderState.RELEASED:
-            # A caller that was told "not run" by the releasing router may act
-            # on it, while an older attempt of the same key still waits here.
-            # Where that attempt read the row late, only the clocks can tell
-            # that it is the older one.
-            own = record.owner == self._record.owner
-            young = self._arrived > record.written_at + (
-                0.0 if own else MAX_CLOCK_SKEW_SECONDS
+            # The releasing router may have reported "not run", and its caller
+            # may rely on that while an older attempt with the same key still
+            # waits here. If the older attempt read the row after the release,
+            # only the wall clocks show that it is older.
+            same_owner = record.owner == self._record.owner
+            arrived_after_release = self._arrived > record.written_at + (
+                0.0 if same_owner else MAX_CLOCK_SKEW_SECONDS
             )
-            return ClaimStatus.FREE if young else ClaimStatus.FENCED
+            return ClaimStatus.FREE if arrived_after_release else ClaimStatus.FENCED
         if record.digest != self._record.digest:
             return ClaimStatus.MISMATCH
         return ClaimStatus.TAKEN
--- a/packages/router/src/teaselledge/request/order.py
+++ b/packages/router/src/teaselledge/request/order.py
@@ -1,4 +1,4 @@
-"""Run the orders of one router, each by one task that may outlive its caller."""
+"""Run the orders of one router, each in a task that may outlive its caller."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -22,10 +22,10 @@
 
 
 def as_unverified(fault: Fault, key: str | None) -> Fault:
-    """Return a refusal as it may be told without a look into the journal.
+    """Return a fault whose ``ran`` holds without reading the journal.
 
-    A request with an idempotency key may have run at an earlier attempt, on
-    another router. Its refusal here must not say that it did not.
+    A request with an idempotency key may have run in an earlier attempt on
+    another router, so its refusal must not state that it did not run.
     """
     if not key or fault.ran is not Ran.NO:
         return fault
@@ -38,22 +38,22 @@
     Parameters
     ----------
     ingress : Ingress
-        Where slots come from.
+        Grants slots.
     client : EndpointClient
         Sends to endpoints.
     journal : Journal
         The order journal.
     metrics : Metrics
-        Where to count.
+        Receives the order metrics.
     owner : str
-        VM and incarnation; no other process has the same.
-    claim_timing : Pace or None
-        When orders are claimed.
+        VM and incarnation, unique to this process.
+    claim_timing : ClaimTiming or None
+        When orders are claimed; `PredictiveClaimTiming` by default.
 
     Attributes
     ----------
-    tools : OrderTools
-        What its orders share.
+    tools : OrderDependencies
+        Dependencies shared by the orders.
     """
 
     def __init__(
@@ -84,74 +84,73 @@
 
     @property
     def pending(self) -> int:
-        """Orders in progress, and records that the journal still has to get."""
+        """Number of orders in progress or still to be recorded in the journal."""
         return len(self._tasks)
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
-        """Answer an order.
+        """Run an order and respond to its caller.
 
-        The order goes on when the caller goes away after it was sent: the
-        caller will ask again, and its answer is then in the journal.
+        If the caller disconnects after the order was sent, the order continues:
+        the caller is expected to retry and then gets the response from the journal.
         """
         if not request.key:
             return Error(Fault(ErrorKind.KEY_REQUIRED))
         if not is_valid_key(request.key):
             detail = "Idempotency-Key must be 1 to 200 visible ASCII characters."
             return Error(Fault(ErrorKind.BAD_REQUEST, detail=detail))
-        order = self._start(request, sink)
-        return await self._follow(order, order.run())
+        order = self._create_attempt(request, sink)
+        return await self._await_result(order, order.run())
 
     async def refuse(
         self, request: CallerRequest, fault: Fault, sink: Sink | None = None
     ) -> Result[None, Fault]:
-        """Refuse an order that was not queued, with a ``ran`` that is true.
+        """Refuse an order before it is queued, after checking the journal.
 
-        For a refusal at the door, such as by a router that is leaving: an
-        earlier attempt elsewhere may have run. It does not wait for one that
-        is in progress.
+        An earlier attempt on another router may have run the order, and the
+        refusal must not deny that. Does not wait for an attempt in progress.
 
         Parameters
         ----------
         request : CallerRequest
             The order.
         fault : Fault
-            Why it is refused.
+            Reason for the refusal.
         sink : Sink or None
-            Gets the stored answer if there is one.
+            Receives the stored response if there is one.
 
         Returns
         -------
         Result of None or Fault
-            Ok only where the sink got an answer.
+            Ok only if the sink received a response.
         """
         if not request.key or not is_valid_key(request.key):
             return Error(fault)
-        order = self._start(request, sink or _NoSink())
-        result = await self._follow(order, order.refuse(fault))
+        order = self._create_attempt(request, sink or _NullSink())
+        result = await self._await_result(order, order.refuse(fault))
         if result.is_ok() and sink is None:
             return Error(replace(fault, ran=Ran.YES))
         return result
 
     async def wait_until_drained(self) -> None:
-        """Wait until no order is in progress and the journal has its records."""
+        """Wait until no order is in progress or still to be recorded."""
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
     def close(self) -> None:
-        """Stop at once, as a killed process does."""
+        """Cancel all orders at once; their outcomes are not recorded."""
         self._closed = True
         for task in self._tasks:
             task.cancel()
 
-    def _start(self, request: CallerRequest, sink: Sink) -> OrderAttempt:
+    def _create_attempt(self, request: CallerRequest, sink: Sink) -> OrderAttempt:
         self._attempts += 1
         attempt = f"{self.tools.owner}/{self._attempts}"
         return OrderAttempt(self.tools, request, sink, attempt)
 
-    async def _follow(
-        self, order: OrderAttempt, work: Coroutine[Any, Any, None]
+    async def _await_result(
+        self, order: OrderAttempt, coroutine: Coroutine[Any, Any, None]
     ) -> Result[None, Fault]:
-        task = asyncio.create_task(work)
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         task.add_done_callback(order.on_task_done)
@@ -163,19 +162,19 @@
             raise
 
 
-class _NoSink:
-    """The sink of an order that only gets a refusal."""
+class _NullSink:
+    """Discards a response."""
 
     started = False
 
     async def start(self, status: int, headers: HTTPHeaders) -> None:
-        """Take nothing."""
+        """Do nothing."""
 
     async def write(self, chunk: bytes) -> None:
-        """Take nothing."""
+        """Do nothing."""
 
     async def finish(self) -> None:
-        """Take nothing."""
+        """Do nothing."""
 
     def abort(self) -> None:
-        """Take nothing."""
+        """Do nothing."""
--- a/packages/router/src/teaselledge/request/orderrun.py
+++ b/packages/router/src/teaselledge/request/orderrun.py
@@ -1,4 +1,4 @@
-"""One attempt at one order: claim it, send it once, record how it ended."""
+"""One attempt at an order: claim its record, send it once, record the outcome."""
 
 import asyncio
 from collections.abc import Iterator
@@ -33,49 +33,49 @@
 
 __all__ = ["OrderAttempt", "OrderDependencies"]
 
-_Found = tuple[ClaimStatus, JournalRow]
+_ClaimResult = tuple[ClaimStatus, JournalRow]
 
 _log = get_log("order")
 
-INLINE_BYTES = 16 << 10
-"""Longest answer body that is kept in the table service, in bytes."""
+MAX_INLINE_BODY_BYTES = 16 << 10
+"""Larger response bodies are stored in the object store."""
 
-RESERVE_SECONDS = 1.0
-"""Time before the deadline that is kept for a true refusal."""
+REFUSAL_RESERVE_SECONDS = 1.0
+"""Time before the deadline that is reserved for recording a refusal."""
 
-RESERVE_PART = 0.1
-"""The same as a part of the time that the request had; the lesser counts."""
+REFUSAL_RESERVE_FRACTION = 0.1
+"""The same as a fraction of the request's total time; the smaller one applies."""
 
-SLOT_PATIENCE_SECONDS = 0.25
-"""How long a slot may wait for the journal before it is given back."""
+SLOT_HOLD_TIMEOUT_SECONDS = 0.25
+"""How long an acquired slot is held for a claim that is still being written."""
 
-FIRST_PAUSE_SECONDS = 0.05
-LAST_PAUSE_SECONDS = 1.0
-"""Pauses between tries at the store grow from the first to the last."""
+MIN_BACKOFF_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 1.0
+"""Delays between attempts at a store call double from the first to the second."""
 
 MAX_LATE_RESPONSE_SECONDS = 600.0
-"""How long after the caller's deadline an endpoint's answer is waited for."""
+"""How long an endpoint may still respond after the caller's deadline."""
 
-RECHECK_SECONDS = 5.0
-"""Wall-clock seconds after its deadline from which a started order is open."""
+OVERDUE_SECONDS = 5.0
+"""Wall-clock time past the deadline after which nobody waits for a started order."""
 
-MAX_RELEASING = 8
-"""Abandoned attempts of one router that call the store at once."""
+MAX_CONCURRENT_RELEASES = 8
+"""Attempts of one router that release their record concurrently."""
 
-REFUSED_JUST_NOW = "Another attempt of this order was refused just now."
+CONCURRENT_REFUSAL = "Another attempt at this order has just been refused."
 
 
-def _pauses() -> Iterator[float]:
-    """Yield growing pauses without end."""
-    seconds = FIRST_PAUSE_SECONDS
+def _backoff_delays() -> Iterator[float]:
+    """Yield the delays of an endless exponential backoff, in seconds."""
+    seconds = MIN_BACKOFF_SECONDS
     while True:
         yield seconds
-        seconds = min(2 * seconds, LAST_PAUSE_SECONDS)
+        seconds = min(2 * seconds, MAX_BACKOFF_SECONDS)
 
 
 @dataclass(frozen=True)
 class OrderDependencies:
-    """What the orders of one router share; see `OrderExecutor`."""
+    """Dependencies shared by the orders of one router; see `OrderExecutor`."""
 
     ingress: Ingress
     client: EndpointClient
@@ -84,45 +84,51 @@
     owner: str
     claim_timing: ClaimTiming
     release_limit: asyncio.Semaphore = field(
-        default_factory=lambda: asyncio.Semaphore(MAX_RELEASING)
+        default_factory=lambda: asyncio.Semaphore(MAX_CONCURRENT_RELEASES)
     )
 
 
 class OrderAttempt:
-    """One attempt at one order, from arrival to the journal's last write.
+    """Runs one attempt at an order, from arrival to the last write to the journal.
 
     Attributes
     ----------
     result_future : asyncio.Future of Result
-        What the caller gets; it may be there long before the attempt ends.
+        Result for the caller; it may be set long before the attempt ends.
     """
 
     def __init__(
-        self, tools: OrderDependencies, request: CallerRequest, sink: Sink, attempt: str
+        self,
+        dependencies: OrderDependencies,
+        request: CallerRequest,
+        sink: Sink,
+        attempt: str,
     ) -> None:
         loop = asyncio.get_running_loop()
-        self._tools = tools
+        self._dependencies = dependencies
         self._request = request
         self._relay = RecordingSink(sink)
         self._arrived = loop.time()
-        left = request.deadline - self._arrived
-        self._limit = request.deadline - min(RESERVE_SECONDS, RESERVE_PART * left)
-        now = tools.journal.now()
+        remaining = request.deadline - self._arrived
+        self._prepare_deadline = request.deadline - min(
+            REFUSAL_RESERVE_SECONDS, REFUSAL_RESERVE_FRACTION * remaining
+        )
+        now = dependencies.journal.now()
         record = OrderRecord(
             OrderState.STARTED,
             request_digest(request),
             attempt,
-            tools.owner,
+            dependencies.owner,
             request.service,
             request.kind,
             now,
-            now + left,
+            now + remaining,
         )
         row = order_row(request.organisation, request.key or "")
-        self._attempt = RecordClaim(tools.journal, row, record, now)
-        self._due = asyncio.Event()
+        self._record_claim = RecordClaim(dependencies.journal, row, record, now)
+        self._claim_now = asyncio.Event()
         self._sent = False
-        self._left = False
+        self._abandoned = False
         self.result_future: asyncio.Future[Result[None, Fault]] = loop.create_future()
 
     async def run(self) -> None:
@@ -130,188 +136,202 @@
         try:
             granted = await self._prepare()
             if granted is not None:
-                await self._carry_out(granted)
+                await self._send_until_received(granted)
         except asyncio.CancelledError:
-            # the caller went away before anything was sent; otherwise the
-            # process ends, and must not write any more
-            if not self._left:
+            # an abandoned attempt still releases its record; any other
+            # cancellation means that the process ends and must not write any more
+            if not self._abandoned:
                 raise
         if not self._sent:
-            await self._let_go()
+            await self._release_record()
 
     async def refuse(self, fault: Fault) -> None:
-        """Refuse the order without trying to run it, or waiting for others."""
-        self._limit = asyncio.get_running_loop().time()
+        """Refuse the order without running it or waiting for other attempts."""
+        self._prepare_deadline = asyncio.get_running_loop().time()
         await self._refuse(fault)
-        await self._let_go()
+        await self._release_record()
 
     def detach_caller(self) -> bool:
-        """Go on without the caller; return whether to cancel what goes on."""
+        """Detach the caller; return whether the attempt is to be cancelled.
+
+        It is if nothing was sent; otherwise it continues without the caller.
+        """
         self._relay.abort()
-        self._left = not self._sent
-        return self._left
+        self._abandoned = not self._sent
+        return self._abandoned
 
     def on_task_done(self, task: "asyncio.Task[None]") -> None:
-        """Make sure that the caller's side is not left waiting."""
+        """Set the result if the attempt ended without one."""
         if task.cancelled():
             self.result_future.cancel()
             return
         error = task.exception()
         if error is not None:
-            _log.opt(exception=error).error("Order ended by an error.")
-        self._tell(Error(Fault(ErrorKind.INTERNAL, Ran.UNKNOWN)))
+            _log.opt(exception=error).error("Order attempt failed with an exception.")
+        self._set_result(Error(Fault(ErrorKind.INTERNAL, Ran.UNKNOWN)))
 
-    def _tell(self, result: Result[None, Fault]) -> None:
+    def _set_result(self, result: Result[None, Fault]) -> None:
         if not self.result_future.done():
             self.result_future.set_result(result)
 
     # before the request is sent
 
     async def _prepare(self) -> SlotGrant | None:
-        """Return a slot once the claim is in the journal, None where refused."""
-        hold = asyncio.create_task(self._hold())
+        """Acquire a slot and claim the record; return None if the order was refused."""
+        claiming = asyncio.create_task(self._claim_in_time())
         slot: SlotWait | None = None
         try:
-            if self._tools.claim_timing.journal_failing:
-                # a slot would wait for the journal; others could have used it
-                await asyncio.wait({hold})
-            slot = self._ask(())
-            await asyncio.wait({hold, slot.task}, return_when=asyncio.FIRST_COMPLETED)
-            if slot.task.done() and not hold.done():
-                fault = await self._wait_with_slot(slot, hold)
+            if self._dependencies.claim_timing.journal_failing:
+                # a slot acquired now would stay idle until the journal responds
+                await asyncio.wait({claiming})
+            slot = self._request_slot(())
+            await asyncio.wait(
+                {claiming, slot.task}, return_when=asyncio.FIRST_COMPLETED
+            )
+            if slot.task.done() and not claiming.done():
+                fault = await self._claim_for_slot(slot, claiming)
                 if fault is not None:
                     await self._refuse(fault)
                     return None
-            found = await hold
+            found = await claiming
             if found is None:
                 slot.cancel()
-                detail = "The order journal gave no answer in time."
+                detail = "The order journal did not respond in time."
                 await self._refuse(Fault(ErrorKind.JOURNAL_UNAVAILABLE, detail=detail))
                 return None
             if found[0] is not ClaimStatus.MINE:
                 slot.cancel()
-                await self._follow_other(*found)
+                await self._respond_from_other(*found)
                 return None
             if slot.cancelled:
-                slot = self._ask(())
-            granted = await self._taken(slot)
-            self._tools.claim_timing.record_slot_wait(
+                slot = self._request_slot(())
+            granted = await self._acquire_slot(slot)
+            self._dependencies.claim_timing.record_slot_wait(
                 self._request.service, slot.wait_seconds
             )
             return granted
         finally:
-            hold.cancel()
+            claiming.cancel()
             if slot is not None:
                 slot.cancel()
 
-    async def _taken(self, slot: SlotWait) -> SlotGrant | None:
+    async def _acquire_slot(self, slot: SlotWait) -> SlotGrant | None:
         acquired = await slot.acquire()
         if acquired.is_error():
             await self._refuse(acquired.error)
             return None
         return acquired.ok
 
-    async def _wait_with_slot(
-        self, slot: SlotWait, hold: "asyncio.Task[_Found | None]"
+    async def _claim_for_slot(
+        self, slot: SlotWait, claiming: "asyncio.Task[_ClaimResult | None]"
     ) -> Fault | None:
-        """Claim now that the slot is there; give it back where that takes long."""
+        """Claim the record now that the slot is granted.
+
+        The slot is released if the claim takes too long. Returns the fault if
+        the request for the slot was refused.
+        """
         result = slot.task.result()
         if result.is_error():
-            # a claim that is on its way counts as one that may get there
-            hold.cancel()
-            await asyncio.wait({hold})
+            # a cancelled claim may still reach the store, so it counts as written
+            claiming.cancel()
+            await asyncio.wait({claiming})
             return result.error
         loop = asyncio.get_running_loop()
-        since = loop.time()
-        self._due.set()
-        await asyncio.wait({hold}, timeout=SLOT_PATIENCE_SECONDS)
-        self._tools.metrics.time("order.idle_slot", loop.time() - since)
-        if not hold.done():
+        started_at = loop.time()
+        self._claim_now.set()
+        await asyncio.wait({claiming}, timeout=SLOT_HOLD_TIMEOUT_SECONDS)
+        self._dependencies.metrics.time("order.idle_slot", loop.time() - started_at)
+        if not claiming.done():
             slot.cancel()
         return None
 
-    def _ask(self, excluded: tuple[str, ...]) -> SlotWait:
+    def _request_slot(self, excluded: tuple[str, ...]) -> SlotWait:
         request = self._request
         kind = request.kind_entry
-        ticket = SlotRequest(
+        slot_request = SlotRequest(
             request.organisation,
             request.service,
             request.kind,
             kind.cost_hint,
-            self._limit,
+            self._prepare_deadline,
             len(request.body),
             kind.repeatable,
             None,
             excluded,
         )
-        return SlotWait(self._tools.ingress, ticket)
+        return SlotWait(self._dependencies.ingress, slot_request)
 
-    async def _hold(self) -> _Found | None:
-        """Claim the record when it is time; None where the journal is silent."""
+    async def _claim_in_time(self) -> _ClaimResult | None:
+        """Claim the record when due; return None if the journal does not respond."""
         try:
-            async with asyncio.timeout_at(self._limit):
+            async with asyncio.timeout_at(self._prepare_deadline):
                 return await self._claim()
         except TimeoutError:
             return None
 
-    async def _claim(self) -> _Found:
+    async def _claim(self) -> _ClaimResult:
         loop = asyncio.get_running_loop()
-        pace = self._tools.claim_timing
-        looked = await self._attempt.read()
-        if looked.is_ok() and looked.ok[0] is not ClaimStatus.FREE:
-            return looked.ok
-        if looked.is_error():
-            pace.record_failure()
-        await self._until_due(self._arrived + pace.claim_delay(self._request.service))
-        for pause in _pauses():
-            since = loop.time()
-            claimed = await self._attempt.claim()
+        claim_timing = self._dependencies.claim_timing
+        read = await self._record_claim.read()
+        if read.is_ok() and read.ok[0] is not ClaimStatus.FREE:
+            return read.ok
+        if read.is_error():
+            claim_timing.record_failure()
+        await self._wait_until_claim_due(
+            self._arrived + claim_timing.claim_delay(self._request.service)
+        )
+        for delay in _backoff_delays():
+            started_at = loop.time()
+            claimed = await self._record_claim.claim()
             if claimed.is_ok() and claimed.ok[0] is not ClaimStatus.FREE:
-                pace.record_claim_time(loop.time() - since)
+                claim_timing.record_claim_time(loop.time() - started_at)
                 return claimed.ok
             if claimed.is_error():
-                pace.record_failure()
-            await asyncio.sleep(pause)
-        raise AssertionError("pauses never end")
+                claim_timing.record_failure()
+            await asyncio.sleep(delay)
+        raise AssertionError("unreachable: the backoff never ends")
 
-    async def _until_due(self, due: float) -> None:
+    async def _wait_until_claim_due(self, due: float) -> None:
         if due == float("inf"):
-            await self._due.wait()
+            await self._claim_now.wait()
             return
         try:
             async with asyncio.timeout_at(due):
-                await self._due.wait()
+                await self._claim_now.wait()
         except TimeoutError:
             return
 
     async def _refuse(self, fault: Fault) -> None:
-        """Give a true refusal, at once."""
+        """Refuse the order, with the value of ``ran`` that is known to hold."""
         loop = asyncio.get_running_loop()
-        # This attempt may hold the row and has sent nothing, and whatever read
-        # the row before cannot claim it: nothing ran, and nothing will before
-        # the caller asks again. So "no" is true also while the store is silent.
-        certain = self._attempt.claimed
-        left = max(self._request.deadline - loop.time(), FIRST_PAUSE_SECONDS)
-        standing, held = ClaimStatus.FREE, JournalRow(None, ABSENT)
+        # If this attempt holds the row, it has sent nothing, and an attempt that
+        # read the row earlier cannot claim it. The order did not run and will not
+        # before the caller retries, so "no" holds even if the store is unavailable.
+        not_run = self._record_claim.claimed
+        remaining = max(self._request.deadline - loop.time(), MIN_BACKOFF_SECONDS)
+        status, row = ClaimStatus.FREE, JournalRow(None, ABSENT)
         with suppress(TimeoutError):
-            async with asyncio.timeout(min(left, RESERVE_SECONDS)):
-                standing, held = await self._mark()
-        if standing in (
+            async with asyncio.timeout(min(remaining, REFUSAL_RESERVE_SECONDS)):
+                status, row = await self._write_released()
+        if status in (
             ClaimStatus.TAKEN,
             ClaimStatus.MISMATCH,
             ClaimStatus.UNREADABLE,
         ):
-            await self._follow_other(standing, held)
+            await self._respond_from_other(status, row)
             return
-        if certain or standing is ClaimStatus.RELEASED:
-            self._tell(Error(replace(fault, ran=Ran.NO)))
+        if not_run or status is ClaimStatus.RELEASED:
+            self._set_result(Error(replace(fault, ran=Ran.NO)))
             return
         self._refuse_unknown(fault, "journal-unavailable")
 
-    async def _mark(self) -> _Found:
-        """Mark the row so that no attempt so far runs; FREE where that failed."""
+    async def _write_released(self) -> _ClaimResult:
+        """Write the released record, which keeps all earlier attempts from running.
+
+        Returns FREE if the store call failed.
+        """
         while True:
-            released = await self._attempt.release()
+            released = await self._record_claim.release()
             if released.is_error():
                 return ClaimStatus.FREE, JournalRow(None, ABSENT)
             if released.ok[0] not in (
@@ -320,147 +340,155 @@
                 ClaimStatus.FENCED,
             ):
                 return released.ok
-            await asyncio.sleep(FIRST_PAUSE_SECONDS / 2)
+            await asyncio.sleep(MIN_BACKOFF_SECONDS / 2)
 
-    async def _let_go(self) -> None:
-        """Release the row, however long the store is out of reach.
+    async def _release_record(self) -> None:
+        """Release the record, retrying until the store is available.
 
-        The claim may be in the row, or a late write may still put it there;
-        the key would be stuck though nothing was sent.
+        The claim may be in the row, or a delayed write may still put it there.
+        Without a release the key would stay occupied although nothing was sent.
         """
-        for pause in _pauses():
-            if not self._attempt.may_be_written:
+        for delay in _backoff_delays():
+            if not self._record_claim.may_be_written:
                 return
-            # after a long outage there are many such attempts; all at once
-            # they would keep the store down that has just come back
-            async with self._tools.release_limit:
-                await self._mark()
-            if self._attempt.may_be_written:
-                await asyncio.sleep(pause)
-
-    # where another attempt has the key
-
-    async def _follow_other(self, standing: ClaimStatus, held: JournalRow) -> None:
-        """Answer from another attempt's record."""
-        if standing in (ClaimStatus.FENCED, ClaimStatus.RELEASED):
-            fault = Fault(ErrorKind.ORDER_IN_PROGRESS, detail=REFUSED_JUST_NOW)
+            # after a long outage there are many such attempts, which together
+            # would overload a store that has just recovered
+            async with self._dependencies.release_limit:
+                await self._write_released()
+            if self._record_claim.may_be_written:
+                await asyncio.sleep(delay)
+
+    # if another attempt holds the key
+
+    async def _respond_from_other(self, status: ClaimStatus, row: JournalRow) -> None:
+        """Respond according to another attempt's record."""
+        if status in (ClaimStatus.FENCED, ClaimStatus.RELEASED):
+            fault = Fault(ErrorKind.ORDER_IN_PROGRESS, detail=CONCURRENT_REFUSAL)
             await self._refuse(fault)
             return
-        if standing is ClaimStatus.MISMATCH:
-            self._tell(Error(Fault(ErrorKind.KEY_MISMATCH)))
+        if status is ClaimStatus.MISMATCH:
+            self._set_result(Error(Fault(ErrorKind.KEY_MISMATCH)))
             return
-        if held.record is None:
+        if row.record is None:
             self._refuse_unknown(Fault(ErrorKind.ORDER_UNKNOWN), "unreadable")
             return
         try:
-            async with asyncio.timeout_at(self._limit):
-                record = await self._until_ended(held.record)
+            async with asyncio.timeout_at(self._prepare_deadline):
+                record = await self._wait_for_outcome(row.record)
         except TimeoutError:
             self._refuse_unknown(Fault(ErrorKind.ORDER_IN_PROGRESS), "in-progress")
             return
-        await self._answer_from(record)
+        await self._respond_from(record)
 
-    async def _until_ended(self, record: OrderRecord) -> OrderRecord:
-        """Wait while another attempt runs the order."""
-        for pause in _pauses():
+    async def _wait_for_outcome(self, record: OrderRecord) -> OrderRecord:
+        """Poll the record while another attempt runs the order."""
+        for delay in _backoff_delays():
             if record.state is not OrderState.STARTED:
                 break
-            if self._tools.journal.now() > record.send_deadline + RECHECK_SECONDS:
-                # its router is gone, or the endpoint takes very long: there is
-                # nothing left for which this request could wait
+            if (
+                self._dependencies.journal.now()
+                > record.send_deadline + OVERDUE_SECONDS
+            ):
+                # the router of that attempt has failed or its endpoint is very
+                # slow, so an outcome is no longer expected in time
                 break
-            await asyncio.sleep(pause)
-            looked = await self._attempt.read()
-            if looked.is_ok() and looked.ok[1].record is not None:
-                record = looked.ok[1].record
+            await asyncio.sleep(delay)
+            read = await self._record_claim.read()
+            if read.is_ok() and read.ok[1].record is not None:
+                record = read.ok[1].record
         return record
 
-    async def _answer_from(self, record: OrderRecord) -> None:
+    async def _respond_from(self, record: OrderRecord) -> None:
         if record.state is OrderState.FINISHED:
             await self._replay(record.response)
             return
         ran = RAN_BY_STATE[record.state]
         if ran is Ran.YES:
-            self._tell(Error(Fault(ErrorKind.ANSWER_LOST, Ran.YES)))
+            self._set_result(Error(Fault(ErrorKind.ANSWER_LOST, Ran.YES)))
             return
         if ran is Ran.NO:
-            fault = Fault(ErrorKind.ORDER_IN_PROGRESS, detail=REFUSED_JUST_NOW)
+            fault = Fault(ErrorKind.ORDER_IN_PROGRESS, detail=CONCURRENT_REFUSAL)
             await self._refuse(fault)
             return
         self._refuse_unknown(Fault(ErrorKind.ORDER_UNKNOWN), record.state.value)
 
-    async def _replay(self, answer: StoredResponse | None) -> None:
-        body = None if answer is None else answer.body
-        if answer is not None and answer.object_key:
-            stored = await self._tools.journal.objects.get(answer.object_key)
+    async def _replay(self, response: StoredResponse | None) -> None:
+        body = None if response is None else response.body
+        if response is not None and response.object_key:
+            stored = await self._dependencies.journal.objects.get(response.object_key)
             body = stored.ok if stored.is_ok() else None
-        if answer is None or body is None:
-            self._tell(Error(Fault(ErrorKind.ANSWER_LOST, Ran.YES)))
+        if response is None or body is None:
+            self._set_result(Error(Fault(ErrorKind.ANSWER_LOST, Ran.YES)))
             return
-        self._tools.metrics.count("order.replayed")
+        self._dependencies.metrics.count("order.replayed")
         headers = HTTPHeaders()
-        for name, value in answer.headers:
+        for name, value in response.headers:
             headers.add(name, value)
-        await self._relay.start(answer.status, headers)
+        await self._relay.start(response.status, headers)
         await self._relay.write(body)
         await self._relay.finish()
-        self._tell(Ok(None))
+        self._set_result(Ok(None))
 
     def _refuse_unknown(self, fault: Fault, reason: str) -> None:
-        self._tools.metrics.count("order.unknown", 1, reason)
+        self._dependencies.metrics.count("order.unknown", 1, reason)
         detail = fault.detail or f"Reason: {reason}."
-        self._tell(Error(replace(fault, ran=Ran.UNKNOWN, detail=detail)))
+        self._set_result(Error(replace(fault, ran=Ran.UNKNOWN, detail=detail)))
 
-    # once the record is claimed and a slot is there
+    # once the record is claimed and a slot is granted
 
-    async def _carry_out(self, granted: SlotGrant) -> None:
+    async def _send_until_received(self, granted: SlotGrant) -> None:
         excluded: tuple[str, ...] = ()
         while True:
-            if self._lapsed():
-                self._tools.ingress.release(granted, 0.0, False)
+            if self._deadline_passed():
+                self._dependencies.ingress.release(granted, 0.0, False)
                 await self._refuse(Fault(ErrorKind.QUEUE_TIMEOUT))
                 return
-            ended = await self._send(granted)
-            if ended.maybe_sent:
-                await self._record(ended)
+            result = await self._send(granted)
+            if result.maybe_sent:
+                await self._record_outcome(result)
                 return
-            # nothing reached that endpoint, so the claim serves for another
+            # that endpoint received nothing, so the claim remains valid for another
             self._sent = False
-            if self._left or self.result_future.done():
+            if self._abandoned or self.result_future.done():
                 return
             excluded = (*excluded, granted.endpoint)
-            slot = self._ask(excluded)
+            slot = self._request_slot(excluded)
             try:
-                following = await self._taken(slot)
+                next_grant = await self._acquire_slot(slot)
             finally:
                 slot.cancel()
-            if following is None:
+            if next_grant is None:
                 return
-            granted = following
+            granted = next_grant
 
-    def _lapsed(self) -> bool:
-        """Return whether it is too late to send.
+    def _deadline_passed(self) -> bool:
+        """Return whether the order must no longer be sent.
 
-        The process may have been paused since the grant, or the machine
-        suspended, which the loop's clock does not show. An operator may settle
-        an order whose deadline is over, so it must not go out any more.
+        The process may have been paused since the grant, or the VM suspended.
+        The event loop's clock does not count a suspension, so the wall clock is
+        checked, too. An operator may settle an order after its deadline; sent
+        later, it could run although it was settled as not run.
         """
         late = asyncio.get_running_loop().time() >= self._request.deadline
-        return late or self._tools.journal.now() >= self._attempt.record.send_deadline
+        return (
+            late
+            or self._dependencies.journal.now()
+            >= self._record_claim.record.send_deadline
+        )
 
     async def _send(self, granted: SlotGrant) -> ExchangeResult:
-        """Exchange with the endpoint and answer the caller."""
+        """Send the order to the endpoint and relay the response to the caller."""
         request = self._request
         loop = asyncio.get_running_loop()
         meter = get_meter_by_name(request.service_entry.cost)
         endpoint = request.service_entry.endpoints[granted.endpoint]
-        ended = ExchangeResult(
-            True, None, ErrorKind.ENDPOINT_TIMEOUT, "no answer in time"
+        result = ExchangeResult(
+            True, None, ErrorKind.ENDPOINT_TIMEOUT, "no response in time"
         )
         self._sent = True
         exchange = asyncio.create_task(
             exchange_order(
-                self._tools.client,
+                self._dependencies.client,
                 endpoint.address,
                 request,
                 self._relay,
@@ -470,69 +498,77 @@
         try:
             await asyncio.wait({exchange}, timeout=request.deadline - loop.time())
             if not exchange.done():
-                self._time_out()
+                self._report_timeout()
                 await asyncio.wait({exchange}, timeout=MAX_LATE_RESPONSE_SECONDS)
             if not exchange.done():
                 self._relay.abort()
             if exchange.done():
-                ended = exchange.result()
-            return ended
+                result = exchange.result()
+            return result
         finally:
             exchange.cancel()
-            failed = ended.response is None
-            self._tools.ingress.release(granted, meter.cost, failed)
+            failed = result.response is None
+            self._dependencies.ingress.release(granted, meter.cost, failed)
 
-    def _time_out(self) -> None:
-        """Answer the caller at its deadline; the order goes on.
+    def _report_timeout(self) -> None:
+        """Report a time-out to the caller at its deadline; the order continues.
 
-        An answer that has begun by then is passed on to its end.
+        A response that has started by then is relayed to its end.
         """
         if self._relay.started:
             return
         self._refuse_unknown(Fault(ErrorKind.ENDPOINT_TIMEOUT), "endpoint-timeout")
         self._relay.abort()
 
-    async def _record(self, ended: ExchangeResult) -> None:
-        """Tell the outcome, and put it into the journal however long that takes."""
-        state, answer = OrderState.UNKNOWN, None
-        if ended.response is not None:
-            self._tell(Ok(None))
-            state, answer = OrderState.FINISHED, await self._kept(ended.response)
+    async def _record_outcome(self, result: ExchangeResult) -> None:
+        """Report the outcome to the caller, and retry until the journal has it."""
+        state, response = OrderState.UNKNOWN, None
+        if result.response is not None:
+            self._set_result(Ok(None))
+            state, response = (
+                OrderState.FINISHED,
+                await self._store_body(result.response),
+            )
         elif self._relay.started:
             self._relay.abort()
-            self._tell(Ok(None))
+            self._set_result(Ok(None))
         elif not self.result_future.done():
-            fault = Fault(ended.kind, detail=f"{ended.reason.capitalize()}.")
-            self._refuse_unknown(fault, ended.kind.value)
-        for pause in _pauses():
-            closed = await self._attempt.record_outcome(state, answer, ended.reason)
-            if closed.is_ok() and self._is_closed(state, *closed.ok):
+            fault = Fault(result.kind, detail=f"{result.reason.capitalize()}.")
+            self._refuse_unknown(fault, result.kind.value)
+        for delay in _backoff_delays():
+            written = await self._record_claim.record_outcome(
+                state, response, result.reason
+            )
+            if written.is_ok() and self._is_recorded(state, *written.ok):
                 return
-            await asyncio.sleep(pause)
+            await asyncio.sleep(delay)
 
-    def _is_closed(
-        self, state: OrderState, standing: ClaimStatus, held: JournalRow
+    def _is_recorded(
+        self, state: OrderState, status: ClaimStatus, row: JournalRow
     ) -> bool:
-        if standing in (ClaimStatus.TAKEN, ClaimStatus.MISMATCH):
-            # an operator settled it as not run, and another attempt followed
-            _log.error(f"Order {self._attempt.row} ran after it was settled.")
+        """Return whether the journal needs no further write."""
+        if status in (ClaimStatus.TAKEN, ClaimStatus.MISMATCH):
+            # an operator settled the order as not run; another attempt claimed it
+            _log.error(
+                f"Order {self._record_claim.row} ran, but was settled as not run."
+            )
             return True
-        record = held.record
+        record = row.record
         return (
             record is not None
             and record.state is state
-            and record.attempt == self._attempt.record.attempt
+            and record.attempt == self._record_claim.record.attempt
         )
 
-    async def _kept(self, answer: StoredResponse) -> StoredResponse:
-        """Move a long body to the object store."""
-        if answer.body is None or len(answer.body) <= INLINE_BYTES:
-            return answer
-        name = f"{self._attempt.row}\0{self._attempt.record.attempt}"
+    async def _store_body(self, response: StoredResponse) -> StoredResponse:
+        """Store a large body in the object store; return the response to record."""
+        if response.body is None or len(response.body) <= MAX_INLINE_BODY_BYTES:
+            return response
+        name = f"{self._record_claim.row}\0{self._record_claim.record.attempt}"
         key = f"order-{sha256(name.encode()).hexdigest()}"
-        for pause in _pauses():
-            stored = await self._tools.journal.objects.put(key, answer.body)
+        for delay in _backoff_delays():
+            stored = await self._dependencies.journal.objects.put(key, response.body)
             if stored.is_ok():
                 break
-            await asyncio.sleep(pause)
-        return replace(answer, body=None, object_key=key)
+            await asyncio.sleep(delay)
+        return replace(response, body=None, object_key=key)
--- a/packages/router/tests/test_order_explored.py
+++ b/packages/router/tests/test_order_explored.py
@@ -1,4 +1,4 @@
-"""Every interleaving of small numbers of order attempts, on the real code."""
+"""Tests of order attempts under every interleaving of their steps."""
 
 from teaselledge.platform import ANY
 from teaselledge.request.journal import ClaimStatus, Journal, RecordClaim
@@ -31,71 +31,70 @@
 
 
 def test_two_attempts_with_a_lost_answer_and_a_crash():
-    """Two routers hold the same order. Any of them is paused anywhere, one of
-    their writes takes effect and its answer is lost, and one of them is
-    killed. The order must not run twice, and nobody may be told that it did
-    not run when it did.
+    """Two routers get the same order. Either may be paused at any step, one
+    write takes effect but its response is lost, and one router is killed. The
+    order must not run twice, nor be reported as not run if it ran.
     """
     assert explored("lost, crash", {LOST: 1, CRASH: 1}).states > 450
 
 
 def test_two_attempts_with_a_late_write():
-    """A write of one router lands at any time after its answer was lost, or
-    never, while the other router goes on.
+    """The response to a write of one router is lost; the write takes effect at
+    any later time, or never, while the other router continues.
     """
     assert explored("late, crash", {LATE: 1, CRASH: 1}).states > 450
 
 
 def test_two_attempts_with_a_failing_endpoint_and_store():
-    """The endpoint refuses one connection, runs an order and drops another,
-    and the store refuses a call.
+    """The endpoint refuses one connection and drops another after it ran the
+    order, and the store refuses a call.
     """
     assert explored("endpoint", {DOWN: 1, DROP: 1, REFUSED: 1}).states > 450
 
 
 def test_two_attempts_while_time_passes():
-    """The store takes so long that refusals are due before it answers."""
+    """The store is so slow that refusals are due before it responds."""
     assert explored("wait", {WAIT: 1, DOWN: 1}).states > 500
 
 
-def test_refusal_beside_another_attempt():
-    """One router finds no slot and refuses the order, while its twin waits on
-    another router. Either nothing runs, or the caller is not told so.
+def test_refusal_during_another_attempt():
+    """One router gets no slot and refuses the order while another router has an
+    attempt at it. The refusal must not state that the order did not run if it runs.
     """
     assert explored("refusal", {LOST: 1, CRASH: 1}, full=("a",)).states > 250
 
 
 class UnconditionalJournal(Journal):
-    """Writes whatever the row holds."""
+    """Journal whose writes do not check the version of the row."""
 
     async def write(self, row, record, expect, indexed=False):
         """Write without a condition."""
         return await super().write(row, record, ANY, indexed)
 
 
-def test_unconditional_journal_is_caught():
-    """A journal that writes without its condition lets two routers send the
-    same order; the exploration has to see it.
+def test_unconditional_journal_is_detected():
+    """Unconditional writes let two routers send the same order. The exploration
+    must detect this.
     """
     try:
         explored("unconditional", {}, UnconditionalJournal)
     except ExplorationError as error:
         assert "ran 2 times" in str(error)
         return
-    raise AssertionError("the broken journal passed")
+    raise AssertionError("the exploration missed the unconditional writes")
 
 
-def test_unmarked_refusal_is_caught():
-    """A router that refuses an order without marking its row says that it did
-    not run, while the other router goes on to send it.
+def test_refusal_without_a_release_is_detected():
+    """A router refuses an order without writing the released record, and reports
+    it as not run while another router sends it. The exploration must detect this.
     """
     release = RecordClaim.release
 
-    async def pretend(attempt):
+    async def skip_release(attempt):
         held = await attempt.read()
         return held.map(lambda found: (ClaimStatus.RELEASED, found[1]))
 
-    RecordClaim.release = pretend
+    RecordClaim.release = skip_release
     try:
         explored("unmarked", {}, full=("a",))
     except ExplorationError as error:
@@ -103,4 +102,4 @@
         return
     finally:
         RecordClaim.release = release
-    raise AssertionError("the broken refusal passed")
+    raise AssertionError("the exploration missed the refusal without a release")
