--- a/packages/router/src/teaselledge/request/__init__.py
+++ b/packages/router/src/teaselledge/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one request."""
+"""Handling of a single request."""
--- a/packages/router/src/teaselledge/request/context.py
+++ b/packages/router/src/teaselledge/request/context.py
@@ -1,4 +1,4 @@
-"""One caller's request, and where its answer goes."""
+"""A caller's request and the sink of its response."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -13,28 +13,28 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A request that was read in full and passed the checks.
+    """A request that has passed the checks.
 
     Attributes
     ----------
     id : str
-        Identifies it in answers and logs.
+        Identifier of the request in responses and logs.
     organisation, service, kind : str
-        Names from the document.
+        Names from the configuration document.
     method, path : str
-        As the endpoint gets them.
+        HTTP method and path as sent to the endpoint.
     headers : HTTPHeaders
-        Headers to pass on.
+        Headers to forward.
     body : bytes
-        The whole body.
+        The body, or its first part if there is an upload.
     key : str or None
         Idempotency key.
     version : Version
-        The configuration under which it runs to its end.
+        Version of the configuration that applies to the whole request.
     deadline : float
-        Loop time at which the caller must have a final answer.
+        Event loop time at which the caller must have a final response.
     upload : Upload or None
-        The rest of a body that is too large to be kept.
+        The remainder of a body that is too large to be buffered.
     """
 
     id: str
@@ -62,7 +62,7 @@
 
 
 class Sink(Protocol):
-    """The caller's side of an answer."""
+    """Writes a response to the caller."""
 
     @property
     def started(self) -> bool:
@@ -72,10 +72,10 @@
         """Send the head."""
 
     async def write(self, chunk: bytes) -> None:
-        """Send a part of the body; waits while the caller is slow."""
+        """Send a chunk of the body, waiting while the caller reads slowly."""
 
     async def finish(self) -> None:
-        """Mark the answer as whole."""
+        """Mark the response as complete."""
 
     def abort(self) -> None:
-        """End the answer visibly broken."""
+        """Break off the response so that the caller detects that it is incomplete."""
--- a/packages/router/src/teaselledge/request/cost.py
+++ b/packages/router/src/teaselledge/request/cost.py
@@ -1,4 +1,4 @@
-"""Meters for the cost of a request."""
+"""Meters of the cost of a request."""
 
 import asyncio
 from typing import Protocol
@@ -7,22 +7,22 @@
 
 
 class Meter(Protocol):
-    """Counts what one request costs."""
+    """Measures the cost of one request."""
 
     @property
     def cost(self) -> float:
         """Cost so far, in the service's unit."""
 
     def observe(self, chunk: bytes) -> None:
-        """Count a part of the answer."""
+        """Process a chunk of the response."""
 
 
 class MeterNotFoundError(LookupError):
-    """There is no meter of that name."""
+    """Raised if no meter has the given name."""
 
 
 class SecondsMeter:
-    """Counts the seconds for which a slot is held."""
+    """Measures the seconds for which a slot is occupied."""
 
     def __init__(self) -> None:
         self._start = asyncio.get_running_loop().time()
@@ -33,13 +33,13 @@
         return asyncio.get_running_loop().time() - self._start
 
     def observe(self, chunk: bytes) -> None:
-        """Count nothing; time is enough."""
+        """Do nothing."""
 
 
 class TokensMeter:
-    """Counts the events of a server-sent stream, one a token."""
+    """Counts the events of a server-sent event stream, one per token."""
 
-    MARK = b"data:"
+    EVENT_MARK = b"data:"
 
     def __init__(self) -> None:
         self._events = 0
@@ -51,10 +51,10 @@
         return float(self._events)
 
     def observe(self, chunk: bytes) -> None:
-        """Count events, also those split between two chunks."""
+        """Count events, including those split between two chunks."""
         text = self._tail + chunk
-        self._events += text.count(self.MARK)
-        keep = len(self.MARK) - 1
+        self._events += text.count(self.EVENT_MARK)
+        keep = len(self.EVENT_MARK) - 1
         self._tail = text[-keep:]
 
 
@@ -72,7 +72,7 @@
     MeterNotFoundError
         If no meter has that name.
     """
-    found = METERS.get(name)
-    if found is None:
+    meter_class = METERS.get(name)
+    if meter_class is None:
         raise MeterNotFoundError(name)
-    return found()
+    return meter_class()
--- a/packages/router/src/teaselledge/request/exchange.py
+++ b/packages/router/src/teaselledge/request/exchange.py
@@ -1,4 +1,4 @@
-"""One exchange of an order with an endpoint."""
+"""Exchange of an order with an endpoint."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,18 +22,18 @@
 
 @dataclass(frozen=True)
 class ExchangeResult:
-    """How an exchange with an endpoint ended.
+    """Outcome of an exchange with an endpoint.
 
     Attributes
     ----------
     maybe_sent : bool
-        Whether the endpoint may have received anything.
+        Whether the endpoint may have received a part of the request.
     response : StoredResponse or None
-        The whole answer, if it came.
+        The complete response, None if it was not received.
     kind : ErrorKind
-        What to tell the caller where it did not.
+        Kind of the fault if there is no response.
     reason : str
-        What happened.
+        Description of the failure.
     """
 
     maybe_sent: bool
@@ -43,10 +43,10 @@
 
 
 def is_mismatched_response(sent: HTTPHeaders, received: HTTPHeaders) -> bool:
-    """Return whether an answer names another request than the one sent.
+    """Return whether a response carries the identifier of another request.
 
-    An endpoint behind a broken pool of its own may give a caller another
-    caller's answer. Those that echo the identifier show it in time.
+    An endpoint with a faulty connection pool may return one caller's response
+    to another. This is detected if the endpoint echoes the identifier.
     """
     echoed = received.get(ID_HEADER)
     return echoed is not None and echoed != sent.get(ID_HEADER)
@@ -59,7 +59,7 @@
     relay: RecordingSink,
     on_chunk: Callable[[bytes], None],
 ) -> ExchangeResult:
-    """Send an order and pass its answer on, to the answer's end."""
+    """Send an order and relay the response to its end."""
     outbound = OutboundRequest(
         request.method, request.path, request.headers, request.body
     )
@@ -70,20 +70,20 @@
         if failure.malformed:
             kind = ErrorKind.ENDPOINT_GARBAGE
         return ExchangeResult(failure.maybe_sent, None, kind, failure.detail)
-    answer = sent.ok
+    response = sent.ok
     try:
-        if is_mismatched_response(outbound.headers, answer.headers):
-            detail = "the endpoint answered another request"
+        if is_mismatched_response(outbound.headers, response.headers):
+            detail = "the response belongs to another request"
             return ExchangeResult(True, None, ErrorKind.ENDPOINT_GARBAGE, detail)
-        await relay.start(answer.status, answer.headers)
-        async for chunk in answer.chunks():
+        await relay.start(response.status, response.headers)
+        async for chunk in response.chunks():
             on_chunk(chunk)
             await relay.write(chunk)
     except IncompleteResponseError:
         return ExchangeResult(
-            True, None, ErrorKind.ENDPOINT_FAILED, "the answer broke off"
+            True, None, ErrorKind.ENDPOINT_FAILED, "the response was incomplete"
         )
     finally:
-        answer.close()
+        response.close()
     await relay.finish()
     return ExchangeResult(True, relay.response)
--- a/packages/router/src/teaselledge/request/forward.py
+++ b/packages/router/src/teaselledge/request/forward.py
@@ -1,4 +1,4 @@
-"""Run one request: wait for a slot, send it, relay the answer."""
+"""Run a request: wait for a slot, send it and relay the response."""
 
 import asyncio
 from dataclasses import dataclass, replace
@@ -35,23 +35,23 @@
 
 
 @dataclass
-class _Journey:
-    """What one request has been through.
+class _RequestProgress:
+    """Progress of a request over its attempts.
 
     Attributes
     ----------
     position : int
-        Bytes of the answer's body that were passed on.
+        Bytes of the response body that were relayed to the caller.
     attempts : int
-        Attempts made, without those that were preempted.
+        Number of attempts made, not counting preempted ones.
     ran : Ran
-        What all attempts together allow to say.
+        Whether any of the attempts may have run.
     excluded : tuple of str
-        Endpoints that failed it.
+        Endpoints at which an attempt failed.
     fault : Fault or None
-        How the last attempt failed.
+        Fault of the last attempt.
     prefix : int or None
-        Hash of the prompt's beginning.
+        Hash of the prompt's prefix.
     """
 
     request: CallerRequest
@@ -68,8 +68,8 @@
         """Whether the service's endpoints resume a broken stream."""
         return self.request.service_entry.resumes
 
-    def ticket(self) -> SlotRequest:
-        """Return the wish for a slot."""
+    def slot_request(self) -> SlotRequest:
+        """Return the request for a slot."""
         request = self.request
         kind = request.kind_entry
         return SlotRequest(
@@ -85,13 +85,13 @@
             response_started=self.sink.started,
         )
 
-    def give_up(self, fault: Fault) -> Result[None, Fault]:
-        """End with a true refusal, or with an answer that is visibly broken."""
+    def fail(self, fault: Fault) -> Result[None, Fault]:
+        """Return the final fault, or abort a response that has already started."""
         if self.sink.started:
             self.sink.abort()
             return Ok(None)
-        told = replace(fault, ran=merge_ran(fault.ran, self.ran))
-        return Error(as_unverified(told, self.request.key))
+        reported = replace(fault, ran=merge_ran(fault.ran, self.ran))
+        return Error(as_unverified(reported, self.request.key))
 
 
 class Forwarder:
@@ -100,7 +100,7 @@
     Attributes
     ----------
     orders : OrderExecutor
-        Runs those that may not be repeated.
+        Runs the requests that are not repeatable.
     """
 
     def __init__(
@@ -117,77 +117,79 @@
         self.orders = orders
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
-        """Answer a request.
+        """Run a request and relay its response.
 
         Returns
         -------
         Result of None or Fault
-            Ok where the sink got an answer, whole or visibly broken; the
-            fault to tell the caller where it got nothing.
+            Ok if the sink received a response, complete or aborted; otherwise
+            the fault to report to the caller.
         """
         if not request.kind_entry.repeatable:
             return await self.orders.run(request, sink)
-        journey = _Journey(request, sink, prefix=prefix_of(request))
+        progress = _RequestProgress(request, sink, prefix=prefix_of(request))
         self._budget(request.service).deposit()
         while True:
-            acquired = await self._ingress.acquire(journey.ticket())
+            acquired = await self._ingress.acquire(progress.slot_request())
             if acquired.is_error():
-                return journey.give_up(journey.fault or acquired.error)
+                return progress.fail(progress.fault or acquired.error)
             granted = acquired.ok
-            ended = await self._attempt(journey, granted)
-            if ended.outcome is AttemptOutcome.WHOLE:
+            result = await self._attempt(progress, granted)
+            if result.outcome is AttemptOutcome.WHOLE:
                 return Ok(None)
-            if ended.outcome is AttemptOutcome.PREEMPTED:
+            if result.outcome is AttemptOutcome.PREEMPTED:
                 continue
-            journey.attempts += 1
-            journey.fault = ended.fault
-            journey.excluded = (*journey.excluded, granted.endpoint)
-            if ended.outcome is not AttemptOutcome.UNSENT:
-                journey.ran = merge_ran(journey.ran, Ran.UNKNOWN)
-            if not self._may_retry(journey, ended.outcome):
-                return journey.give_up(ended.fault)
-            self._metrics.count("request.retried", 1, ended.outcome.value)
+            progress.attempts += 1
+            progress.fault = result.fault
+            progress.excluded = (*progress.excluded, granted.endpoint)
+            if result.outcome is not AttemptOutcome.UNSENT:
+                progress.ran = merge_ran(progress.ran, Ran.UNKNOWN)
+            if not self._may_retry(progress, result.outcome):
+                return progress.fail(result.fault)
+            self._metrics.count("request.retried", 1, result.outcome.value)
 
     def _budget(self, service: str) -> Budget:
-        found = self._budgets.get(service)
-        if found is None:
-            found = self._budgets[service] = RetryBudget.from_config()
-        return found
+        budget = self._budgets.get(service)
+        if budget is None:
+            budget = self._budgets[service] = RetryBudget.from_config()
+        return budget
 
-    def _may_retry(self, journey: _Journey, end: AttemptOutcome) -> bool:
-        late = asyncio.get_running_loop().time() >= journey.request.deadline
-        if late or journey.attempts >= MAX_ATTEMPTS:
+    def _may_retry(self, progress: _RequestProgress, outcome: AttemptOutcome) -> bool:
+        deadline_passed = asyncio.get_running_loop().time() >= progress.request.deadline
+        if deadline_passed or progress.attempts >= MAX_ATTEMPTS:
             return False
-        if journey.sink.started and not journey.resumes:
+        if progress.sink.started and not progress.resumes:
             return False
-        if journey.request.upload is not None and journey.request.upload.started:
+        if progress.request.upload is not None and progress.request.upload.started:
             return False
-        if end is AttemptOutcome.UNSENT:
-            # the endpoint got nothing, so that this is no load on it
+        if outcome is AttemptOutcome.UNSENT:
+            # the endpoint received nothing, so the retry adds no load to it
             return True
-        return self._budget(journey.request.service).try_withdraw()
+        return self._budget(progress.request.service).try_withdraw()
 
-    async def _attempt(self, journey: _Journey, granted: SlotGrant) -> AttemptResult:
-        meter = get_meter_by_name(journey.request.service_entry.cost)
+    async def _attempt(
+        self, progress: _RequestProgress, granted: SlotGrant
+    ) -> AttemptResult:
+        meter = get_meter_by_name(progress.request.service_entry.cost)
         failed = True
         try:
-            ended = await self._exchange(journey, granted, meter)
-            failed = ended.outcome not in (
+            result = await self._exchange(progress, granted, meter)
+            failed = result.outcome not in (
                 AttemptOutcome.WHOLE,
                 AttemptOutcome.PREEMPTED,
             )
-            return ended
+            return result
         finally:
             self._ingress.release(granted, meter.cost, failed)
 
     async def _exchange(
-        self, journey: _Journey, granted: SlotGrant, meter: Meter
+        self, progress: _RequestProgress, granted: SlotGrant, meter: Meter
     ) -> AttemptResult:
-        request = journey.request
-        headers = with_resume_header(request.headers, journey.position)
-        if journey.prefix is not None:
+        request = progress.request
+        headers = with_resume_header(request.headers, progress.position)
+        if progress.prefix is not None:
             headers = headers.copy()
-            headers[PREFIX_HEADER] = str(journey.prefix)
+            headers[PREFIX_HEADER] = str(progress.prefix)
         outbound = OutboundRequest(
             request.method, request.path, headers, request.body, request.upload
         )
@@ -211,54 +213,58 @@
             return AttemptResult(
                 AttemptOutcome.FAILED, Fault(kind, Ran.UNKNOWN, failure.detail)
             )
-        answer = sent.ok
+        response = sent.ok
         try:
-            return await self._relay(journey, granted, meter, outbound, answer)
+            return await self._relay(progress, granted, meter, outbound, response)
         finally:
-            answer.close()
+            response.close()
 
     async def _relay(
         self,
-        journey: _Journey,
+        progress: _RequestProgress,
         granted: SlotGrant,
         meter: Meter,
         outbound: OutboundRequest,
-        answer: EndpointResponse,
+        response: EndpointResponse,
     ) -> AttemptResult:
-        garbage = Fault(ErrorKind.ENDPOINT_GARBAGE, Ran.UNKNOWN)
-        if is_mismatched_response(outbound.headers, answer.headers):
-            return AttemptResult(AttemptOutcome.FAILED, garbage)
-        if is_refusal(answer.status) and self._has_other(journey):
+        malformed = Fault(ErrorKind.ENDPOINT_GARBAGE, Ran.UNKNOWN)
+        if is_mismatched_response(outbound.headers, response.headers):
+            return AttemptResult(AttemptOutcome.FAILED, malformed)
+        if is_refusal(response.status) and self._may_try_another(progress):
             return AttemptResult(AttemptOutcome.REFUSED)
-        if not resumes_at(answer.headers, journey.position):
-            return AttemptResult(AttemptOutcome.FAILED, garbage)
-        preempted = granted.preempted if journey.resumes else None
-        watch = StreamWatchdog(answer, preempted)
-        sink = journey.sink
+        if not resumes_at(response.headers, progress.position):
+            return AttemptResult(AttemptOutcome.FAILED, malformed)
+        preempted = granted.preempted if progress.resumes else None
+        watchdog = StreamWatchdog(response, preempted)
+        sink = progress.sink
         try:
-            # the head waits for the first byte: until something has reached
-            # the caller, the request can go elsewhere
-            async for chunk in answer.chunks():
-                watch.record_activity()
+            # the head is sent with the first byte of the body: as long as the
+            # caller has received nothing, another endpoint can be tried
+            async for chunk in response.chunks():
+                watchdog.record_activity()
                 if not sink.started:
-                    await sink.start(answer.status, answer.headers)
+                    await sink.start(response.status, response.headers)
                 meter.observe(chunk)
                 self._ingress.report_cost(granted, meter.cost)
                 await sink.write(chunk)
-                journey.position += len(chunk)
+                progress.position += len(chunk)
         except IncompleteResponseError:
-            end = AttemptOutcome.PREEMPTED if watch.preempted else AttemptOutcome.FAILED
-            return AttemptResult(end, Fault(ErrorKind.ENDPOINT_FAILED, Ran.UNKNOWN))
+            outcome = (
+                AttemptOutcome.PREEMPTED
+                if watchdog.preempted
+                else AttemptOutcome.FAILED
+            )
+            return AttemptResult(outcome, Fault(ErrorKind.ENDPOINT_FAILED, Ran.UNKNOWN))
         finally:
-            watch.stop()
+            watchdog.stop()
         if not sink.started:
-            await sink.start(answer.status, answer.headers)
+            await sink.start(response.status, response.headers)
         await sink.finish()
         return AttemptResult(AttemptOutcome.WHOLE)
 
-    def _has_other(self, journey: _Journey) -> bool:
-        """Return whether a refused request goes elsewhere, not to the caller."""
-        if journey.sink.started:
+    def _may_try_another(self, progress: _RequestProgress) -> bool:
+        """Return whether to try another endpoint instead of relaying a refusal."""
+        if progress.sink.started:
             return True
-        tried = len(journey.excluded) + 1
-        return tried < min(MAX_ATTEMPTS, len(journey.request.service_entry.endpoints))
+        tried = len(progress.excluded) + 1
+        return tried < min(MAX_ATTEMPTS, len(progress.request.service_entry.endpoints))
--- a/packages/router/src/teaselledge/request/prefix.py
+++ b/packages/router/src/teaselledge/request/prefix.py
@@ -1,4 +1,4 @@
-"""Tell requests apart by the beginning of their prompt."""
+"""Hashes of the prefixes that requests share."""
 
 import xxhash
 
@@ -7,20 +7,19 @@
 __all__ = ["PREFIX_BYTES", "PREFIX_HEADER", "prefix_of"]
 
 PREFIX_HEADER = "X-Prefix"
-"""Tells an engine the hash, so that its cache events can name it."""
+"""Header that passes the hash to an engine for its cache events."""
 
 PREFIX_BYTES = 1024
-"""Bytes of a body that name its prefix; a shorter body shares nothing worth it."""
+"""Length of the hashed prefix; caching a shorter body would save little."""
 
 HASH_BITS = 63
 
 
 def prefix_of(request: CallerRequest) -> int | None:
-    """Return a hash of the prompt's beginning, None where there is no cache.
+    """Return a hash of the prompt's prefix, None if no cache applies.
 
-    An engine that has served the same beginning lately has it in its cache and
-    need not compute it again. The hash is a hint: two beginnings with one hash
-    cost time at most.
+    An engine that has recently processed the same prefix has it in its cache and
+    need not compute it again. The hash is a hint: a collision only costs time.
     """
     if request.service_entry.cost != "tokens" or len(request.body) < PREFIX_BYTES:
         return None
--- a/packages/router/src/teaselledge/request/relay.py
+++ b/packages/router/src/teaselledge/request/relay.py
@@ -1,4 +1,4 @@
-"""Pass an order's answer on and keep it, also after the caller has gone."""
+"""Relay an order's response and record it, also after the caller disconnected."""
 
 from tornado.httputil import HTTPHeaders
 from tornado.iostream import StreamClosedError
@@ -8,19 +8,19 @@
 
 __all__ = ["RecordingSink"]
 
-KEPT_BYTES = 8 << 20
-"""Longest answer that the journal keeps, in bytes."""
+MAX_STORED_BODY_BYTES = 8 << 20
+"""Larger response bodies are not stored in the journal."""
 
 
 class RecordingSink:
-    """A sink that outlives its caller and remembers the answer."""
+    """Relays a response until the caller disconnects, and records all of it."""
 
     def __init__(self, sink: Sink) -> None:
         self._sink: Sink | None = sink
         self._status = 0
         self._headers: tuple[tuple[str, str], ...] = ()
         self._body = bytearray()
-        self._too_long = False
+        self._too_large = False
 
     @property
     def started(self) -> bool:
@@ -29,12 +29,12 @@
 
     @property
     def response(self) -> StoredResponse:
-        """The answer so far; without a body where that is too long to keep."""
-        body = None if self._too_long else bytes(self._body)
+        """The response so far, without its body if that is too large to store."""
+        body = None if self._too_large else bytes(self._body)
         return StoredResponse(self._status, self._headers, body)
 
     async def start(self, status: int, headers: HTTPHeaders) -> None:
-        """Take the head."""
+        """Record and relay the head."""
         self._status = status
         self._headers = tuple(headers.get_all())
         if self._sink is None:
@@ -45,11 +45,11 @@
             self._sink = None
 
     async def write(self, chunk: bytes) -> None:
-        """Take a part of the body."""
-        if len(self._body) + len(chunk) > KEPT_BYTES:
-            self._too_long = True
+        """Record and relay a chunk of the body."""
+        if len(self._body) + len(chunk) > MAX_STORED_BODY_BYTES:
+            self._too_large = True
             self._body.clear()
-        if not self._too_long:
+        if not self._too_large:
             self._body += chunk
         if self._sink is None:
             return
@@ -59,7 +59,7 @@
             self._sink = None
 
     async def finish(self) -> None:
-        """Mark the answer as whole."""
+        """Mark the response as complete."""
         if self._sink is None:
             return
         try:
@@ -68,7 +68,7 @@
             self._sink = None
 
     def abort(self) -> None:
-        """End what has reached the caller visibly broken, and let go of it."""
+        """Detach the caller, aborting its response if that has started."""
         if self.started and self._sink is not None:
             self._sink.abort()
         self._sink = None
--- a/packages/router/src/teaselledge/request/resume.py
+++ b/packages/router/src/teaselledge/request/resume.py
@@ -1,10 +1,10 @@
-"""Resume a stream that broke, at the byte where it broke.
+"""Resume an interrupted stream at the byte where it broke off.
 
-The router asks with the header ``X-Resume-From: n``, beside the same request
-and the same ``X-Request-Id``, for an answer whose body leaves out its first
-``n`` bytes. An engine that does so says it by the same header and value in its
-answer. One that does not would send the answer from its beginning, and the
-caller would get a part of it twice; its answer is therefore not used.
+The router repeats the request with the same ``X-Request-Id`` and the header
+``X-Resume-From: n``, which requests a response without the first ``n`` bytes of
+its body. An engine that supports this echoes the header and its value. Any other
+engine sends the response from its beginning, and the caller would get a part of
+it twice; such a response is not used.
 """
 
 from tornado.httputil import HTTPHeaders
@@ -15,14 +15,14 @@
 
 
 def with_resume_header(headers: HTTPHeaders, position: int) -> HTTPHeaders:
-    """Return the headers of a request for the answer from a byte on."""
+    """Return the request headers for a response that starts at a byte."""
     if position == 0:
         return headers
-    asking = headers.copy()
-    asking[RESUME_HEADER] = str(position)
-    return asking
+    resume_headers = headers.copy()
+    resume_headers[RESUME_HEADER] = str(position)
+    return resume_headers
 
 
 def resumes_at(headers: HTTPHeaders, position: int) -> bool:
-    """Return whether an answer's body begins at that byte."""
+    """Return whether a response's body starts at a byte."""
     return headers.get(RESUME_HEADER, "0").strip() == str(position)
--- a/packages/router/src/teaselledge/request/retry.py
+++ b/packages/router/src/teaselledge/request/retry.py
@@ -1,4 +1,4 @@
-"""Whether a repeatable request is tried again."""
+"""Outcomes of attempts, for the retries of repeatable requests."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -17,51 +17,51 @@
 
 MAX_ATTEMPTS = 3
 
-REFUSALS = frozenset({429, 503})
-"""Statuses of an endpoint that took no work."""
+REFUSAL_STATUSES = frozenset({429, 503})
+"""HTTP statuses by which an endpoint refuses a request without running it."""
 
-ORDER = (Ran.NO, Ran.UNKNOWN, Ran.YES)
+RAN_PRECEDENCE = (Ran.NO, Ran.UNKNOWN, Ran.YES)
 
 
 class Budget(Protocol):
-    """Keeps retries a small part of all attempts."""
+    """Limits retries to a small fraction of all attempts."""
 
     def deposit(self) -> None:
-        """Note a first attempt."""
+        """Record a first attempt."""
 
     def try_withdraw(self) -> bool:
-        """Take one retry; False where none is left."""
+        """Use up one retry; return False if none is left."""
 
 
 class AttemptOutcome(Enum):
-    """How one attempt ended."""
+    """Outcome of an attempt."""
 
     WHOLE = "whole"
-    """The whole answer was passed on."""
+    """The complete response was relayed."""
 
     UNSENT = "unsent"
-    """Nothing reached the endpoint."""
+    """The endpoint received nothing."""
 
     REFUSED = "refused"
-    """The endpoint answered that it takes no work."""
+    """The endpoint refused the request without running it."""
 
     FAILED = "failed"
-    """There was no answer, or it broke off."""
+    """There was no response, or it was incomplete."""
 
     PREEMPTED = "preempted"
-    """The dispatcher wanted the slot back."""
+    """The dispatcher reclaimed the slot."""
 
 
 @dataclass(frozen=True)
 class AttemptResult:
-    """The end of one attempt.
+    """Outcome and fault of an attempt.
 
     Attributes
     ----------
-    outcome : End
-        How it ended.
+    outcome : AttemptOutcome
+        How the attempt ended.
     fault : Fault
-        What to tell the caller if no further attempt is made.
+        Fault to report to the caller if no further attempt is made.
     """
 
     outcome: AttemptOutcome
@@ -69,10 +69,10 @@
 
 
 def is_refusal(status: int) -> bool:
-    """Return whether an endpoint's status says that it took no work."""
-    return status in REFUSALS
+    """Return whether an HTTP status means that the endpoint refused the request."""
+    return status in REFUSAL_STATUSES
 
 
 def merge_ran(one: Ran, other: Ran) -> Ran:
-    """Return what two attempts together allow to say."""
-    return max(one, other, key=ORDER.index)
+    """Return the value of ``ran`` that covers two attempts."""
+    return max(one, other, key=RAN_PRECEDENCE.index)
--- a/packages/router/src/teaselledge/request/slot.py
+++ b/packages/router/src/teaselledge/request/slot.py
@@ -1,4 +1,4 @@
-"""A slot that is asked for, and given back unless it is used."""
+"""Waiting for a slot in a task, with the slot released unless it is used."""
 
 import asyncio
 
@@ -11,35 +11,35 @@
 
 
 class SlotWait:
-    """One wait for a slot, beside other things that have to happen first.
+    """Waits for a slot in a task of its own, so that a claim can be written meanwhile.
 
     Attributes
     ----------
     task : asyncio.Task
-        Ends with the ingress's answer.
+        Task whose result is that of the ingress.
     cancelled : bool
-        Whether the wait was given up.
+        Whether the wait was cancelled.
     wait_seconds : float
-        Seconds that the wait took, once it is over.
+        Duration of the wait, set once the task is done.
     """
 
-    def __init__(self, ingress: Ingress, ticket: SlotRequest) -> None:
+    def __init__(self, ingress: Ingress, slot_request: SlotRequest) -> None:
         self._ingress = ingress
         self._used = False
         self.cancelled = False
         self.wait_seconds = 0.0
-        self._since = asyncio.get_running_loop().time()
-        self.task = asyncio.create_task(ingress.acquire(ticket))
-        self.task.add_done_callback(self._note)
+        self._started_at = asyncio.get_running_loop().time()
+        self.task = asyncio.create_task(ingress.acquire(slot_request))
+        self.task.add_done_callback(self._record_wait)
 
     async def acquire(self) -> Result[SlotGrant, Fault]:
-        """Wait for the slot and use it."""
+        """Wait for the slot; the caller of this method has to release it."""
         result = await self.task
         self._used = True
         return result
 
     def cancel(self) -> None:
-        """Stop waiting, and give the slot back if it is there."""
+        """Stop waiting, and release the slot if it was granted but not used."""
         self.cancelled = True
         if self._used or self.task.cancel() or self.task.cancelled():
             return
@@ -48,5 +48,5 @@
             self._used = True
             self._ingress.release(result.ok, 0.0, False)
 
-    def _note(self, task: "asyncio.Task[Result[SlotGrant, Fault]]") -> None:
-        self.wait_seconds = asyncio.get_running_loop().time() - self._since
+    def _record_wait(self, task: "asyncio.Task[Result[SlotGrant, Fault]]") -> None:
+        self.wait_seconds = asyncio.get_running_loop().time() - self._started_at
--- a/packages/router/src/teaselledge/request/upload.py
+++ b/packages/router/src/teaselledge/request/upload.py
@@ -1,4 +1,4 @@
-"""The part of a body that arrives while the request runs."""
+"""Streaming of a large request body to an endpoint while it arrives."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -8,49 +8,49 @@
 MAX_BUFFERED_CHUNKS = 4
 
 MAX_BUFFERED_BYTES = MAX_BUFFERED_CHUNKS * 64 * 1024
-"""Bytes that an upload holds at most; the caller waits beyond them."""
+"""Maximum number of bytes that an upload buffers before the caller has to wait."""
 
 
 class Upload:
-    """Passes chunks from a caller to one endpoint, once.
+    """Passes the chunks of a body from the caller to one endpoint.
 
-    What has been passed on is not kept, so a request can't be sent to another
-    endpoint after its upload has begun.
+    Chunks are not retained, so a request can't be sent to another endpoint after
+    its upload has started.
     """
 
     def __init__(self) -> None:
         self._queue: asyncio.Queue[bytes | None] = asyncio.Queue(MAX_BUFFERED_CHUNKS)
-        self._begun = False
-        self._dropped = False
+        self._started = False
+        self._discarded = False
 
     @property
     def started(self) -> bool:
-        """Whether an endpoint has been given any of it."""
-        return self._begun
+        """Whether an endpoint has started to read the body."""
+        return self._started
 
     async def put(self, chunk: bytes) -> None:
-        """Add what arrived; waits while the endpoint is slow."""
-        if not self._dropped:
+        """Add a chunk, waiting while the buffer is full."""
+        if not self._discarded:
             await self._queue.put(chunk)
 
     async def end(self) -> None:
-        """Note that the body is complete."""
-        if not self._dropped:
+        """Mark the body as complete."""
+        if not self._discarded:
             await self._queue.put(None)
 
     def discard(self) -> None:
-        """Take no more: the request has ended.
+        """Discard all chunks, as the request has ended.
 
-        Otherwise who puts the next part waits for an endpoint that never
-        takes it, and holds the caller's connection for ever.
+        Otherwise `put` would wait for an endpoint that no longer reads, and the
+        caller's connection would stay occupied for ever.
         """
-        self._dropped = True
+        self._discarded = True
         while not self._queue.empty():
             self._queue.get_nowait()
 
     async def chunks(self) -> AsyncIterator[bytes]:
         """Iterate over the chunks as they arrive."""
-        self._begun = True
+        self._started = True
         while True:
             chunk = await self._queue.get()
             if chunk is None:
--- a/packages/router/src/teaselledge/request/watch.py
+++ b/packages/router/src/teaselledge/request/watch.py
@@ -1,4 +1,4 @@
-"""End an answer that stalls, or whose slot the dispatcher wants back."""
+"""Close a response that stalls, or whose slot the dispatcher reclaims."""
 
 import asyncio
 
@@ -6,36 +6,36 @@
 
 __all__ = ["StreamWatchdog"]
 
-STALL_SECONDS = 60.0
-"""Time without a byte after which a stream counts as broken.
+STALL_TIMEOUT_SECONDS = 60.0
+"""Time without a byte after which a response is closed.
 
-An endpoint that hangs keeps its connection open. One notices by streams that
-stop for good; without a limit they would hold their slots for ever.
+A hanging endpoint keeps its connection open, so its streams would occupy their
+slots for ever without this limit.
 """
 
 
 class StreamWatchdog:
-    """Closes an answer that stalls or is preempted.
+    """Closes a response that stalls or is preempted.
 
-    A task of its own waits for the preemption, and a timer looks for stalls,
-    so that passing a part on costs no more than noting the time.
+    A separate task waits for the preemption and a timer checks for stalls, so
+    that relaying a chunk costs no more than storing the time.
     """
 
     def __init__(
-        self, answer: EndpointResponse, preempted: asyncio.Event | None
+        self, response: EndpointResponse, preempted: asyncio.Event | None
     ) -> None:
-        self._answer = answer
+        self._response = response
         self._loop = asyncio.get_running_loop()
-        self._last = self._loop.time()
-        self._timer = self._loop.call_later(STALL_SECONDS, self._look)
+        self._last_activity = self._loop.time()
+        self._timer = self._loop.call_later(STALL_TIMEOUT_SECONDS, self._check_stall)
         self._task: asyncio.Task[None] | None = None
         self.preempted = False
         if preempted is not None:
-            self._task = asyncio.create_task(self._wait(preempted))
+            self._task = asyncio.create_task(self._close_on_preemption(preempted))
 
     def record_activity(self) -> None:
-        """Note that a part came."""
-        self._last = self._loop.time()
+        """Record that a chunk was received."""
+        self._last_activity = self._loop.time()
 
     def stop(self) -> None:
         """Stop watching."""
@@ -43,14 +43,16 @@
         if self._task is not None:
             self._task.cancel()
 
-    async def _wait(self, preempted: asyncio.Event) -> None:
+    async def _close_on_preemption(self, preempted: asyncio.Event) -> None:
         await preempted.wait()
         self.preempted = True
-        self._answer.close()
+        self._response.close()
 
-    def _look(self) -> None:
-        silent = self._loop.time() - self._last
-        if silent >= STALL_SECONDS:
-            self._answer.close()
+    def _check_stall(self) -> None:
+        idle = self._loop.time() - self._last_activity
+        if idle >= STALL_TIMEOUT_SECONDS:
+            self._response.close()
             return
-        self._timer = self._loop.call_later(STALL_SECONDS - silent, self._look)
+        self._timer = self._loop.call_later(
+            STALL_TIMEOUT_SECONDS - idle, self._check_stall
+        )
--- a/packages/router/tests/test_forward.py
+++ b/packages/router/tests/test_forward.py
@@ -20,7 +20,7 @@
 LENGTH = sum(len(answer_text(NAME, part)) for part in range(CHUNKS))
 
 
-async def ask(fleet, service="models", kind="stream", name=NAME, cost=8.0):
+async def send_request(fleet, service="models", kind="stream", name=NAME, cost=8.0):
     return await fleet.call("vm-0", "amber", service, kind, name, cost)
 
 
@@ -30,9 +30,9 @@
             setattr(endpoint.faults, name, value)
 
 
-async def test_stream_that_breaks_anywhere_is_resumed(fleet):
-    """An engine drops a stream at some byte. Whichever it is, the caller gets
-    the whole answer, with no byte lost and none twice.
+async def test_stream_dropped_at_any_byte_is_resumed(fleet):
+    """An engine drops a stream at any byte. The caller must get the complete
+    response, with no byte lost or repeated.
     """
     faults = EndpointFaults()
     for endpoint in fleet.endpoints.values():
@@ -41,72 +41,72 @@
     for position, times in [(position, 1) for position in range(LENGTH)] + twice:
         faults.break_after = position
         faults.break_times = times
-        outcome = await ask(fleet, cost=0.0)
+        outcome = await send_request(fleet, cost=0.0)
         assert outcome.is_correct, (position, times, outcome.sink.body)
         assert faults.break_times == 0
-        # the retry budget fills up again
+        # the retry budget refills
         await asyncio.sleep(2 * times)
 
 
-async def test_stream_is_broken_visibly_where_the_engine_starts_again(fleet):
-    """An engine that does not know how to resume sends its answer from the
+async def test_stream_is_aborted_if_the_engine_does_not_resume(fleet):
+    """An engine without support for resuming sends its response from the
     beginning. The caller must not get a part of it twice.
     """
     for endpoint in fleet.endpoints.values():
         endpoint.resumes = False
     set_faults(fleet, break_after=10)
-    outcome = await ask(fleet)
+    outcome = await send_request(fleet)
     assert outcome.sink.aborted and not outcome.sink.complete
     assert answer_text(NAME, 0, 8).startswith(outcome.sink.body[:5])
     assert len(outcome.sink.body) == 10
 
 
-async def test_broken_answer_of_a_plain_service_is_visibly_broken(fleet):
-    """A plain service drops a lookup's answer midway. What has reached the
-    caller can't be taken back, so that the answer ends broken, not whole.
+async def test_incomplete_response_of_a_plain_service_is_aborted(fleet):
+    """A plain service drops the response to a lookup midway. The caller already
+    has a part of it, so the response must be aborted, not completed.
     """
     set_faults(fleet, break_after=5, break_times=1)
-    outcome = await ask(fleet, "ledger", "read", cost=0.1)
+    outcome = await send_request(fleet, "ledger", "read", cost=0.1)
     assert outcome.sink.aborted and not outcome.sink.complete
 
 
-async def test_lookup_goes_elsewhere_before_its_first_byte(fleet):
-    """An endpoint runs a lookup and drops the connection before the first
-    byte of the answer. The caller notices nothing.
+async def test_lookup_is_retried_before_its_first_byte(fleet):
+    """An endpoint runs a lookup and drops the connection before the first byte
+    of the response. The lookup is retried, and the caller gets its response.
     """
     fleet.endpoints["ledger-0"].faults.break_after = 0
-    outcome = await ask(fleet, "ledger", "read", cost=0.1)
+    outcome = await send_request(fleet, "ledger", "read", cost=0.1)
     assert outcome.is_correct
     assert runs_by_name(fleet)[NAME] <= 2
 
 
 async def test_lookup_that_fails_everywhere_may_have_run(fleet):
-    """All endpoints drop a lookup. The refusal doesn't say that it did not
-    run, since the endpoints got it.
+    """All endpoints receive a lookup and drop it. The refusal must not state that
+    the lookup did not run.
     """
     set_faults(fleet, break_after=0)
-    outcome = await ask(fleet, "ledger", "read", cost=0.1)
+    outcome = await send_request(fleet, "ledger", "read", cost=0.1)
     assert outcome.fault.ran is Ran.UNKNOWN
     assert outcome.fault.kind is ErrorKind.ENDPOINT_FAILED
 
 
 async def test_retries_stay_within_their_budget(fleet):
-    """All endpoints fail for long. Each of many lookups would be sent three
-    times and keep the service down; the budget allows far fewer.
+    """All endpoints fail for a long time. Three attempts at each lookup would
+    keep the service down; the retry budget must prevent most of them.
     """
     set_faults(fleet, break_after=0)
     for index in range(60):
-        await ask(fleet, "ledger", "read", f"n{index}", cost=0.1)
+        await send_request(fleet, "ledger", "read", f"n{index}", cost=0.1)
     runs = sum(runs_by_name(fleet).values())
     assert 60 <= runs <= 60 * 1.1 + 10 + 30
 
 
-async def test_endpoint_that_hangs_is_a_timeout(fleet):
-    """An endpoint takes a lookup and says nothing for hours. The caller hears
-    at its deadline, and that the lookup may have run.
+async def test_hanging_endpoint_causes_a_timeout(fleet):
+    """An endpoint accepts a lookup and does not respond. The caller must get a
+    time-out at its deadline, which states that the lookup may have run.
     """
     set_faults(fleet, slow=1e6)
-    outcome = await ask(fleet, "ledger", "read", cost=0.1)
+    outcome = await send_request(fleet, "ledger", "read", cost=0.1)
     assert (outcome.fault.kind, outcome.fault.ran) == (
         ErrorKind.ENDPOINT_TIMEOUT,
         Ran.UNKNOWN,
@@ -114,11 +114,11 @@
     assert outcome.seconds <= 61
 
 
-async def test_caller_that_goes_away_frees_the_slot(fleet):
-    """A caller hangs up in the middle of a stream. The engine's stream is
-    cancelled, so that its slot can serve others.
+async def test_disconnecting_caller_releases_the_slot(fleet):
+    """A caller disconnects in the middle of a stream. The engine's stream must be
+    cancelled and its slot released.
     """
-    call = asyncio.ensure_future(ask(fleet, cost=800.0))
+    call = asyncio.ensure_future(send_request(fleet, cost=800.0))
     await asyncio.sleep(2)
     call.cancel()
     await asyncio.sleep(1)
@@ -126,11 +126,11 @@
     assert fleet.nodes["vm-0"].ingress.running == 0
 
 
-async def test_preempted_stream_goes_on_where_it_was(fleet):
-    """The dispatcher takes a slot back in the middle of a stream, to let a
-    lookup in. The stream waits, goes on, and its caller gets the whole answer.
+async def test_preempted_stream_resumes_at_its_position(fleet):
+    """The dispatcher reclaims a slot in the middle of a stream, in favour of a
+    lookup. The stream resumes later, and its caller gets the complete response.
     """
-    call = asyncio.ensure_future(ask(fleet, cost=400.0))
+    call = asyncio.ensure_future(send_request(fleet, cost=400.0))
     await asyncio.sleep(2)
     (running,) = fleet.nodes["vm-0"].ingress._running.values()
     running.granted.preempted.set()
@@ -141,20 +141,19 @@
     assert sum(runs_by_name(fleet).values()) == 2
 
 
-async def test_answer_of_another_request_is_not_passed_on(fleet):
-    """An endpoint mixes up its connections and answers with what belongs to
-    another request. The identifier that it echoes shows it; the caller gets
-    its own answer from elsewhere, or none.
+async def test_response_to_another_request_is_not_relayed(fleet):
+    """An endpoint confuses its connections and sends the response to another
+    request. The echoed identifier reveals this, and the response is not relayed.
     """
 
-    def crossed(answer):
+    def headers_of_another_request(response):
         return HTTPHeaders({"X-Request-Id": "another"})
 
-    own = _VirtualAnswer.headers
-    _VirtualAnswer.headers = property(crossed)
+    original = _VirtualAnswer.headers
+    _VirtualAnswer.headers = property(headers_of_another_request)
     try:
-        outcome = await ask(fleet, "ledger", "read", cost=0.1)
+        outcome = await send_request(fleet, "ledger", "read", cost=0.1)
     finally:
-        _VirtualAnswer.headers = own
+        _VirtualAnswer.headers = original
     assert outcome.fault.kind is ErrorKind.ENDPOINT_GARBAGE
     assert not outcome.sink.started
