--- a/packages/router/src/teaselledge/errors.py
+++ b/packages/router/src/teaselledge/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, and the answer that each one gets."""
+"""Error kinds of requests and their HTTP responses."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -17,7 +17,7 @@
 
 
 class ErrorKind(Enum):
-    """Every way in which a request can fail."""
+    """Kind of failure of a request. The list is complete."""
 
     UNAUTHENTICATED = "unauthenticated"
     FORBIDDEN = "forbidden"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class FaultResponse:
-    """How an error kind is told to the caller.
+    """HTTP response for an error kind.
 
     Attributes
     ----------
@@ -55,7 +55,7 @@
     title : str
         Short summary, the same for each occurrence.
     retry_after : int or None
-        Seconds after which asking again may help.
+        Seconds after which a retry may succeed.
     """
 
     status: int
@@ -104,19 +104,19 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One occurrence of an error.
+    """Occurrence of an error.
 
     Attributes
     ----------
     kind : ErrorKind
-        What went wrong.
+        Kind of failure.
     ran : Ran
         Whether an endpoint may have carried out the request, over all
         attempts under its key.
     detail : str
         A sentence about this occurrence, free of secrets.
     retry_after : int or None
-        Seconds; replaces the table's value.
+        Seconds after which a retry may succeed; overrides `FAULT_RESPONSES`.
     """
 
     kind: ErrorKind
@@ -127,16 +127,16 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """An error answer, ready to be written.
+    """Error response in the format of RFC 9457.
 
     Attributes
     ----------
     status : int
         HTTP status.
     headers : dict of str to str
-        Headers beside the request's id.
+        Headers in addition to the request's id.
     body : dict
-        Members of the RFC 9457 object.
+        Members of the JSON object.
     """
 
     status: int
@@ -145,22 +145,22 @@
 
 
 def problem(fault: Fault, request_id: str) -> Problem:
-    """Return the answer for a fault, as the table has it."""
-    answer = FAULT_RESPONSES[fault.kind]
+    """Return the error response for a fault."""
+    response = FAULT_RESPONSES[fault.kind]
     headers = {"Content-Type": PROBLEM_TYPE}
-    retry_after = answer.retry_after
+    retry_after = response.retry_after
     if fault.retry_after is not None:
         retry_after = fault.retry_after
     if retry_after is not None:
         headers["Retry-After"] = str(retry_after)
     body: dict[str, object] = {
         "type": "about:blank",
-        "title": answer.title,
-        "status": answer.status,
+        "title": response.title,
+        "status": response.status,
         "kind": fault.kind.value,
         "ran": fault.ran.value,
         "request_id": request_id,
     }
     if fault.detail:
         body["detail"] = fault.detail
-    return Problem(answer.status, headers, body)
+    return Problem(response.status, headers, body)
--- a/packages/router/src/teaselledge/log.py
+++ b/packages/router/src/teaselledge/log.py
@@ -1,4 +1,4 @@
-"""Structured logs with a fixed prefix per part."""
+"""Structured logs whose lines carry the name of a part of the software."""
 
 import sys
 
@@ -6,30 +6,30 @@
 
 __all__ = ["get_log", "start_logging"]
 
-PREFIX_WIDTH = 10
+PART_WIDTH = 10
 TEXT_FORMAT = (
-    "{time:HH:mm:ss.SSS} {level:<7} {extra[part]:<" + str(PREFIX_WIDTH) + "} {message}"
+    "{time:HH:mm:ss.SSS} {level:<7} {extra[part]:<" + str(PART_WIDTH) + "} {message}"
 )
 
 
 def get_log(part: str) -> "loguru.Logger":
-    """Return the log of one part, whose lines carry its name."""
+    """Return the log of a part; its lines carry the part's name."""
     return loguru.logger.bind(part=part)
 
 
 def start_logging(json: bool, level: str = "INFO") -> None:
-    """Send logs to standard error.
+    """Configure logging to standard error.
 
     Parameters
     ----------
     json : bool
-        One JSON object a line instead of text.
+        Whether to write JSON objects, one per line, instead of text.
     level : str
-        Lowest level that is written.
+        Minimum level to write.
     """
     loguru.logger.remove()
     loguru.logger.configure(extra={"part": "process"})
-    # diagnose would print the values of variables, keys among them
+    # with diagnose, tracebacks would show the values of variables, such as keys
     loguru.logger.add(
         sys.stderr,
         format=TEXT_FORMAT,
--- a/packages/router/src/teaselledge/metrics.py
+++ b/packages/router/src/teaselledge/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics, declared in one table and sent by statsd."""
+"""Metrics of the router, sent by statsd."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -17,9 +17,9 @@
     kind : str
         ``counter``, ``gauge`` or ``timer``.
     unit : str
-        Unit of its value.
+        Unit of the value.
     meaning : str
-        What it tells, in one sentence.
+        Description in one sentence.
     """
 
     kind: str
@@ -28,50 +28,76 @@
 
 
 METRICS: dict[str, Metric] = {
-    "request.answered": Metric("counter", "requests", "Answers sent in full."),
-    "request.refused": Metric("counter", "requests", "Error answers, by kind."),
-    "request.wait": Metric("timer", "ms", "Time from arrival to grant."),
+    "request.answered": Metric("counter", "requests", "Complete responses sent."),
+    "request.refused": Metric("counter", "requests", "Error responses, by kind."),
+    "request.wait": Metric(
+        "timer", "ms", "Time from a request's arrival to its grant."
+    ),
     "peer.sent_bytes": Metric("counter", "bytes", "Bytes sent to other routers."),
     "peer.bad_frames": Metric("counter", "frames", "Malformed frames received."),
-    "engines.orders": Metric("counter", "orders", "Orders to engines that ended."),
+    "engines.orders": Metric("counter", "orders", "Engine orders that ended."),
     "engines.waiting": Metric(
-        "counter", "looks", "Looks at an engine whose order has to wait."
+        "counter", "looks", "Checks that found an engine order still waiting."
+    ),
+    "peer.bad_messages": Metric(
+        "counter", "messages", "Messages that could not be processed."
     ),
-    "peer.bad_messages": Metric("counter", "messages", "Messages not understood."),
     "peer.dropped_messages": Metric(
-        "counter", "messages", "Messages given up before they were sent."
+        "counter", "messages", "Messages discarded before they were sent."
     ),
     "dispatch.free_slots": Metric("gauge", "slots", "Free slots of a shard."),
     "dispatch.waiting": Metric("gauge", "requests", "Requests waiting in a shard."),
     "order.reads": Metric("counter", "calls", "Reads of the order journal."),
     "order.writes": Metric("counter", "calls", "Commits to the order journal."),
-    "order.unknown": Metric("counter", "orders", "Outcomes left open, by reason."),
-    "order.replayed": Metric("counter", "orders", "Answers given from the journal."),
-    "order.idle_slot": Metric("timer", "ms", "Time a slot waited for the journal."),
-    "request.retried": Metric("counter", "requests", "Further attempts, by reason."),
-    "version.in_force": Metric("gauge", "version", "Configuration in force."),
+    "order.unknown": Metric(
+        "counter", "orders", "Orders reported with unknown outcome, by reason."
+    ),
+    "order.replayed": Metric("counter", "orders", "Responses served from the journal."),
+    "order.idle_slot": Metric(
+        "timer", "ms", "Time a granted slot stayed idle until the order was claimed."
+    ),
+    "request.retried": Metric(
+        "counter", "requests", "Retries, by outcome of the failed attempt."
+    ),
+    "version.in_force": Metric(
+        "gauge", "version", "Version of the configuration in force."
+    ),
     "version.store_age": Metric(
-        "gauge", "s", "Time since the store was known to answer."
+        "gauge", "s", "Time since a router last read the store successfully."
+    ),
+    "version.unreadable": Metric(
+        "counter", "versions", "Versions that the router can't read."
     ),
-    "version.unreadable": Metric("counter", "versions", "Versions it can't read."),
     "dispatch.gap": Metric(
-        "gauge", "cost per share", "Highest less lowest backlogged standing."
+        "gauge",
+        "cost per share",
+        "Highest minus lowest normalised usage with a backlog.",
+    ),
+    "dispatch.bad_costs": Metric(
+        "counter", "costs", "Reported costs that were missing or out of range."
     ),
-    "dispatch.bad_costs": Metric("counter", "costs", "Costs refused or cut."),
     "dispatch.bad_reports": Metric(
-        "counter", "accounts", "Refused accounts in reports of dispatchers, by cause."
+        "counter", "accounts", "Rejected accounts in dispatchers' reports, by cause."
     ),
     "dispatch.declined": Metric("counter", "grants", "Grants that were declined."),
-    "dispatch.expired": Metric("counter", "grants", "Grants without an answer."),
-    "dispatch.fetched": Metric("counter", "requests", "Requests fetched from zones."),
-    "dispatch.rebuilt": Metric("counter", "snapshots", "Full snapshots taken."),
-    "dispatch.suspected": Metric("counter", "VMs", "Dispatchers that went silent."),
+    "dispatch.expired": Metric(
+        "counter", "grants", "Grants that were not accepted in time."
+    ),
+    "dispatch.fetched": Metric(
+        "counter", "requests", "Requests fetched from other zones."
+    ),
+    "dispatch.rebuilt": Metric(
+        "counter", "snapshots", "Snapshots from which a dispatcher rebuilt its state."
+    ),
+    "dispatch.suspected": Metric(
+        "counter", "VMs", "Dispatchers suspected because they did not respond."
+    ),
     "store.errors": Metric("counter", "calls", "Failed calls to the platform."),
 }
 
 
 class Metrics(Protocol):
-    """Where the parts of the router count."""
+    """Receiver of the router's metrics."""
 
     def count(self, name: str, value: float = 1, label: str = "") -> None:
         """Add to a counter."""
@@ -84,18 +110,18 @@
 
 
 class NullMetrics:
-    """Metrics that go nowhere, for settings without statsd."""
+    """Discards metrics, for settings without statsd."""
 
     def count(self, name: str, value: float = 1, label: str = "") -> None:
-        """Check the name only."""
+        """Check that the metric exists."""
         METRICS[name]
 
     def gauge(self, name: str, value: float, label: str = "") -> None:
-        """Check the name only."""
+        """Check that the metric exists."""
         METRICS[name]
 
     def time(self, name: str, seconds: float, label: str = "") -> None:
-        """Check the name only."""
+        """Check that the metric exists."""
         METRICS[name]
 
 
--- a/packages/router/src/teaselledge/platform.py
+++ b/packages/router/src/teaselledge/platform.py
@@ -21,14 +21,14 @@
 ]
 
 ABSENT = 0
-"""Condition of a write: the row does not exist."""
+"""Expected version of a write whose row must not exist."""
 
 ANY = -1
-"""Condition of a write: none."""
+"""Expected version of an unconditional write."""
 
 
 class StoreErrorKind(Enum):
-    """How a call to the platform can fail."""
+    """Kind of failure of a call to the platform."""
 
     CONFLICT = "conflict"
     """A condition did not hold; nothing was written."""
@@ -37,12 +37,12 @@
     """The call was refused; nothing was written."""
 
     UNCERTAIN = "uncertain"
-    """No answer came; the write may take effect, now or later."""
+    """There was no response; the write may take effect, now or later."""
 
 
 @dataclass(frozen=True)
 class StoreError:
-    """A failed call to the platform."""
+    """Failure of a call to the platform."""
 
     kind: StoreErrorKind
     detail: str = ""
@@ -57,9 +57,9 @@
     key : str
         Key within its table.
     version : int
-        Grows with each write of the row; at least 1.
+        Increases with each write of the row; at least 1.
     value : bytes
-        The content.
+        Content of the row.
     """
 
     key: str
@@ -74,11 +74,11 @@
     Attributes
     ----------
     table, key : str
-        The row.
+        Table and key of the row.
     value : bytes or None
-        New content; None deletes the row.
+        New content, None to delete the row.
     expect : int
-        Version that the row must have; `ABSENT` or `ANY`.
+        Version that the row must have, `ABSENT` or `ANY`.
     """
 
     table: str
@@ -96,10 +96,10 @@
     async def scan(
         self, table: str, prefix: str, limit: int, after: str = ""
     ) -> Result[list[Row], StoreError]:
-        """Read rows in key order, those after a key."""
+        """Read rows in key order, starting after a key."""
 
     async def commit(self, writes: Sequence[Write]) -> Result[None, StoreError]:
-        """Write all rows or none."""
+        """Carry out all writes or none."""
 
 
 class ObjectStore(Protocol):
@@ -124,11 +124,11 @@
     vm : str
         Name of the VM.
     zone, region : str
-        Where it is.
+        Availability zone and region of the VM.
     peer_address, caller_address : str
-        ``host:port`` for other routers and for callers.
+        Addresses for other routers and for callers, as ``host:port``.
     leaving : bool
-        The platform is about to take it away.
+        Whether the platform is about to remove the VM.
     """
 
     vm: str
@@ -140,7 +140,7 @@
 
 
 class VmList(Protocol):
-    """The platform's list of live and leaving VMs, which lags."""
+    """The platform's list of live and leaving VMs, which may be outdated."""
 
     async def list(self) -> Result[list[VmEntry], StoreError]:
         """Read the list."""
--- a/packages/router/src/teaselledge/yamlsource.py
+++ b/packages/router/src/teaselledge/yamlsource.py
@@ -1,4 +1,4 @@
-"""Read YAML with the line of every value, and check it against data classes."""
+"""Read YAML with the line of each value, and validate it against data classes."""
 
 import math
 from collections.abc import Iterable
@@ -22,19 +22,19 @@
     "validate_as",
 ]
 
-MAX_BYTES = 4 * 1024 * 1024
+MAX_FILE_BYTES = 4 * 1024 * 1024
 MAX_DEPTH = 24
 MAX_NODES = 400_000
-MAX_SCALAR = 4096
-"""Longest value in characters."""
+MAX_SCALAR_CHARACTERS = 4096
+"""Maximum length of a scalar, in characters."""
 
 MAX_ISSUES = 500
-"""Faults that are listed; a hostile file can hold one a byte."""
+"""Maximum number of issues reported; a hostile file can contain one per byte."""
 
 LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
-"""The reader of libyaml where there is one; it is ten times faster."""
+"""Loader of libyaml if available, as it is 10 times faster."""
 
-TAGGED = (yaml.ScalarEvent, yaml.CollectionStartEvent)
+TAGGABLE_EVENTS = (yaml.ScalarEvent, yaml.CollectionStartEvent)
 
 PLAIN_TAGS = frozenset(
     f"tag:yaml.org,2002:{name}" for name in ("str", "int", "float", "bool", "null")
@@ -46,20 +46,20 @@
 
 @dataclass(frozen=True)
 class ConfigIssue:
-    """One fault in a YAML file.
+    """Issue in a YAML file.
 
     Attributes
     ----------
     file : str
         Name of the file.
     line : int
-        Line, from 1.
+        Line number, starting at 1.
     path : str
         Keys from the root, joined by dots.
     found : str
-        What stands there.
+        Text found at the path.
     allowed : str
-        What may stand there.
+        Description of the allowed values.
     """
 
     file: str
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class Source:
-    """Parsed YAML and where its values stand.
+    """Parsed YAML with the locations of its values.
 
     Attributes
     ----------
@@ -84,9 +84,9 @@
     value : object
         Plain mappings, lists and scalars.
     lines : dict of tuple to int
-        Line of each value by its path.
+        Line of each value, by path.
     files : dict of tuple to str
-        File of each entry, where the values come from several files.
+        File of each entry, by path, if the values come from several files.
     """
 
     file: str
@@ -95,7 +95,7 @@
     files: dict[KeyPath, str] = field(default_factory=dict)
 
     def file_of(self, path: KeyPath) -> str:
-        """Return the file of the value, or of its nearest parent."""
+        """Return the file of a value, or of its nearest ancestor."""
         for end in range(len(path), -1, -1):
             file = self.files.get(path[:end])
             if file is not None:
@@ -103,7 +103,7 @@
         return self.file
 
     def line_of(self, path: KeyPath) -> int:
-        """Return the line of the value, or of its nearest parent."""
+        """Return the line of a value, or of its nearest ancestor."""
         for end in range(len(path), -1, -1):
             line = self.lines.get(path[:end])
             if line is not None:
@@ -112,32 +112,30 @@
 
 
 class _Builder:
-    """Build plain values from a YAML node tree.
+    """Builds plain values from a YAML node tree.
 
-    Aliases are refused: a few lines of them can expand to more memory than
-    the machine has. Duplicate keys are refused, since the first of two
-    would be dropped silently.
+    Duplicate keys are refused, since the first of two would be dropped silently.
     """
 
     def __init__(self, file: str) -> None:
         self._file = file
         self._constructor = yaml.constructor.SafeConstructor()
         self.lines: dict[KeyPath, int] = {}
-        self.mistakes: list[ConfigIssue] = []
+        self.issues: list[ConfigIssue] = []
 
     def build(self, node: yaml.Node, path: KeyPath) -> Any:
-        """Return the value of a node and note its line."""
+        """Return the value of a node, and record its line."""
         self.lines[path] = node.start_mark.line + 1
         if isinstance(node, yaml.MappingNode):
-            return self._mapping(node, path)
+            return self._build_mapping(node, path)
         if isinstance(node, yaml.SequenceNode):
             return [self.build(n, (*path, i)) for i, n in enumerate(node.value)]
-        return self._scalar(node, path)
+        return self._build_scalar(node, path)
 
-    def _scalar(self, node: yaml.Node, path: KeyPath) -> Any:
+    def _build_scalar(self, node: yaml.Node, path: KeyPath) -> Any:
         if node.tag not in PLAIN_TAGS:
             found = node.tag.removeprefix("tag:yaml.org,2002:")
-            self._add(node, path, found, "text, a number, true, false or null")
+            self._add_issue(node, path, found, "text, a number, true, false or null")
             return None
         try:
             value = self._constructor.construct_object(node)
@@ -145,62 +143,72 @@
                 raise ValueError("not finite")
             return value
         except (yaml.YAMLError, ValueError, TypeError) as error:
-            self._add(node, path, repr(node.value), f"a plain scalar ({error})")
+            self._add_issue(node, path, repr(node.value), f"a plain scalar ({error})")
             return None
 
-    def _mapping(self, node: yaml.MappingNode, path: KeyPath) -> dict[str, Any]:
+    def _build_mapping(self, node: yaml.MappingNode, path: KeyPath) -> dict[str, Any]:
         result: dict[str, Any] = {}
         for key_node, value_node in node.value:
-            # yes, no, on, off and 012 are no text in YAML 1.1; a name written
-            # so would become another one silently
+            # yes, no, on, off and 012 are not strings in YAML 1.1, so such a
+            # name would silently change
             if key_node.tag != "tag:yaml.org,2002:str":
                 found = repr(getattr(key_node, "value", ""))[:40]
-                self._add(key_node, path, f"the key {found}", "text as key; quote it")
+                self._add_issue(
+                    key_node, path, f"the key {found}", "a string as key; quote it"
+                )
                 continue
-            name = self._scalar(key_node, path)
+            name = self._build_scalar(key_node, path)
             if name is None:
                 continue
             if name in result:
-                self._add(key_node, (*path, name), "a key twice", "each key once")
+                self._add_issue(
+                    key_node, (*path, name), "a duplicate key", "each key once"
+                )
                 continue
             result[name] = self.build(value_node, (*path, name))
         return result
 
-    def _add(self, node: yaml.Node, path: KeyPath, found: str, allowed: str) -> None:
-        if len(self.mistakes) >= MAX_ISSUES:
+    def _add_issue(
+        self, node: yaml.Node, path: KeyPath, found: str, allowed: str
+    ) -> None:
+        if len(self.issues) >= MAX_ISSUES:
             return
         line = node.start_mark.line + 1
-        self.mistakes.append(
+        self.issues.append(
             ConfigIssue(self._file, line, format_path(path), found, allowed)
         )
 
 
 def format_path(path: KeyPath) -> str:
-    """Return a path as one text."""
+    """Return a path as text, with dots between the keys."""
     return ".".join(str(part) for part in path)
 
 
 def issue_at(source: Source, path: KeyPath, found: str, allowed: str) -> ConfigIssue:
-    """Return a mistake at the place where the value stands."""
+    """Return an issue at the location of a value."""
     line = source.line_of(path)
     return ConfigIssue(source.file_of(path), line, format_path(path), found, allowed)
 
 
-def _guard_events(text: str) -> str:
-    """Return why the text must not be composed, or nothing."""
+def _find_refusal_reason(text: str) -> str:
+    """Return why the text must not be composed, or an empty string."""
     depth = nodes = 0
     for event in yaml.parse(text, Loader=LOADER):
         nodes += isinstance(event, yaml.NodeEvent)
         if nodes > MAX_NODES:
             return f"more than {MAX_NODES} values"
         if isinstance(event, yaml.AliasEvent):
+            # a few lines of aliases can expand to more memory than the machine has
             return "an alias"
-        # a tag makes a value of another type out of what one reads there
-        if isinstance(event, TAGGED) and event.tag is not None:
+        # a tag gives a value another type than it appears to have
+        if isinstance(event, TAGGABLE_EVENTS) and event.tag is not None:
             return f"the tag {event.tag[:40]}"
-        # matching a long value against the types of YAML takes memory many times
-        # its length, and reading a long number takes quadratic time
-        if isinstance(event, yaml.ScalarEvent) and len(event.value) > MAX_SCALAR:
+        # resolving the type of a long scalar takes many times its length in
+        # memory, and parsing a long number takes quadratic time
+        if (
+            isinstance(event, yaml.ScalarEvent)
+            and len(event.value) > MAX_SCALAR_CHARACTERS
+        ):
             return f"a value of {len(event.value)} characters"
         if isinstance(event, yaml.CollectionStartEvent):
             depth += 1
@@ -217,27 +225,27 @@
     Parameters
     ----------
     file : str
-        Name for messages.
+        File name for messages.
     data : bytes
         The content, UTF-8.
 
     Returns
     -------
     Result of Source or list of ConfigIssue
-        The values with their lines, or all faults found.
+        The values with their lines, or all issues found.
     """
-    if len(data) > MAX_BYTES:
+    if len(data) > MAX_FILE_BYTES:
         found = f"{len(data)} bytes"
-        return Error([ConfigIssue(file, 1, "", found, f"up to {MAX_BYTES} bytes")])
+        return Error([ConfigIssue(file, 1, "", found, f"up to {MAX_FILE_BYTES} bytes")])
     try:
         text = data.decode("utf-8")
-        refused = _guard_events(text)
-        if refused:
+        refusal_reason = _find_refusal_reason(text)
+        if refusal_reason:
             allowed = (
                 f"YAML without aliases and tags, {MAX_DEPTH} levels deep, values "
-                f"of up to {MAX_SCALAR} characters"
+                f"of up to {MAX_SCALAR_CHARACTERS} characters"
             )
-            return Error([ConfigIssue(file, 1, "", refused, allowed)])
+            return Error([ConfigIssue(file, 1, "", refusal_reason, allowed)])
         node = yaml.compose(text, Loader=LOADER)
     except UnicodeDecodeError as error:
         return Error([ConfigIssue(file, 1, "", f"byte {error.start}", "UTF-8")])
@@ -252,8 +260,8 @@
         return Ok(Source(file, {}, {(): 1}))
     builder = _Builder(file)
     value = builder.build(node, ())
-    if builder.mistakes:
-        return Error(builder.mistakes)
+    if builder.issues:
+        return Error(builder.issues)
     return Ok(Source(file, value, builder.lines))
 
 
@@ -262,13 +270,13 @@
     try:
         data = path.read_bytes()
     except OSError as error:
-        found = error.strerror or "an error"
+        found = error.strerror or "an unknown error"
         return Error([ConfigIssue(str(path), 1, "", found, "a readable file")])
     return parse(str(path), data)
 
 
 def merge(sources: Iterable[Source]) -> Result[Source, list[ConfigIssue]]:
-    """Merge files whose top-level sections are mappings of entries.
+    """Merge files that consist of sections, which are mappings of entries.
 
     Parameters
     ----------
@@ -278,25 +286,25 @@
     Returns
     -------
     Result of Source or list of ConfigIssue
-        One source that knows the file of each entry, or the entries that stand
-        in two files.
+        Merged source with the file of each entry, or issues such as entries that
+        are defined in two files.
     """
     value: dict[str, Any] = {}
     lines: dict[KeyPath, int] = {}
     files: dict[KeyPath, str] = {}
-    mistakes: list[ConfigIssue] = []
+    issues: list[ConfigIssue] = []
     first = ""
     for source in sources:
         first = first or source.file
         if not isinstance(source.value, dict):
             found = type(source.value).__name__
-            mistakes.append(issue_at(source, (), found, "a mapping of sections"))
+            issues.append(issue_at(source, (), found, "a mapping of sections"))
             continue
         for section, entries in source.value.items():
             if not isinstance(entries, dict):
                 found = repr(entries)[:40]
                 allowed = "a mapping of entries"
-                mistakes.append(issue_at(source, (section,), found, allowed))
+                issues.append(issue_at(source, (section,), found, allowed))
                 continue
             merged = value.setdefault(section, {})
             files.setdefault((section,), source.file)
@@ -305,8 +313,8 @@
                 path = (section, name)
                 if name in merged:
                     where = f"{files[path]}:{lines[path]}"
-                    allowed = f"each entry once; it also stands in {where}"
-                    mistakes.append(issue_at(source, path, "an entry twice", allowed))
+                    allowed = f"each entry once; it is also defined at {where}"
+                    issues.append(issue_at(source, path, "a duplicate entry", allowed))
                     continue
                 merged[name] = entry
                 files[path] = source.file
@@ -314,22 +322,22 @@
         lines.update(
             {p: n for p, n in source.lines.items() if files.get(p[:2]) == source.file}
         )
-    if mistakes:
-        return Error(mistakes)
+    if issues:
+        return Error(issues)
     return Ok(Source(first, value, lines, files))
 
 
-def _allowed(error: Any) -> str:
+def _describe_allowed(error: Any) -> str:
     context = error.get("ctx") or {}
     if error["type"] == "unexpected_keyword_argument":
-        return "only the keys that the reference lists"
+        return "only the keys listed in the reference"
     if "expected" in context:
         return str(context["expected"])
     return str(error["msg"]).removeprefix("Input should be ")
 
 
 def validate_as(cls: type[T], source: Source) -> Result[T, list[ConfigIssue]]:
-    """Check parsed YAML against a frozen data class.
+    """Validate parsed YAML against a frozen data class.
 
     Parameters
     ----------
@@ -341,16 +349,16 @@
     Returns
     -------
     Result of cls or list of ConfigIssue
-        The instance, or all faults in one go.
+        The instance, or all issues found.
     """
     try:
         return Ok(TypeAdapter(cls).validate_python(source.value))
     except ValidationError as error:
-        mistakes = []
+        issues = []
         for entry in error.errors(include_url=False):
             path = entry["loc"]
             found = repr(entry["input"])[:80]
             if entry["type"] in ("missing", "missing_argument"):
                 found = "nothing"
-            mistakes.append(issue_at(source, path, found, _allowed(entry)))
-        return Error(mistakes[:MAX_ISSUES])
+            issues.append(issue_at(source, path, found, _describe_allowed(entry)))
+        return Error(issues[:MAX_ISSUES])
--- a/packages/router/tests/test_errors.py
+++ b/packages/router/tests/test_errors.py
@@ -1,13 +1,13 @@
-"""Tests of the table from error kind to answer."""
+"""Tests of the error responses."""
 
 from teaselledge.errors import FAULT_RESPONSES, ErrorKind, Fault, problem
 
 
-def test_every_kind_has_an_answer():
+def test_every_kind_has_a_response():
     assert set(FAULT_RESPONSES) == set(ErrorKind)
 
 
 def test_problem_carries_kind_and_ran():
-    answer = problem(Fault(ErrorKind.LEAVING), "r1")
-    assert answer.body["ran"] == "no"
-    assert answer.headers["Retry-After"] == "0"
+    response = problem(Fault(ErrorKind.LEAVING), "r1")
+    assert response.body["ran"] == "no"
+    assert response.headers["Retry-After"] == "0"
--- a/packages/router/tests/test_sink.py
+++ b/packages/router/tests/test_sink.py
@@ -1,4 +1,4 @@
-"""Tests of writing answers to callers."""
+"""Tests of writing responses to callers."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class StalledHandler:
-    """A handler whose caller takes nothing until it is let."""
+    """A handler whose caller reads nothing until an event is set."""
 
     def __init__(self):
         self.request = self
@@ -20,20 +20,20 @@
         self.taken = asyncio.Event()
 
     def write(self, chunk):
-        """Take a part."""
+        """Accept a chunk."""
 
     async def flush(self):
         """Wait until the caller reads."""
         await self.taken.wait()
 
     def close(self):
-        """Note the end."""
+        """Record that the connection was closed."""
         self.closed = True
 
 
-async def test_caller_that_reads_nothing_stops_the_endpoint_at_the_bound():
-    """A caller stops reading while the endpoint goes on to send. The router
-    keeps up to the bound and then reads no more from the endpoint.
+async def test_reading_from_the_endpoint_stops_at_the_buffer_limit():
+    """A caller stops reading while the endpoint continues to send. The router
+    must buffer up to the limit only, and then stop reading from the endpoint.
     """
     handler = StalledHandler()
     sink = HandlerSink(handler)
@@ -53,9 +53,9 @@
     assert written == 2 * STREAM_BUFFER_BYTES
 
 
-async def test_caller_that_stalls_for_long_is_cut_off():
-    """A caller keeps its connection and never reads again. Its slot would be
-    held for ever, so the router ends the answer visibly broken.
+async def test_connection_of_a_stalled_caller_is_closed():
+    """A caller keeps its connection open but never reads. Its slot would stay
+    occupied for ever, so the router must close the connection.
     """
     handler = StalledHandler()
     sink = HandlerSink(handler)
--- a/packages/router/tests/test_yamlsource.py
+++ b/packages/router/tests/test_yamlsource.py
@@ -1,4 +1,4 @@
-"""Tests of reading YAML from people and from strangers."""
+"""Tests of reading valid, invalid and hostile YAML."""
 
 import time
 import tracemalloc
@@ -7,17 +7,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from teaselledge.version.document import Document
-from teaselledge.yamlsource import MAX_BYTES, merge, parse, validate_as
+from teaselledge.yamlsource import MAX_FILE_BYTES, merge, parse, validate_as
 
-MEMORY_LIMIT = 100e6
-"""Bytes that a hostile file of the largest size may take for a moment."""
+MAX_PEAK_BYTES = 100e6
+"""Maximum peak memory for a hostile file, in bytes."""
 
-SLOWER = 6
-"""Times the processor time of a harmless file of 100,000 values."""
+MAX_TIME_FACTOR = 6
+"""Maximum CPU time for a hostile file, as a multiple of that for 100,000 values."""
 
 
-def hostile():
-    """Return files that have harmed other readers, by what they are."""
+def hostile_files():
+    """Return files that have harmed other YAML parsers, by description."""
     laughs = "a0: &a0 [x,x,x,x,x,x,x,x,x]\n" + "".join(
         f"a{i}: &a{i} [{', '.join([f'*a{i - 1}'] * 9)}]\n" for i in range(1, 12)
     )
@@ -27,8 +27,8 @@
         "merge keys": b"a: &a {x: 1}\nb: {<<: *a}",
         "deep flow": b"[" * 200_000,
         "deep block": b"".join(b" " * i + b"a:\n" for i in range(2000)),
-        "too large": b"a" * (MAX_BYTES + 1),
-        "many values": b"[" + b"1," * (MAX_BYTES // 2 - 1) + b"]",
+        "too large": b"a" * (MAX_FILE_BYTES + 1),
+        "many values": b"[" + b"1," * (MAX_FILE_BYTES // 2 - 1) + b"]",
         "long sexagesimal": b"a: 1" + b":59" * 300_000,
         "long number": b"a: " + b"9" * 1_000_000,
         "duplicate keys": b"a: 1\na: 2",
@@ -48,28 +48,27 @@
 
 
 def test_hostile_files_are_refused_in_bounded_time_and_memory():
-    """Someone puts a file into the repository that means harm.
+    """A hostile file in the repository could exhaust the router's time or memory.
 
-    The reader refuses it with a place and a reason, without taking the memory or
-    the time that the file asks for.
+    It must be refused with a location and a reason, within limits of both.
     """
-    harmless = b"[" + b"1, " * 100_000 + b"]"
-    started = time.process_time()
-    assert parse("f.yaml", harmless).is_ok()
-    allowed = SLOWER * (time.process_time() - started)
-    for name, data in hostile().items():
-        started = time.process_time()
+    reference = b"[" + b"1, " * 100_000 + b"]"
+    start = time.process_time()
+    assert parse("f.yaml", reference).is_ok()
+    max_duration = MAX_TIME_FACTOR * (time.process_time() - start)
+    for name, data in hostile_files().items():
+        start = time.process_time()
         result = parse("f.yaml", data)
-        spent = time.process_time() - started
+        duration = time.process_time() - start
         tracemalloc.start()
         parse("f.yaml", data)
         _, peak = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         assert result.is_error(), name
-        mistake = result.error[0]
-        assert mistake.file == "f.yaml" and mistake.line >= 1 and mistake.found, name
-        assert peak < MEMORY_LIMIT, (name, peak)
-        assert spent < allowed, (name, spent, allowed)
+        issue = result.error[0]
+        assert issue.file == "f.yaml" and issue.line >= 1 and issue.found, name
+        assert peak < MAX_PEAK_BYTES, (name, peak)
+        assert duration < max_duration, (name, duration, max_duration)
 
 
 def test_every_duplicate_key_is_listed_with_its_line():
@@ -77,16 +76,16 @@
     assert [(m.line, m.path) for m in result.error] == [(4, "b.c"), (5, "a")]
 
 
-def test_entries_in_two_files_are_named_with_both_places():
+def test_duplicate_entries_are_reported_with_both_locations():
     first = parse("a.yaml", b"zones:\n  north-a: {region: north}\n").ok
     second = parse("b.yaml", b"zones:\n  north-a: {region: south}\n").ok
-    (mistake,) = merge([first, second]).error
-    assert str(mistake).startswith("b.yaml:2: zones.north-a: found an entry twice")
-    assert "a.yaml:2" in mistake.allowed
+    (issue,) = merge([first, second]).error
+    assert str(issue).startswith("b.yaml:2: zones.north-a: found a duplicate entry")
+    assert "a.yaml:2" in issue.allowed
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_read_or_refused(data):
+def test_any_bytes_are_parsed_or_refused(data):
     result = parse("f.yaml", data)
     assert result.is_ok() or result.error
 
@@ -96,14 +95,14 @@
 
 
 @given(st.lists(st.sampled_from(TOKENS), max_size=60))
-def test_anything_that_looks_like_yaml_is_read_or_refused(tokens):
+def test_random_yaml_tokens_are_parsed_or_refused(tokens):
     result = parse("f.yaml", "".join(tokens).encode())
     assert result.is_ok() or result.error
     if result.is_ok():
         merged = merge([result.ok])
         checked = merged.bind(lambda source: validate_as(Document, source))
         assert checked.is_error()
-        assert all(mistake.line >= 1 for mistake in checked.error)
+        assert all(issue.line >= 1 for issue in checked.error)
 
 
 VALUES = st.recursive(
@@ -121,6 +120,6 @@
 
 
 @given(VALUES)
-def test_what_the_library_writes_is_read_as_the_library_reads_it(value):
+def test_dumped_values_are_parsed_as_by_pyyaml(value):
     text = yaml.safe_dump({"key": value})
     assert parse("f.yaml", text.encode()).ok.value == yaml.safe_load(text)
