--- a/packages/router/src/teaselledge/process/ingress.py
+++ b/packages/router/src/teaselledge/process/ingress.py
@@ -1,4 +1,4 @@
-"""What an ingress has waiting and running, and its grants."""
+"""Registration of a router's requests with dispatchers, and their grants."""
 
 import asyncio
 from collections import Counter
@@ -34,24 +34,24 @@
 __all__ = ["SlotGrant", "Ingress", "IngressLimits", "SlotRequest"]
 
 DIGEST_SECONDS = 1.0
-"""Interval at which an ingress compares with its dispatchers."""
+"""Interval between the digests that an ingress sends to its dispatchers."""
 
 REFRESH_SECONDS = 0.2
-"""Interval at which it looks whether a shard has another dispatcher."""
+"""Interval between checks whether a shard's dispatcher has changed."""
 
 REPLY_TIMEOUT_SECONDS = 2.5
-"""Silence after which a dispatcher that should answer is passed over."""
+"""Time after which a dispatcher that has not answered a snapshot is avoided."""
 
-QUIET_DIGESTS = 3
-"""Digests that are sent after the last request at a dispatcher has ended."""
+FINAL_DIGEST_COUNT = 3
+"""Digests sent to a dispatcher after the last request there has ended."""
 
 PROGRESS_FACTOR = 1.5
-"""Growth of a stream's cost over its charge that is told before the end."""
+"""Ratio of a stream's cost to its charge above which progress is reported."""
 
 
 @dataclass(frozen=True)
 class SlotRequest:
-    """A request that asks for a slot.
+    """Request for a slot at an endpoint.
 
     Attributes
     ----------
@@ -60,17 +60,17 @@
     cost_hint : float
         Expected cost, in the service's unit.
     deadline : float
-        Loop time at which the caller must have a final answer.
+        Loop time by which the caller must have a final response.
     body_bytes : int
-        Size of the body, for the price of moving it.
+        Size of the body, from which the cost of moving it is estimated.
     repeatable : bool
-        Whether running it twice does no harm.
+        Whether the request can safely run twice.
     prefix : int or None
         Hash of the prompt's prefix.
     excluded : tuple of str
-        Endpoints that failed this request already.
+        Endpoints that have failed this request already.
     response_started : bool
-        Part of its answer has reached the caller.
+        Whether part of the response has reached the caller.
     """
 
     organisation: str
@@ -85,7 +85,7 @@
     response_started: bool = False
 
 
-class _HandedBackError(Exception):
+class _RejectedError(Exception):
     def __init__(self, fault: Fault) -> None:
         super().__init__(fault)
         self.fault = fault
@@ -93,23 +93,23 @@
 
 @dataclass(frozen=True)
 class SlotGrant:
-    """A slot for one request.
+    """Slot granted to one request.
 
     Attributes
     ----------
     endpoint : str
         Name of the endpoint.
     dispatcher : Origin
-        Who granted it.
+        Dispatcher that granted the slot.
     shard : Shard
         The endpoint's shard.
     grant, request : int
-        Numbers of the dispatcher and of the ingress.
+        Number of the grant at the dispatcher and of the request at the ingress.
     charged : float
-        What the organisation was charged at first.
+        Initial charge to the organisation.
     preempted : asyncio.Event
-        Set when the dispatcher wants the slot back: the stream should be
-        cancelled, released and its rest acquired again.
+        Set when the dispatcher preempts the slot: the stream should be
+        cancelled, the slot released, and a slot acquired for the remainder.
     """
 
     endpoint: str
@@ -123,14 +123,14 @@
 
 @dataclass(frozen=True)
 class IngressLimits:
-    """What may wait in one router.
+    """Limits on the requests that wait for a slot in one router.
 
     Attributes
     ----------
     waiting : int
-        Requests in total.
+        Maximum number of waiting requests.
     waiting_bytes : int
-        Bytes of their bodies in total.
+        Maximum total size of their bodies.
     """
 
     waiting: int = 2000
@@ -144,43 +144,43 @@
 
 @dataclass
 class _Waiting:
-    ticket: SlotRequest
+    slot_request: SlotRequest
     arrived: float
     shard: Shard
     vm: str
-    granted: "asyncio.Future[SlotGrant]" = field(
+    future: "asyncio.Future[SlotGrant]" = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
 
 
 @dataclass
 class _Running:
-    ticket: SlotRequest
-    granted: SlotGrant
+    slot_request: SlotRequest
+    slot: SlotGrant
     vm: str
     since: float
     charged: float
 
 
 @dataclass(frozen=True)
-class _Place:
-    """A dispatcher as this ingress addresses it."""
+class _Target:
+    """Shard and the VM of its dispatcher; messages are sent to the pair."""
 
     vm: str
     shard: Shard
 
 
 @dataclass
-class _Held:
+class _HeldRequests:
     waiting: list[int] = field(default_factory=list)
     running: list[int] = field(default_factory=list)
 
 
 class Ingress:
-    """Registers requests with dispatchers and takes their grants.
+    """Registers requests with dispatchers and accepts their grants.
 
-    It is the single owner of each request: whichever grant it takes first
-    counts, and it declines every other.
+    The ingress is the single owner of each request: it accepts the first grant
+    and declines all others.
     """
 
     def __init__(
@@ -200,207 +200,214 @@
         self._placement = Placement(members)
         self._waiting: dict[int, _Waiting] = {}
         self._running: dict[int, _Running] = {}
-        self._per_organisation: Counter[str] = Counter()
+        self._waiting_by_organisation: Counter[str] = Counter()
         self._waiting_bytes = 0
         self._next_request = 1
-        self._unanswered: dict[str, float] = {}
-        self._quiet: dict[_Place, int] = {}
+        self._unanswered_since: dict[str, float] = {}
+        self._final_digests: dict[_Target, int] = {}
         mesh.subscribe("grant", self._on_grant)
         mesh.subscribe("preempt", self._on_preempt)
         mesh.subscribe("snapshot_reply", self._on_reply)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests that wait for a slot."""
         return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Requests that hold a slot."""
+        """Number of requests that hold a slot."""
         return len(self._running)
 
-    async def acquire(self, ticket: SlotRequest) -> Result[SlotGrant, Fault]:
-        """Wait for a slot until the ticket's deadline.
+    async def acquire(self, slot_request: SlotRequest) -> Result[SlotGrant, Fault]:
+        """Wait for a slot until the request's deadline.
 
         Returns
         -------
-        Result of Granted or Fault
-            The slot, to be given to `release`, or why there is none; the
-            request did not run then.
+        Result of SlotGrant or Fault
+            The slot, which must be passed to `release`, or the reason why
+            there is none; the request has not run then.
         """
         version = self._version()
         if version is None:
             return Error(Fault(ErrorKind.NOT_CONFIGURED))
         shard = home_shard(
-            version.document, ticket.service, self._zone, ticket.excluded
+            version.document, slot_request.service, self._zone, slot_request.excluded
         )
         if shard is None:
             return Error(Fault(ErrorKind.NO_ENDPOINT))
-        refused = self._refusal(version, ticket)
+        refused = self._refusal(version, slot_request)
         if refused is not None:
             return Error(refused)
-        number = self._add(ticket, shard)
+        number = self._register(slot_request, shard)
         waiting = self._waiting[number]
         try:
-            async with asyncio.timeout_at(ticket.deadline):
-                granted = await waiting.granted
+            async with asyncio.timeout_at(slot_request.deadline):
+                slot = await waiting.future
         except TimeoutError:
             self._abandon(number)
             return Error(Fault(ErrorKind.QUEUE_TIMEOUT))
-        except _HandedBackError as handed_back:
+        except _RejectedError as rejected:
             self._abandon(number)
-            return Error(handed_back.fault)
+            return Error(rejected.fault)
         except asyncio.CancelledError:
             self._abandon(number)
             raise
-        return Ok(granted)
+        return Ok(slot)
 
     def reject_waiting(self, fault: Fault) -> None:
-        """Give up what waits and has not begun, with a final answer at once."""
+        """Reject waiting requests that no endpoint has tried, with `fault`."""
         for waiting in self._waiting.values():
-            ticket = waiting.ticket
-            if waiting.granted.done() or ticket.response_started or ticket.excluded:
+            slot_request = waiting.slot_request
+            if (
+                waiting.future.done()
+                or slot_request.response_started
+                or slot_request.excluded
+            ):
                 continue
-            waiting.granted.set_exception(_HandedBackError(fault))
+            waiting.future.set_exception(_RejectedError(fault))
 
-    def report_cost(self, granted: SlotGrant, cost: float) -> None:
-        """Tell what a stream has cost so far; cheap to call for each part.
+    def report_cost(self, slot: SlotGrant, cost: float) -> None:
+        """Report the cost of a stream so far; cheap to call for each chunk.
 
-        A hint that is far too low would let long streams look cheap until
-        they end; the charge follows them instead.
+        With a cost hint that is far too low, a long stream would be charged too
+        little until its end. The charge is therefore raised as the cost grows.
         """
-        running = self._running.get(granted.request)
+        running = self._running.get(slot.request)
         if running is None or not cost > running.charged * PROGRESS_FACTOR:
             return
         running.charged = cost
-        body = Progress(granted.grant, granted.request, cost)
-        self._send(_Place(running.vm, granted.shard), "progress", body)
+        body = Progress(slot.grant, slot.request, cost)
+        self._send(_Target(running.vm, slot.shard), "progress", body)
 
-    def release(self, granted: SlotGrant, cost: float, failed: bool) -> None:
-        """Give a slot back and tell what it cost."""
-        running = self._running.pop(granted.request, None)
+    def release(self, slot: SlotGrant, cost: float, failed: bool) -> None:
+        """Release a slot and report the cost of the request."""
+        running = self._running.pop(slot.request, None)
         if running is None:
             return
         seconds = asyncio.get_running_loop().time() - running.since
-        body = Done(granted.grant, cost, failed, seconds, granted.request)
-        self._send(_Place(running.vm, granted.shard), "done", body)
+        body = Done(slot.grant, cost, failed, seconds, slot.request)
+        self._send(_Target(running.vm, slot.shard), "done", body)
 
     async def run(self) -> None:
-        """Follow the dispatchers and compare with them, until cancelled."""
+        """Track the dispatchers and send them digests, until cancelled."""
         loop = asyncio.get_running_loop()
         next_digest = loop.time() + DIGEST_SECONDS
         while True:
             await asyncio.sleep(REFRESH_SECONDS)
             now = loop.time()
-            self._suspect(now)
+            self._suspect_silent(now)
             self.refresh_placement()
             if is_due(now, next_digest):
                 next_digest = now + DIGEST_SECONDS
                 self.send_digests()
 
     def refresh_placement(self) -> None:
-        """Look at the members, and move where a shard has another dispatcher."""
+        """Update placement, and move requests whose dispatcher has changed."""
         if self._placement.refresh():
             self.reassign_requests()
 
     def reassign_requests(self) -> None:
-        """Hand over to the dispatchers that the shards have now."""
-        moved: set[_Place] = set()
+        """Move requests to the current dispatchers of their shards."""
+        moved: set[_Target] = set()
         for waiting in self._waiting.values():
             vm = self._dispatcher(waiting.shard)
             if vm == waiting.vm:
                 continue
             waiting.vm = vm
-            moved.add(_Place(vm, waiting.shard))
+            moved.add(_Target(vm, waiting.shard))
         for running in self._running.values():
-            granted = running.granted
-            vm = self._dispatcher(granted.shard)
+            slot = running.slot
+            vm = self._dispatcher(slot.shard)
             if vm in ("", running.vm):
                 continue
-            # the old dispatcher must not count the slot any more, and must
-            # leave the rest of the charge to the new one
-            body = Done(granted.grant, 0.0, False, 0.0, granted.request, True)
-            self._send(_Place(running.vm, granted.shard), "done", body)
+            # the old dispatcher stops counting the slot; the new one settles
+            # the rest of the charge
+            body = Done(slot.grant, 0.0, False, 0.0, slot.request, True)
+            self._send(_Target(running.vm, slot.shard), "done", body)
             running.vm = vm
-            moved.add(_Place(vm, granted.shard))
-        held = self._held()
-        for place in sorted(moved, key=lambda p: (p.vm, p.shard.zone)):
-            self._send_full(place, held.get(place, _Held()))
+            moved.add(_Target(vm, slot.shard))
+        held = self._held_requests()
+        for target in sorted(moved, key=lambda p: (p.vm, p.shard.zone)):
+            self._send_full(target, held.get(target, _HeldRequests()))
 
     def send_digests(self) -> None:
-        """Send a digest of what is held to each dispatcher."""
-        held = self._held()
+        """Send each dispatcher a digest of the requests registered with it."""
+        held = self._held_requests()
         now = asyncio.get_running_loop().time()
-        for place in held:
-            self._quiet[place] = QUIET_DIGESTS
-        for place, left in list(self._quiet.items()):
-            self._quiet[place] = left - 1
+        for target in held:
+            self._final_digests[target] = FINAL_DIGEST_COUNT
+        for target, left in list(self._final_digests.items()):
+            self._final_digests[target] = left - 1
             if left <= 1:
-                del self._quiet[place]
-            if not place.vm:
+                del self._final_digests[target]
+            if not target.vm:
                 continue
-            requests = held.get(place, _Held())
+            requests = held.get(target, _HeldRequests())
             digest = digest_of_requests(requests.waiting + requests.running)
             body = Snapshot([], [], digest.count, digest.value, False)
-            self._unanswered.setdefault(place.vm, now)
-            self._send(place, "snapshot", body)
+            self._unanswered_since.setdefault(target.vm, now)
+            self._send(target, "snapshot", body)
         for vm in self._placement.suspects:
-            # shows when the way to a dispatcher is open again
+            # a reply shows that the dispatcher can be reached again
             service = next(iter(held), None)
             if service is not None:
                 body = Snapshot([], [], 0, 0, False)
-                self._send(_Place(vm, service.shard), "snapshot", body)
+                self._send(_Target(vm, service.shard), "snapshot", body)
 
-    def _refusal(self, version: Version, ticket: SlotRequest) -> Fault | None:
-        entry = version.document.organisations.get(ticket.organisation)
+    def _refusal(self, version: Version, slot_request: SlotRequest) -> Fault | None:
+        entry = version.document.organisations.get(slot_request.organisation)
         if entry is None:
             return Fault(ErrorKind.FORBIDDEN)
-        # a flood of one organisation must fill neither the memory nor the
-        # total limit; it is told at once, so that it can slow down
-        if self._per_organisation[ticket.organisation] >= entry.max_waiting:
+        # a flood from one organisation must not fill the memory or use up the
+        # total limit; it is refused at once, so that the callers can slow down
+        if (
+            self._waiting_by_organisation[slot_request.organisation]
+            >= entry.max_waiting
+        ):
             return Fault(ErrorKind.ORGANISATION_LIMIT)
-        size = self._waiting_bytes + ticket.body_bytes
+        size = self._waiting_bytes + slot_request.body_bytes
         limits = self._limits
         if len(self._waiting) >= limits.waiting or size > limits.waiting_bytes:
             return Fault(ErrorKind.ROUTER_FULL)
         return None
 
-    def _add(self, ticket: SlotRequest, shard: Shard) -> int:
+    def _register(self, slot_request: SlotRequest, shard: Shard) -> int:
         number = self._next_request
         self._next_request += 1
         now = asyncio.get_running_loop().time()
-        waiting = _Waiting(ticket, now, shard, self._dispatcher(shard))
+        waiting = _Waiting(slot_request, now, shard, self._dispatcher(shard))
         self._waiting[number] = waiting
-        self._per_organisation[ticket.organisation] += 1
-        self._waiting_bytes += ticket.body_bytes
-        place = _Place(waiting.vm, shard)
-        self._send(place, "registration", self._entry(number, waiting))
+        self._waiting_by_organisation[slot_request.organisation] += 1
+        self._waiting_bytes += slot_request.body_bytes
+        target = _Target(waiting.vm, shard)
+        self._send(target, "registration", self._register_body(number, waiting))
         return number
 
     def _remove(self, number: int) -> _Waiting | None:
         waiting = self._waiting.pop(number, None)
         if waiting is None:
             return None
-        ticket = waiting.ticket
-        self._per_organisation[ticket.organisation] -= 1
-        if not self._per_organisation[ticket.organisation]:
-            del self._per_organisation[ticket.organisation]
-        self._waiting_bytes -= ticket.body_bytes
+        slot_request = waiting.slot_request
+        self._waiting_by_organisation[slot_request.organisation] -= 1
+        if not self._waiting_by_organisation[slot_request.organisation]:
+            del self._waiting_by_organisation[slot_request.organisation]
+        self._waiting_bytes -= slot_request.body_bytes
         return waiting
 
     def _abandon(self, number: int) -> None:
         waiting = self._remove(number)
         if waiting is not None:
-            place = _Place(waiting.vm, waiting.shard)
-            self._send(place, "withdraw", Withdraw(number))
+            target = _Target(waiting.vm, waiting.shard)
+            self._send(target, "withdraw", Withdraw(number))
             return
-        # the grant came in the same turn of the loop as the timeout; without
-        # this its slot would stay taken until the ingress ends
+        # the grant arrived in the same loop iteration as the timeout; unless
+        # declined, its slot would stay occupied until the ingress ends
         running = self._running.pop(number, None)
         if running is not None:
-            granted = running.granted
-            place = _Place(running.vm, granted.shard)
-            self._send(place, "decline", Decline(granted.grant))
+            slot = running.slot
+            target = _Target(running.vm, slot.shard)
+            self._send(target, "decline", Decline(slot.grant))
 
     def _dispatcher(self, shard: Shard) -> str:
         version = self._version()
@@ -409,115 +416,117 @@
         found = self._placement.dispatcher(version.document, shard)
         return found.vm if found else ""
 
-    def _suspect(self, now: float) -> None:
-        """Pass over dispatchers that do not answer.
+    def _suspect_silent(self, now: float) -> None:
+        """Avoid dispatchers that do not answer.
 
-        After a split in one direction a dispatcher is heard but does not hear
-        this ingress, whose requests would wait until their deadlines.
+        After a network split in one direction, heartbeats from a dispatcher
+        still arrive, but it receives nothing from this ingress. Requests would
+        wait there until their deadlines.
         """
-        for vm, since in list(self._unanswered.items()):
+        for vm, since in list(self._unanswered_since.items()):
             if now - since < REPLY_TIMEOUT_SECONDS or vm == self._mesh.origin.vm:
                 continue
-            del self._unanswered[vm]
+            del self._unanswered_since[vm]
             self._placement.suspect(vm)
             self._metrics.count("dispatch.suspected")
 
-    def _held(self) -> dict[_Place, _Held]:
-        held: dict[_Place, _Held] = {}
+    def _held_requests(self) -> dict[_Target, _HeldRequests]:
+        held: dict[_Target, _HeldRequests] = {}
         for number, waiting in self._waiting.items():
-            place = _Place(waiting.vm, waiting.shard)
-            held.setdefault(place, _Held()).waiting.append(number)
+            target = _Target(waiting.vm, waiting.shard)
+            held.setdefault(target, _HeldRequests()).waiting.append(number)
         for number, running in self._running.items():
-            place = _Place(running.vm, running.granted.shard)
-            held.setdefault(place, _Held()).running.append(number)
+            target = _Target(running.vm, running.slot.shard)
+            held.setdefault(target, _HeldRequests()).running.append(number)
         return held
 
-    def _send_full(self, place: _Place, held: _Held) -> None:
+    def _send_full(self, target: _Target, held: _HeldRequests) -> None:
         now = asyncio.get_running_loop().time()
         body = Snapshot(
-            [self._entry(n, self._waiting[n]) for n in held.waiting],
-            [self._state(n, self._running[n]) for n in held.running],
+            [self._register_body(n, self._waiting[n]) for n in held.waiting],
+            [self._running_body(n, self._running[n]) for n in held.running],
             None,
             None,
             True,
         )
-        self._unanswered.setdefault(place.vm, now)
-        self._quiet[place] = QUIET_DIGESTS
-        self._send(place, "snapshot", body)
+        self._unanswered_since.setdefault(target.vm, now)
+        self._final_digests[target] = FINAL_DIGEST_COUNT
+        self._send(target, "snapshot", body)
 
-    def _entry(self, number: int, waiting: _Waiting) -> Register:
-        ticket = waiting.ticket
+    def _register_body(self, number: int, waiting: _Waiting) -> Register:
+        slot_request = waiting.slot_request
         now = asyncio.get_running_loop().time()
         return Register(
             number,
-            ticket.organisation,
-            ticket.kind,
-            ticket.cost_hint,
+            slot_request.organisation,
+            slot_request.kind,
+            slot_request.cost_hint,
             now - waiting.arrived,
-            ticket.deadline - now,
-            ticket.body_bytes,
-            ticket.prefix,
-            ticket.repeatable,
-            list(ticket.excluded),
+            slot_request.deadline - now,
+            slot_request.body_bytes,
+            slot_request.prefix,
+            slot_request.repeatable,
+            list(slot_request.excluded),
         )
 
-    def _state(self, number: int, running: _Running) -> Running:
-        granted, ticket = running.granted, running.ticket
+    def _running_body(self, number: int, running: _Running) -> Running:
+        slot, slot_request = running.slot, running.slot_request
         return Running(
             number,
-            granted.grant,
-            ticket.organisation,
-            granted.endpoint,
+            slot.grant,
+            slot_request.organisation,
+            slot.endpoint,
             running.charged,
             0.0,
-            ticket.kind,
+            slot_request.kind,
         )
 
-    def _send(self, place: _Place, name: str, body: Any) -> None:
-        if not place.vm:
+    def _send(self, target: _Target, name: str, body: Any) -> None:
+        if not target.vm:
             return
-        shard = place.shard
-        self._mesh.send(place.vm, make_message(name, body, shard.service, shard.zone))
+        shard = target.shard
+        self._mesh.send(target.vm, make_message(name, body, shard.service, shard.zone))
 
-    def _heard(self, vm: str) -> None:
-        self._unanswered.pop(vm, None)
+    def _record_reply(self, vm: str) -> None:
+        self._unanswered_since.pop(vm, None)
         self._placement.clear_suspect(vm)
 
     def _on_grant(self, origin: Origin, service: str, zone: str, body: Grant) -> None:
-        self._heard(origin.vm)
-        place = _Place(origin.vm, Shard(service, zone))
+        self._record_reply(origin.vm)
+        target = _Target(origin.vm, Shard(service, zone))
         waiting = self._waiting.get(body.request)
-        # a grant for an earlier life of this ingress names another request
-        own = body.incarnation in (None, self._mesh.origin.incarnation)
-        if waiting is None or waiting.granted.done() or not own:
-            self._send(place, "decline", Decline(body.grant))
+        # a grant for an earlier incarnation of this ingress means another request
+        is_own_incarnation = body.incarnation in (None, self._mesh.origin.incarnation)
+        if waiting is None or waiting.future.done() or not is_own_incarnation:
+            self._send(target, "decline", Decline(body.grant))
             return
         self._remove(body.request)
         now = asyncio.get_running_loop().time()
-        granted = SlotGrant(
-            body.endpoint, origin, place.shard, body.grant, body.request, body.charged
+        slot = SlotGrant(
+            body.endpoint, origin, target.shard, body.grant, body.request, body.charged
         )
         self._running[body.request] = _Running(
-            waiting.ticket, granted, origin.vm, now, body.charged
+            waiting.slot_request, slot, origin.vm, now, body.charged
         )
-        self._send(place, "accept", Accept(body.grant))
-        home = _Place(waiting.vm, waiting.shard)
-        if home != place:
-            # another dispatcher fetched it; its own must not grant it again
-            self._send(home, "withdraw", Withdraw(body.request))
-        waiting.granted.set_result(granted)
+        self._send(target, "accept", Accept(body.grant))
+        registered_target = _Target(waiting.vm, waiting.shard)
+        if registered_target != target:
+            # another dispatcher fetched the request; the one it was registered
+            # with must not grant it again
+            self._send(registered_target, "withdraw", Withdraw(body.request))
+        waiting.future.set_result(slot)
 
     def _on_preempt(self, origin: Origin, _s: str, _z: str, body: Preempt) -> None:
         for running in self._running.values():
-            granted = running.granted
-            if granted.grant == body.grant and running.vm == origin.vm:
-                granted.preempted.set()
+            slot = running.slot
+            if slot.grant == body.grant and running.vm == origin.vm:
+                slot.preempted.set()
 
     def _on_reply(
         self, origin: Origin, service: str, zone: str, body: SnapshotReply
     ) -> None:
-        self._heard(origin.vm)
+        self._record_reply(origin.vm)
         if not body.wanted:
             return
-        place = _Place(origin.vm, Shard(service, zone))
-        self._send_full(place, self._held().get(place, _Held()))
+        target = _Target(origin.vm, Shard(service, zone))
+        self._send_full(target, self._held_requests().get(target, _HeldRequests()))
