--- a/packages/router/src/teaselledge/process/gossip.py
+++ b/packages/router/src/teaselledge/process/gossip.py
@@ -1,4 +1,4 @@
-"""Which routers a router exchanges heartbeats with."""
+"""Selection of the routers that a router exchanges heartbeats with."""
 
 from collections.abc import Iterable, Sequence
 
@@ -9,21 +9,20 @@
 __all__ = ["FULL_MESH", "NEAR_RINGS", "neighbours"]
 
 FULL_MESH = 9
-"""Up to so many routers in all, each one beats to every other."""
+"""Fleet size up to which every router sends heartbeats to all others."""
 
 NEAR_RINGS = 3
-"""Rings of the routers of one zone."""
+"""Number of rings among the routers of one zone."""
 
 
 def neighbours(own: Member, members: Iterable[Member]) -> list[str]:
-    """Return the routers that one router beats to.
-
-    The routers of a zone are put on several rings, each in the order of its own
-    hash, and so are all routers. The successors on the zone's rings, the next
-    router of another zone and the next one of another region are neighbours.
-    So every router has about as many watchers as it watches, some of them
-    outside its zone, and news crosses the fleet in few hops. A router that comes
-    or goes changes only the links beside it.
+    """Return the routers to which a router sends heartbeats.
+
+    The routers are ordered on several hash rings, each with its own hash. A router's
+    neighbours are its successors on the rings of its zone, the next router of another
+    zone and the next one of another region. So every router is monitored by about as
+    many routers as it monitors, some of them outside its zone, and updates cross the
+    fleet in few hops. A router that joins or leaves changes only adjacent links.
     """
     all_members = [member for member in members if member.vm != own.vm]
     if len(all_members) < FULL_MESH:
@@ -32,23 +31,28 @@
     found: dict[str, None] = {}
     for ring in range(NEAR_RINGS):
         _add_next(found, own.vm, zone, ring)
-    away = [member for member in all_members if member.zone != own.zone]
-    _add_next(found, own.vm, away, NEAR_RINGS)
-    far = [member for member in away if member.region != own.region]
-    _add_next(found, own.vm, far or away, NEAR_RINGS + 1)
+    other_zones = [member for member in all_members if member.zone != own.zone]
+    _add_next(found, own.vm, other_zones, NEAR_RINGS)
+    other_regions = [member for member in other_zones if member.region != own.region]
+    _add_next(found, own.vm, other_regions or other_zones, NEAR_RINGS + 1)
     return list(found)
 
 
-def _place(vm: str, ring: int) -> int:
+def _ring_position(vm: str, ring: int) -> int:
     return xxhash.xxh3_64_intdigest(vm.encode(), ring)
 
 
 def _add_next(
     found: dict[str, None], own: str, members: Sequence[Member], ring: int
 ) -> None:
-    here = _place(own, ring)
-    rest = [member.vm for member in members if member.vm not in found]
-    if not rest:
+    own_position = _ring_position(own, ring)
+    candidates = [member.vm for member in members if member.vm not in found]
+    if not candidates:
         return
-    size = 1 << 64
-    found[min(rest, key=lambda vm: (_place(vm, ring) - here) % size)] = None
+    ring_size = 1 << 64
+    found[
+        min(
+            candidates,
+            key=lambda vm: (_ring_position(vm, ring) - own_position) % ring_size,
+        )
+    ] = None
--- a/packages/router/src/teaselledge/process/liveness.py
+++ b/packages/router/src/teaselledge/process/liveness.py
@@ -1,4 +1,4 @@
-"""What is known of each router's life, and which news replaces which."""
+"""Records of the routers' states, and the rules for merging member reports."""
 
 from collections.abc import Iterator, Set
 from dataclasses import dataclass, replace
@@ -12,21 +12,21 @@
 __all__ = ["Change", "MemberRecord", "State", "MembershipView"]
 
 REFUTE_BEATS = 5
-"""Beats by which a router must be ahead of its death notice to be alive.
+"""Minimum lead of a router's beat number over the report of its death to revive it.
 
-A death is declared four beat periods or more after the last beat that anyone
-heard, and a later beat that someone heard would have refuted it; news that was
-under way when it died cannot carry so high a beat.
+A death is declared four heartbeat periods or more after the last heartbeat that any
+router received, and a later one would have refuted it. Reports in transit when the
+router died can't carry so high a beat number.
 """
 
-MAX_LIVES = 4
-"""Incarnations kept for one VM."""
+MAX_INCARNATIONS = 4
+"""Maximum number of incarnations retained for one VM."""
 
 DIGEST_BITS = 63
 
 
 class State(IntEnum):
-    """Whether a router is thought to live; the higher wins at one beat."""
+    """State of a router; at equal beat numbers the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -35,18 +35,18 @@
 
 @dataclass(frozen=True)
 class MemberRecord:
-    """What is known of one incarnation of a router.
+    """State of one incarnation of a router.
 
     Attributes
     ----------
     member : Member
-        The router; its `leaving` never goes back to false.
+        The router; its `leaving` never returns to false.
     beat : int
-        Highest beat that anyone is known to have heard.
+        Highest beat number that any router has reported.
     state : State
-        Whether it lives.
+        Whether the router is alive.
     since : float
-        Loop time at which the state was taken.
+        Loop time of the last change of state.
     """
 
     member: Member
@@ -55,7 +55,7 @@
     since: float
 
     def to_rumour(self) -> Rumour:
-        """Return the record as it is told to others."""
+        """Return the record as a member report for other routers."""
         member = self.member
         short = Rumour(
             member.vm, member.incarnation, self.beat, int(self.state), member.leaving
@@ -71,81 +71,87 @@
 
 
 class Change(IntEnum):
-    """What a rumour did to the view."""
+    """Effect of a member report on the view."""
 
     NONE = 0
-    """Nothing; it was known already."""
+    """No effect."""
 
     UPDATED = 1
-    """It changed the view and is worth passing on."""
+    """The report changed the view and should be forwarded."""
 
     STALE = 2
-    """The view knows better, which the sender should be told."""
+    """The view has a newer record, which the sender should receive."""
 
 
 class MembershipView:
     """Records by VM and incarnation.
 
-    Each incarnation has a record of its own, so what is told of a predecessor
-    can't hit its successor, nor the other way round.
+    Each incarnation has its own record, so that reports about a predecessor don't
+    affect its successor, nor the other way round.
     """
 
     def __init__(self) -> None:
-        self._lives: dict[str, dict[int, MemberRecord]] = {}
+        self._incarnations: dict[str, dict[int, MemberRecord]] = {}
         self._epoch = 0
         self._current: tuple[int, dict[str, int]] = (-1, {})
         self._digest: tuple[tuple[int, Member], int] | None = None
 
-    def merge(self, rumour: Rumour, now: float) -> Change:
-        """Take a rumour in."""
-        lives = self._lives.setdefault(rumour.vm, {})
-        known = lives.get(rumour.incarnation)
+    def merge(self, report: Rumour, now: float) -> Change:
+        """Merge a member report."""
+        incarnations = self._incarnations.setdefault(report.vm, {})
+        known = incarnations.get(report.incarnation)
         if known is None:
-            if rumour.state != State.DEAD and not rumour.peer_address:
-                # without addresses it names nobody; the full record follows
+            if report.state != State.DEAD and not report.peer_address:
+                # without an address the record is of no use; the full one follows
                 return Change.NONE
-            self._put(_record(rumour, now))
-            self._trim(rumour.vm)
+            self._put(_record(report, now))
+            self._trim(report.vm)
             return Change.UPDATED
-        if _is_stale(known, rumour):
+        if _is_stale(known, report):
             return Change.STALE if known.state is State.ALIVE else Change.NONE
-        merged = _merge(known, rumour, now)
+        merged = _merge(known, report, now)
         self._put(merged)
-        return Change.UPDATED if _told(merged) != _told(known) else Change.NONE
+        return (
+            Change.UPDATED
+            if _forwarded_fields(merged) != _forwarded_fields(known)
+            else Change.NONE
+        )
 
     def find(self, vm: str, incarnation: int) -> MemberRecord | None:
         """Return the record of one incarnation."""
-        return self._lives.get(vm, {}).get(incarnation)
+        return self._incarnations.get(vm, {}).get(incarnation)
 
     def current(self, vm: str) -> MemberRecord | None:
         """Return the highest incarnation that is not dead."""
-        living = [r for r in self._lives.get(vm, {}).values() if r.state < State.DEAD]
-        return max(living, key=lambda r: r.member.incarnation, default=None)
+        not_dead = [
+            r for r in self._incarnations.get(vm, {}).values() if r.state < State.DEAD
+        ]
+        return max(not_dead, key=lambda r: r.member.incarnation, default=None)
 
     def live_records(self) -> Iterator[MemberRecord]:
         """Iterate over the current record of every router that has one."""
-        for vm, incarnation in list(self._current_lives().items()):
-            yield self._lives[vm][incarnation]
+        for vm, incarnation in list(self._current_incarnations().items()):
+            yield self._incarnations[vm][incarnation]
 
     def live_vms(self) -> Set[str]:
         """Return the VMs with a record that is not dead."""
-        return self._current_lives().keys()
+        return self._current_incarnations().keys()
 
-    def _current_lives(self) -> dict[str, int]:
-        # asked many times a second, changes with the epoch only
+    def _current_incarnations(self) -> dict[str, int]:
+        # called many times a second, changes with the epoch only
         if self._current[0] != self._epoch:
-            lives = {}
-            for vm in self._lives:
+            incarnations = {}
+            for vm in self._incarnations:
                 found = self.current(vm)
                 if found is not None:
-                    lives[vm] = found.member.incarnation
-            self._current = (self._epoch, lives)
+                    incarnations[vm] = found.member.incarnation
+            self._current = (self._epoch, incarnations)
         return self._current[1]
 
     def records(self) -> Iterator[MemberRecord]:
         """Iterate over all records."""
-        for lives in self._lives.values():
-            yield from lives.values()
+        for incarnations in self._incarnations.values():
+            yield from incarnations.values()
 
     def set_state(self, record: MemberRecord, state: State, now: float) -> MemberRecord:
         """Change the state of a record."""
@@ -154,30 +160,27 @@
         return changed
 
     def mark_leaving(self, record: MemberRecord) -> MemberRecord:
-        """Note that an incarnation leaves, which never goes back."""
+        """Mark an incarnation as leaving, permanently."""
         changed = replace(record, member=replace(record.member, leaving=True))
         self._put(changed)
         return changed
 
     def prune_dead(self, before: float) -> None:
-        """Drop the dead of long ago."""
-        for vm, lives in list(self._lives.items()):
-            for incarnation, record in list(lives.items()):
+        """Remove the records of routers that died before a loop time."""
+        for vm, incarnations in list(self._incarnations.items()):
+            for incarnation, record in list(incarnations.items()):
                 if record.state is State.DEAD and record.since < before:
-                    del lives[incarnation]
-            if not lives:
-                del self._lives[vm]
+                    del incarnations[incarnation]
+            if not incarnations:
+                del self._incarnations[vm]
 
     @property
     def epoch(self) -> int:
-        """Grows when a router comes, goes or changes what others act on."""
+        """Counter of changes of the routers and of the fields that others act on."""
         return self._epoch
 
     def digest(self, own: Member) -> int:
-        """Return a hash of who lives and who leaves, one more router included.
-
-        It is equal in views that agree.
-        """
+        """Return a hash of the live routers with `own`, equal in views that agree."""
         key = (self._epoch, own)
         if self._digest is None or self._digest[0] != key:
             members = [r.member for r in self.live_records() if r.member.vm != own.vm]
@@ -192,75 +195,75 @@
 
     def _put(self, record: MemberRecord) -> None:
         member = record.member
-        lives = self._lives.setdefault(member.vm, {})
-        old = lives.get(member.incarnation)
-        lives[member.incarnation] = record
-        if old is None or _told(old) != _told(record):
+        incarnations = self._incarnations.setdefault(member.vm, {})
+        old = incarnations.get(member.incarnation)
+        incarnations[member.incarnation] = record
+        if old is None or _forwarded_fields(old) != _forwarded_fields(record):
             self._epoch += 1
 
     def _trim(self, vm: str) -> None:
-        lives = self._lives[vm]
-        while len(lives) > MAX_LIVES:
+        incarnations = self._incarnations[vm]
+        while len(incarnations) > MAX_INCARNATIONS:
             # a process that restarts in a loop must not fill the memory
-            worst = min(
-                lives.values(),
+            oldest = min(
+                incarnations.values(),
                 key=lambda r: (r.state < State.DEAD, r.member.incarnation),
             )
-            del lives[worst.member.incarnation]
+            del incarnations[oldest.member.incarnation]
             self._epoch += 1
 
 
-def _told(record: MemberRecord) -> tuple[State, bool, bool, str]:
-    """Return what others act on, so that a change of it is passed on."""
+def _forwarded_fields(record: MemberRecord) -> tuple[State, bool, bool, str]:
+    """Return the fields that others act on; a change of them is forwarded."""
     member = record.member
     configured = member.version > 0
     return record.state, member.leaving, configured, member.peer_address
 
 
-def _record(rumour: Rumour, now: float) -> MemberRecord:
+def _record(report: Rumour, now: float) -> MemberRecord:
     member = Member(
-        rumour.vm,
-        rumour.zone or "",
-        rumour.region or "",
-        rumour.peer_address or "",
-        rumour.caller_address or "",
-        rumour.incarnation,
-        rumour.leaving,
-        rumour.version or 0,
-        rumour.load or 0.0,
-        rumour.operator_address or "",
+        report.vm,
+        report.zone or "",
+        report.region or "",
+        report.peer_address or "",
+        report.caller_address or "",
+        report.incarnation,
+        report.leaving,
+        report.version or 0,
+        report.load or 0.0,
+        report.operator_address or "",
     )
-    return MemberRecord(member, rumour.beat, State(rumour.state), now)
+    return MemberRecord(member, report.beat, State(report.state), now)
 
 
-def _is_stale(known: MemberRecord, rumour: Rumour) -> bool:
-    """Return whether a rumour tells less than what is known.
+def _is_stale(known: MemberRecord, report: Rumour) -> bool:
+    """Return whether a report is older than the known record.
 
-    News of a router's leaving is never stale.
+    A report that a router leaves is never stale.
     """
-    if rumour.leaving and not known.member.leaving:
+    if report.leaving and not known.member.leaving:
         return False
-    if known.state is State.DEAD and rumour.state != State.DEAD:
-        return rumour.beat < known.beat + REFUTE_BEATS
-    if rumour.beat != known.beat:
-        return rumour.beat < known.beat
-    return rumour.state < known.state
+    if known.state is State.DEAD and report.state != State.DEAD:
+        return report.beat < known.beat + REFUTE_BEATS
+    if report.beat != known.beat:
+        return report.beat < known.beat
+    return report.state < known.state
 
 
-def _merge(known: MemberRecord, rumour: Rumour, now: float) -> MemberRecord:
-    told = _record(rumour, now)
-    leaving = known.member.leaving or rumour.leaving
-    if rumour.beat < known.beat or (
+def _merge(known: MemberRecord, report: Rumour, now: float) -> MemberRecord:
+    reported = _record(report, now)
+    leaving = known.member.leaving or report.leaving
+    if report.beat < known.beat or (
         known.state is State.DEAD
-        and rumour.state != State.DEAD
-        and rumour.beat < known.beat + REFUTE_BEATS
+        and report.state != State.DEAD
+        and report.beat < known.beat + REFUTE_BEATS
     ):
         return replace(known, member=replace(known.member, leaving=leaving))
     member = known.member
-    if told.member.peer_address:
-        member = told.member
-    state = told.state
-    if rumour.beat == known.beat:
+    if reported.member.peer_address:
+        member = reported.member
+    state = reported.state
+    if report.beat == known.beat:
         state = max(state, known.state)
     since = known.since if state is known.state else now
-    return MemberRecord(replace(member, leaving=leaving), rumour.beat, state, since)
+    return MemberRecord(replace(member, leaving=leaving), report.beat, state, since)
--- a/packages/router/src/teaselledge/process/member.py
+++ b/packages/router/src/teaselledge/process/member.py
@@ -8,20 +8,20 @@
 
 
 def new_incarnation(seconds: float, random: int) -> int:
-    """Return the number of a process that starts now.
+    """Return the incarnation of a process that starts now.
 
     Parameters
     ----------
     seconds : float
         Wall time of the start.
     random : int
-        Of `RANDOM_BITS`; tells two processes of one second apart.
+        Number of `RANDOM_BITS` bits; distinguishes processes started in one second.
 
     Notes
     -----
-    Later processes have higher numbers while clocks are right. Where a clock
-    went back, routers prefer the predecessor until its silence shows, a few
-    seconds later; nothing else hangs on the order.
+    Later processes have higher numbers as long as clocks don't go back. After a
+    clock went back, routers prefer the predecessor until they detect its silence, a
+    few seconds later; nothing else depends on the order.
     """
     return (int(seconds) << RANDOM_BITS) | random
 
@@ -35,17 +35,17 @@
     vm : str
         Name of the VM.
     zone, region : str
-        Where it is.
+        Location of the VM.
     peer_address, caller_address : str
         ``host:port`` for other routers and for callers.
     incarnation : int
-        Identifies one life of the process; 0 while unknown.
+        Number of the running process; 0 while unknown.
     leaving : bool
-        It takes no new work.
+        Whether the router accepts no new work.
     version : int
-        Configuration version in force there.
+        Configuration version in force in the router.
     load : float
-        Requests in progress, as last told.
+        Requests in progress, as last reported.
     operator_address : str
         ``host:port`` for operators.
     """
--- a/packages/router/tests/test_liveness.py
+++ b/packages/router/tests/test_liveness.py
@@ -1,4 +1,4 @@
-"""Tests of which news replaces which."""
+"""Tests of merging member reports into the view."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -6,66 +6,66 @@
 from teaselledge_wire.gen.router.ttypes import Rumour
 
 
-def rumour(beat, state, incarnation=1, leaving=False, vm="a"):
+def report(beat, state, incarnation=1, leaving=False, vm="a"):
     return Rumour(vm, incarnation, beat, int(state), leaving, "z", "r", "a:1", "a:2")
 
 
-def test_late_news_does_not_revive_the_dead():
-    """A router dies at beat 100; a message saying that it lives at beat 101 was
-    under way in a paused router and arrives afterwards. Work given to the dead
-    would wait until it is declared dead again.
+def test_late_report_does_not_revive_a_dead_router():
+    """A router dies at beat 100; a paused router delays a report that it is alive
+    at beat 101, which arrives afterwards. Work sent to the dead router would wait
+    until it is declared dead again.
     """
     view = MembershipView()
-    view.merge(rumour(100, State.ALIVE), 0.0)
-    view.merge(rumour(100, State.DEAD), 1.0)
-    assert view.merge(rumour(101, State.ALIVE), 2.0) is Change.NONE
+    view.merge(report(100, State.ALIVE), 0.0)
+    view.merge(report(100, State.DEAD), 1.0)
+    assert view.merge(report(101, State.ALIVE), 2.0) is Change.NONE
     assert view.current("a") is None
 
 
-def test_a_router_that_was_cut_off_is_revived_by_its_own_later_beat():
+def test_router_that_was_cut_off_is_revived_by_its_own_later_beat():
     view = MembershipView()
-    view.merge(rumour(100, State.ALIVE), 0.0)
-    view.merge(rumour(100, State.DEAD), 1.0)
-    assert view.merge(rumour(100 + REFUTE_BEATS, State.ALIVE), 9.0) is Change.UPDATED
+    view.merge(report(100, State.ALIVE), 0.0)
+    view.merge(report(100, State.DEAD), 1.0)
+    assert view.merge(report(100 + REFUTE_BEATS, State.ALIVE), 9.0) is Change.UPDATED
     assert view.current("a").state is State.ALIVE
 
 
-def test_leaving_never_goes_back():
-    """The word that a router leaves overtakes its earlier beats, which still say
-    that it stays. If they won, callers would be sent to it until it closes.
+def test_leaving_is_never_reset():
+    """The report that a router leaves overtakes its earlier heartbeats, which don't
+    mark it as leaving. If they won, callers would be sent there until it closes.
     """
     view = MembershipView()
-    view.merge(rumour(5, State.ALIVE), 0.0)
-    view.merge(rumour(6, State.ALIVE, leaving=True), 1.0)
-    view.merge(rumour(7, State.ALIVE, leaving=False), 2.0)
+    view.merge(report(5, State.ALIVE), 0.0)
+    view.merge(report(6, State.ALIVE, leaving=True), 1.0)
+    view.merge(report(7, State.ALIVE, leaving=False), 2.0)
     assert view.current("a").member.leaving
 
 
-def test_news_of_a_predecessor_does_not_hit_its_successor():
-    """A router restarts empty under its old name while the others still spread
-    that its earlier process is dead or leaves.
+def test_report_on_a_predecessor_does_not_affect_its_successor():
+    """A router restarts under its old name while the others still report its
+    earlier process as dead or leaving.
     """
     view = MembershipView()
-    view.merge(rumour(50, State.ALIVE, incarnation=1), 0.0)
-    view.merge(rumour(1, State.ALIVE, incarnation=2), 1.0)
-    view.merge(rumour(50, State.DEAD, incarnation=1), 2.0)
-    view.merge(rumour(51, State.ALIVE, incarnation=1, leaving=True), 3.0)
+    view.merge(report(50, State.ALIVE, incarnation=1), 0.0)
+    view.merge(report(1, State.ALIVE, incarnation=2), 1.0)
+    view.merge(report(50, State.DEAD, incarnation=1), 2.0)
+    view.merge(report(51, State.ALIVE, incarnation=1, leaving=True), 3.0)
     current = view.current("a").member
     assert (current.incarnation, current.leaving) == (2, False)
 
 
-def test_incarnations_kept_are_bounded():
-    """A process that restarts in a loop would otherwise fill every router."""
+def test_retained_incarnations_are_limited():
+    """A process that restarts in a loop would otherwise fill the routers' memory."""
     view = MembershipView()
     for incarnation in range(1, 100):
-        view.merge(rumour(1, State.ALIVE, incarnation), 0.0)
+        view.merge(report(1, State.ALIVE, incarnation), 0.0)
     assert len(list(view.records())) <= 4
     assert view.current("a").member.incarnation == 99
 
 
-NEWS = st.lists(
+REPORTS = st.lists(
     st.builds(
-        rumour,
+        report,
         st.integers(0, 30),
         st.sampled_from(State),
         st.integers(1, 3),
@@ -75,21 +75,21 @@
 )
 
 
-@given(NEWS)
-def test_repeating_news_changes_nothing(news):
+@given(REPORTS)
+def test_repeated_report_changes_nothing(reports):
     view = MembershipView()
-    for one in news:
-        view.merge(one, 0.0)
-        assert view.merge(one, 0.0) is not Change.UPDATED
+    for each in reports:
+        view.merge(each, 0.0)
+        assert view.merge(each, 0.0) is not Change.UPDATED
 
 
-@given(NEWS)
-def test_beats_never_fall_and_the_dead_need_a_far_higher_beat(news):
+@given(REPORTS)
+def test_beats_never_fall_and_revival_needs_the_minimum_lead(reports):
     view = MembershipView()
-    for one in news:
-        old = view.find("a", one.incarnation)
-        view.merge(one, 0.0)
-        new = view.find("a", one.incarnation)
+    for each in reports:
+        old = view.find("a", each.incarnation)
+        view.merge(each, 0.0)
+        new = view.find("a", each.incarnation)
         if old is None or new is None:
             continue
         assert new.beat >= old.beat
