--- a/packages/router/src/teaselledge/process/drain.py
+++ b/packages/router/src/teaselledge/process/drain.py
@@ -1,4 +1,4 @@
-"""Leave gracefully: out of the addresses, refuse, finish, end."""
+"""Graceful shutdown: leave the address lists, refuse new requests, finish, exit."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,53 +16,53 @@
 
 _log = get_log("drain")
 
-CHECK_SECONDS = 0.05
+CHECK_INTERVAL_SECONDS = 0.05
 
 
 class DrainExit(IntEnum):
     """Exit codes of the process after a graceful shutdown."""
 
     WHOLE = 0
-    """Everything in progress ended."""
+    """All requests in progress have ended."""
 
     DEADLINE = 3
-    """The time of the settings was over; what was left was cut."""
+    """The drain timeout expired; remaining requests were cut."""
 
     SECOND_SIGNAL = 4
-    """A second signal came; what was left was cut."""
+    """A second signal was received; remaining requests were cut."""
 
 
 class Phase(Enum):
-    """How far a shutdown is."""
+    """Phase of a shutdown."""
 
     SERVING = "serving"
     LEAVING = "leaving"
-    """Out of the addresses; callers with old answers are served."""
+    """Removed from the address lists; callers with older lists are served."""
 
     REFUSING = "refusing"
-    """New requests are refused, what runs goes on."""
+    """New requests are refused, running ones continue."""
 
     ENDED = "ended"
 
 
 class Runner(Protocol):
-    """What answers requests."""
+    """Serves requests."""
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
-        """Answer a request."""
+        """Serve a request."""
 
 
 class DrainTarget(Protocol):
-    """What a shutdown needs of the router."""
+    """Operations of the router that a shutdown uses."""
 
     def announce_leaving(self) -> None:
-        """Tell the others that this router takes no new work."""
+        """Announce to the other routers that this one accepts no new work."""
 
     def reject_waiting(self, fault: Fault) -> None:
-        """Give a final answer to requests that wait and have not begun."""
+        """Reject waiting requests that no endpoint has tried."""
 
     def alternative_address(self) -> str:
-        """Return the address of another router, or nothing."""
+        """Return the address of another router, or an empty string."""
 
 
 class Drain:
@@ -70,92 +70,92 @@
 
     Parameters
     ----------
-    parts : Parts
-        The router's parts.
+    target : DrainTarget
+        The router to shut down.
     in_progress : callable
-        How many requests are in progress, records for the journal included.
+        Returns the number of requests in progress and of unsaved journal records.
     address_seconds : float
-        How long callers keep the answer of the address list.
+        Time for which callers cache the address list.
     drain_seconds : float
-        Longest time from start to end.
+        Maximum duration of the shutdown.
     """
 
     def __init__(
         self,
-        parts: DrainTarget,
+        target: DrainTarget,
         in_progress: Callable[[], int],
         address_seconds: float,
         drain_seconds: float,
     ) -> None:
-        self._parts = parts
+        self._target = target
         self._in_progress = in_progress
         self._address_seconds = address_seconds
         self._drain_seconds = drain_seconds
         self._phase = Phase.SERVING
         self._started = asyncio.Event()
-        self._hurried = asyncio.Event()
+        self._second_signal = asyncio.Event()
 
     @property
     def phase(self) -> Phase:
-        """How far it is."""
+        """The current phase."""
         return self._phase
 
     def start(self) -> None:
-        """Start to leave; doing it again changes nothing."""
+        """Start the shutdown; further calls have no effect."""
         if self._started.is_set():
             return
         self._phase = Phase.LEAVING
         self._started.set()
-        _log.info("This router leaves.")
-        self._parts.announce_leaving()
+        _log.info("Graceful shutdown has started.")
+        self._target.announce_leaving()
 
     def signal(self) -> None:
-        """Start, or end at once where it has started already."""
+        """Start the shutdown, or end it at once if it has started already."""
         if self._started.is_set():
-            self._hurried.set()
+            self._second_signal.set()
         self.start()
 
     def rejection(self) -> Fault | None:
-        """Return what a new request is told, None where it is taken."""
+        """Return the fault for a new request, None if it is accepted."""
         if self._phase in (Phase.SERVING, Phase.LEAVING):
             return None
         return self._fault()
 
     async def wait(self) -> DrainExit:
-        """Wait for the start, then leave and return how it ended."""
+        """Wait for the start of the shutdown, carry it out and return the exit code."""
         await self._started.wait()
-        hurried = asyncio.create_task(self._hurried.wait())
-        leaving = asyncio.create_task(self._leave())
+        second_signal = asyncio.create_task(self._second_signal.wait())
+        draining = asyncio.create_task(self._drain())
         done, pending = await asyncio.wait(
-            {hurried, leaving},
+            {second_signal, draining},
             timeout=self._drain_seconds,
             return_when=asyncio.FIRST_COMPLETED,
         )
         for task in pending:
             task.cancel()
         self._phase = Phase.ENDED
-        if leaving in done:
-            _log.info("Everything in progress has ended.")
+        if draining in done:
+            _log.info("All requests in progress have ended.")
             return DrainExit.WHOLE
-        left = self._in_progress()
-        _log.warning(f"{left} requests in progress are cut.")
-        return DrainExit.SECOND_SIGNAL if hurried in done else DrainExit.DEADLINE
+        remaining = self._in_progress()
+        _log.warning(f"Cutting {remaining} requests in progress.")
+        return DrainExit.SECOND_SIGNAL if second_signal in done else DrainExit.DEADLINE
 
-    async def _leave(self) -> None:
+    async def _drain(self) -> None:
         await asyncio.sleep(self._address_seconds)
         self._phase = Phase.REFUSING
-        self._parts.reject_waiting(self._fault())
+        self._target.reject_waiting(self._fault())
         while self._in_progress():
-            await asyncio.sleep(CHECK_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def _fault(self) -> Fault:
-        address = self._parts.alternative_address()
+        address = self._target.alternative_address()
         detail = f"Use {address} instead." if address else ""
         return Fault(ErrorKind.LEAVING, Ran.NO, detail)
 
 
 class DrainGate:
-    """Counts the requests in progress and refuses new ones while leaving."""
+    """Counts the requests in progress and refuses new ones during a shutdown."""
 
     def __init__(self, runner: Runner, orders: OrderExecutor) -> None:
         self._runner = runner
@@ -165,11 +165,11 @@
 
     @property
     def in_progress(self) -> int:
-        """Requests in progress, and records that the journal still has to get."""
+        """Number of requests in progress and of unsaved journal records."""
         return self._running + self._orders.pending
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
-        """Answer a request."""
+        """Serve a request, or refuse it during a shutdown."""
         fault = self.rejection()
         if fault is not None and request.kind_entry.repeatable:
             return Error(as_unverified(fault, request.key))
--- a/packages/router/src/teaselledge/process/endpointobserver.py
+++ b/packages/router/src/teaselledge/process/endpointobserver.py
@@ -1,4 +1,4 @@
-"""An endpoint client that tells what it notices about the endpoints."""
+"""Endpoint client that reports the status of the endpoints it talks to."""
 
 from collections.abc import Callable
 
@@ -15,39 +15,39 @@
 __all__ = ["LEAVING_HEADER", "ObservingEndpointClient"]
 
 LEAVING_HEADER = "X-Leaving"
-"""Header of an endpoint's answers with which it says that it leaves."""
+"""Response header with which an endpoint announces that it is leaving."""
 
 
 class ObservingEndpointClient:
-    """Passes requests on and reports refusals and the endpoint's own word.
+    """Forwards requests and reports refused connections and leaving endpoints.
 
     Parameters
     ----------
     client : EndpointClient
         Sends the requests.
     on_status : callable
-        Called with the endpoint's address and what was noticed.
+        Called with the endpoint's address and its status.
     """
 
     def __init__(
         self, client: EndpointClient, on_status: Callable[[str, EndpointStatus], None]
     ) -> None:
         self._client = client
-        self._notice = on_status
+        self._on_status = on_status
 
     async def send(
         self, address: str, request: OutboundRequest
     ) -> Result[EndpointResponse, SendFailure]:
-        """Send a request and wait for the head of its answer."""
+        """Send a request and wait for the head of the response."""
         result = await self._client.send(address, request)
         if result.is_error():
-            # no answer in time may be this router's way there; a refusal is the
-            # endpoint's host itself, whoever asks
+            # a timeout may be due to this router's network path; a refused
+            # connection is refused for all routers
             if result.error.refused:
-                self._notice(address, EndpointStatus.REFUSED)
+                self._on_status(address, EndpointStatus.REFUSED)
             return result
         leaving = result.ok.headers.get(LEAVING_HEADER, "").lower() in ("1", "true")
-        self._notice(
+        self._on_status(
             address, EndpointStatus.LEAVING if leaving else EndpointStatus.BACK
         )
         return result
--- a/packages/router/src/teaselledge/process/endpointstatus.py
+++ b/packages/router/src/teaselledge/process/endpointstatus.py
@@ -1,4 +1,4 @@
-"""Endpoints that get no new work for now, and who says so."""
+"""Table of endpoints that temporarily get no new work, by reporting router."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,112 +12,119 @@
 """Service and endpoint."""
 
 MAX_NOTICES = 20_000
-MAX_SECONDS = 3600.0
+MAX_NOTICE_SECONDS = 3600.0
 
 
 class EndpointStatus(IntEnum):
     """Why an endpoint gets no new work."""
 
     BACK = 0
-    """It does again; ends what was refused or loading."""
+    """It accepts work again; ends REFUSED and LOADING."""
 
     REFUSED = 1
     """It refused a connection; nothing listens there."""
 
     LEAVING = 2
-    """It said itself that it leaves."""
+    """It announced that it is leaving."""
 
     LOADING = 3
-    """It loads a model and can't answer yet."""
+    """It is loading a model and can't serve requests yet."""
 
 
-SECONDS: dict[EndpointStatus, float] = {
+NOTICE_SECONDS: dict[EndpointStatus, float] = {
     EndpointStatus.BACK: 5.0,
     EndpointStatus.REFUSED: 5.0,
     EndpointStatus.LEAVING: 600.0,
     EndpointStatus.LOADING: 10.0,
 }
-"""How long a notice holds unless repeated."""
+"""Validity of a notice by status, unless it is repeated."""
 
 
 @dataclass(frozen=True)
 class _Notice:
     reason: EndpointStatus
     number: int
-    ends: float
+    expires: float
 
 
 class EndpointStatusTable:
     """Notices by endpoint and reporter.
 
-    A notice ends by itself, so that a wrong one takes an endpoint away for
-    seconds only and a reporter that dies leaves nothing behind.
+    A notice expires, so that a wrong one blocks an endpoint only for a limited time
+    and a reporter that dies leaves no notice behind.
     """
 
     def __init__(self, reporter: str) -> None:
         self._reporter = reporter
-        self._number = 0
+        self._last_number = 0
         self._notices: dict[tuple[EndpointKey, str], _Notice] = {}
 
     def report(
         self, endpoint: EndpointKey, reason: EndpointStatus, now: float
     ) -> EndpointNews | None:
-        """Note what this router saw; None where it was told lately."""
+        """Record a status that this router observed.
+
+        Returns
+        -------
+        EndpointNews or None
+            The notice to send to others; None if it was sent recently or if the
+            endpoint is not blocked.
+        """
         known = self._notices.get((endpoint, self._reporter))
-        seconds = SECONDS[reason]
+        seconds = NOTICE_SECONDS[reason]
         if known is not None and known.reason is reason:
-            if known.ends - now > seconds / 2:
+            if known.expires - now > seconds / 2:
                 return None
         elif reason is EndpointStatus.BACK and endpoint not in self.blocked(now):
             return None
-        self._number += 1
-        news = EndpointNews(
-            *endpoint, int(reason), seconds, self._reporter, self._number
+        self._last_number += 1
+        notice_message = EndpointNews(
+            *endpoint, int(reason), seconds, self._reporter, self._last_number
         )
-        self.merge(news, now)
-        return news
+        self.merge(notice_message, now)
+        return notice_message
 
-    def merge(self, news: EndpointNews, now: float) -> bool:
-        """Take a notice in; tell whether it was new."""
-        endpoint = (news.service_name, news.endpoint)
-        key = (endpoint, news.reporter)
+    def merge(self, notice_message: EndpointNews, now: float) -> bool:
+        """Merge a notice and return whether it was new."""
+        endpoint = (notice_message.service_name, notice_message.endpoint)
+        key = (endpoint, notice_message.reporter)
         known = self._notices.get(key)
-        if known is not None and known.number >= news.number:
+        if known is not None and known.number >= notice_message.number:
             return False
         if known is None and len(self._notices) >= MAX_NOTICES:
-            self._drop(lambda notice: notice.ends <= now)
+            self._remove(lambda notice: notice.expires <= now)
         if known is None and len(self._notices) >= MAX_NOTICES:
             return False
         try:
-            reason = EndpointStatus(news.reason)
+            reason = EndpointStatus(notice_message.reason)
         except ValueError:
-            # a newer release may know more reasons
+            # a newer release may have more statuses
             return False
-        ends = now + min(max(news.seconds, 0.0), MAX_SECONDS)
+        expires = now + min(max(notice_message.seconds, 0.0), MAX_NOTICE_SECONDS)
         if reason is EndpointStatus.BACK:
-            self._end_soft(endpoint)
-        self._notices[key] = _Notice(reason, news.number, ends)
+            self._clear_temporary(endpoint)
+        self._notices[key] = _Notice(reason, notice_message.number, expires)
         return True
 
     def blocked(self, now: float) -> dict[EndpointKey, EndpointStatus]:
-        """Return the endpoints that get no new work, with the gravest reason."""
+        """Return the blocked endpoints with the reason; LEAVING takes precedence."""
         found: dict[EndpointKey, EndpointStatus] = {}
         for (endpoint, _), notice in self._notices.items():
-            if notice.ends <= now or notice.reason is EndpointStatus.BACK:
+            if notice.expires <= now or notice.reason is EndpointStatus.BACK:
                 continue
             old = found.get(endpoint)
             if old is not EndpointStatus.LEAVING:
                 found[endpoint] = notice.reason
         return found
 
-    def _end_soft(self, endpoint: EndpointKey) -> None:
+    def _clear_temporary(self, endpoint: EndpointKey) -> None:
         for key, notice in list(self._notices.items()):
             if key[0] == endpoint and notice.reason is not EndpointStatus.LEAVING:
                 self._notices[key] = _Notice(
-                    EndpointStatus.BACK, notice.number, notice.ends
+                    EndpointStatus.BACK, notice.number, notice.expires
                 )
 
-    def _drop(self, over: Callable[[_Notice], bool]) -> None:
+    def _remove(self, is_expired: Callable[[_Notice], bool]) -> None:
         for key, notice in list(self._notices.items()):
-            if over(notice):
+            if is_expired(notice):
                 del self._notices[key]
--- a/packages/router/src/teaselledge/process/membership.py
+++ b/packages/router/src/teaselledge/process/membership.py
@@ -476,7 +476,7 @@
 
     def _audit_targets(self) -> set[str]:
         # a router that failed together with all its neighbours would otherwise
-        # stay in the view; every few seconds some router contacts each of them
+        # stay in the view, so every router is contacted every few seconds
         if self._beat_number % AUDIT_BEATS:
             return set()
         others = sorted(self._view.live_vms() - {self._own.vm})
--- a/packages/router/src/teaselledge/process/mesh.py
+++ b/packages/router/src/teaselledge/process/mesh.py
@@ -1,4 +1,4 @@
-"""Sending messages between the routers."""
+"""Messages between routers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
     vm : str
         Name of the sending VM.
     incarnation : int
-        Identifies one life of its process.
+        Incarnation of the sending process.
     """
 
     vm: str
@@ -33,28 +33,28 @@
 
 
 Handler = Callable[[Origin, str, str, Any], None]
-"""Called with the sender, the service, the zone and the body."""
+"""Function called with the sender, the service, the zone and the body."""
 
 
 class Mesh(Protocol):
-    """Best-effort messages to other routers; any may be lost or late."""
+    """Best-effort messages to other routers; any may be lost or delayed."""
 
     @property
     def origin(self) -> Origin:
-        """This router as a sender."""
+        """Origin of the messages of this router."""
 
     def send(self, vm: str, message: Message) -> None:
-        """Send to a router, this one included."""
+        """Send a message to a router, which may be this one."""
 
     def subscribe(self, body: str, handler: Handler) -> None:
-        """Call a handler for each message with that body."""
+        """Register a handler for messages with that body."""
 
 
 BODIES: tuple[str, ...] = tuple(Body.__slots__)
 
 
 def unpack_body(received: Message) -> tuple[str, Any] | None:
-    """Return name and value of the body, None where this release has none."""
+    """Return the name and value of the body, None if this release doesn't know it."""
     if received.body is None:
         return None
     for name in BODIES:
@@ -70,13 +70,13 @@
 
 
 class HandlerRegistry:
-    """Handlers by body, shared by the real mesh and the fakes."""
+    """Message handlers by body, used by `PeerMesh` and the stand-ins."""
 
     def __init__(self) -> None:
         self._handlers: dict[str, list[Handler]] = {}
 
     def subscribe(self, body: str, handler: Handler) -> None:
-        """Add a handler; the body's name must exist."""
+        """Add a handler; raise `KeyError` for an unknown body."""
         if body not in BODIES:
             raise KeyError(body)
         self._handlers.setdefault(body, []).append(handler)
--- a/packages/router/src/teaselledge/process/node.py
+++ b/packages/router/src/teaselledge/process/node.py
@@ -1,4 +1,4 @@
-"""The parts of a router that need no sockets of their own."""
+"""The components of a router that open no sockets themselves."""
 
 import asyncio
 import time
@@ -46,8 +46,8 @@
 class Node:
     """Membership, configuration, dispatch and forwarding of one router.
 
-    The router gives it a mesh over TCP and clients over HTTP; tests and
-    benchmarks give it fakes and a virtual clock.
+    The router process passes a mesh over TCP and clients over HTTP; tests and
+    benchmarks pass stand-ins and a virtual clock.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.mesh = mesh
         self._tasks: list[asyncio.Task[None]] = []
         self.config_watcher = ConfigWatcher(
-            platform.tables, mesh, self._live, self._use, metrics
+            platform.tables, mesh, self._live, self._apply_version, metrics
         )
         self.objectives = ObjectiveTracker(self._version)
         self.membership = Membership(
@@ -89,17 +89,17 @@
             settings.zone,
             mesh,
             self._version,
-            self._usable,
+            self._reachable,
             IngressLimits.from_config(settings.limits),
             metrics,
         )
         self.membership.on_change(self.dispatchers.refresh_placement)
         self.membership.on_change(self.ingress.refresh_placement)
-        client = ObservingEndpointClient(client, self._notice)
+        client = ObservingEndpointClient(client, self._report_endpoint)
         journal = Journal(platform.tables, platform.objects, metrics, clock)
         owner = f"{own.vm}/{own.incarnation:x}"
         self.orders = OrderExecutor(self.ingress, client, journal, metrics, owner)
-        self.sweeper = Sweeper(journal, self._sweeps)
+        self.sweeper = Sweeper(journal, self._is_sweeper)
         self.runner = Forwarder(self.ingress, client, self.orders, metrics)
         self.request_runner = DrainGate(self.runner, self.orders)
         self.addresses = RouterResolver(
@@ -132,13 +132,13 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it can serve."""
+        """Whether a configuration is in force, so that requests can be served."""
         return self.version is not None
 
     def set_addresses(
         self, peer_address: str, caller_address: str, operator_address: str = ""
     ) -> None:
-        """Tell where the listeners are, once they are open."""
+        """Set the addresses of the listeners, once they are open."""
         own = replace(
             self.membership.own,
             peer_address=peer_address,
@@ -148,15 +148,15 @@
         self.membership.update_own(own)
 
     def announce_leaving(self) -> None:
-        """Tell the others that this router takes no new work."""
+        """Announce to the other routers that this one accepts no new work."""
         self.membership.announce_leaving()
 
     def reject_waiting(self, fault: Fault) -> None:
-        """Give a final answer to requests that wait and have not begun."""
+        """Reject waiting requests that no endpoint has tried."""
         self.ingress.reject_waiting(fault)
 
     def alternative_address(self) -> str:
-        """Return the caller address of another router, or nothing."""
+        """Return the caller address of another router, or an empty string."""
         return self.addresses.alternative_address(self.membership.own.vm)
 
     async def start(self) -> None:
@@ -178,14 +178,14 @@
             self._tasks.append(asyncio.create_task(self.engine_controller.run()))
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Cancel all tasks without draining."""
         self.orders.close()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _notice(self, address: str, reason: EndpointStatus) -> None:
-        """Tell the fleet what was noticed about the endpoint at an address."""
+    def _report_endpoint(self, address: str, reason: EndpointStatus) -> None:
+        """Report the status of the endpoints at an address to the fleet."""
         version = self.version
         if version is None:
             return
@@ -213,12 +213,12 @@
     def _live(self) -> Iterable[Member]:
         return self.membership.live()
 
-    def _sweeps(self) -> bool:
+    def _is_sweeper(self) -> bool:
         staying = [member.vm for member in self._live() if not member.leaving]
         return min(staying, default="") == self.membership.own.vm
 
-    def _usable(self) -> Iterable[Member]:
+    def _reachable(self) -> Iterable[Member]:
         return self.membership.reachable_members()
 
-    def _use(self, version: Version) -> None:
+    def _apply_version(self, version: Version) -> None:
         self.dispatchers.apply_version(version)
--- a/packages/router/tests/test_leaving.py
+++ b/packages/router/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Tests of endpoints that leave or load, as the fleet sees them."""
+"""Tests of the fleet with endpoints that refuse connections, load or leave."""
 
 import asyncio
 
@@ -21,9 +21,9 @@
 )
 
 
-async def test_no_new_work_for_an_endpoint_that_one_router_found_refusing():
-    """An endpoint's process ends. The first router that is refused tells the
-    others, so that their callers don't pay for finding out.
+async def test_endpoint_that_refused_one_router_gets_no_new_work():
+    """An endpoint's process ends. The first router whose connection is refused must
+    report it, or every other router sends a request there to detect it.
     """
     async with running_virtual_fleet(PLAN) as fleet:
         fleet.endpoints["s-0"].faults.refuse = True
@@ -34,30 +34,30 @@
         assert blocked == [{("s", "s-0"): EndpointStatus.REFUSED}] * 2
 
 
-async def test_requests_wait_while_the_model_loads_and_no_longer_than_they_may():
-    """All engines of a service load. Requests wait and are answered when the first
-    is done; one whose deadline comes earlier is refused then.
+async def test_requests_wait_while_models_load_until_their_deadlines():
+    """All engines of a service load a model. Requests wait until the first engine
+    is ready; a request whose deadline is earlier is refused at its deadline.
     """
     async with running_virtual_fleet(PLAN) as fleet:
         member = fleet.nodes["v2"].membership
 
-        def tell(reason):
+        def report_status(status):
             for endpoint in ("s-0", "s-1"):
-                member.report_endpoint("s", endpoint, reason)
+                member.report_endpoint("s", endpoint, status)
 
-        tell(EndpointStatus.LOADING)
+        report_status(EndpointStatus.LOADING)
         await asyncio.sleep(1.0)
         call = fleet.call("v1", "org", "s", "work", "x", 0.1)
         waiting = asyncio.create_task(call)
         for _ in range(6):
             await asyncio.sleep(2.0)
-            tell(EndpointStatus.LOADING)
+            report_status(EndpointStatus.LOADING)
         assert not waiting.done()
-        tell(EndpointStatus.BACK)
+        report_status(EndpointStatus.BACK)
         outcome = await waiting
         assert outcome.is_correct and 12.0 <= outcome.seconds < 15.0
         for _ in range(40):
-            tell(EndpointStatus.LOADING)
+            report_status(EndpointStatus.LOADING)
             await asyncio.sleep(2.0)
             if not waiting.done():
                 continue
@@ -70,16 +70,16 @@
 
 
 async def test_leaving_endpoint_gets_no_new_work_after_three_seconds():
-    """An endpoint says that it leaves in its answer to one router, and goes on
-    answering. Whoever sends it work later loses that work with it.
+    """An endpoint announces that it is leaving in a response to one router and
+    continues to serve. Requests sent to it later are lost when it ends.
     """
     async with running_virtual_fleet(PLAN) as fleet:
         loop = asyncio.get_running_loop()
         fleet.nodes["v1"].membership.report_endpoint("s", "s-0", EndpointStatus.LEAVING)
-        told = loop.time()
+        reported_at = loop.time()
         for i in range(40):
             vm = f"v{1 + i % 2}"
             assert (await fleet.call(vm, "org", "s", "work", f"x{i}", 0.2)).is_correct
         started = [run.started for run in fleet.endpoints["s-0"].runs]
-        assert all(start < told + 3.0 for start in started)
+        assert all(start < reported_at + 3.0 for start in started)
         assert len(fleet.endpoints["s-1"].runs) + len(started) == 40
