--- a/packages/router/src/teaselledge/process/status.py
+++ b/packages/router/src/teaselledge/process/status.py
@@ -1,4 +1,4 @@
-"""What one router knows of its own and the fleet's health."""
+"""Status page and health indicators of one router and of the fleet."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -20,32 +20,32 @@
     "evaluate_indicators",
 ]
 
-CONTROL_BYTES = 7000.0
-"""Control traffic that one router may send, in bytes a second."""
+MAX_CONTROL_BYTES_PER_SECOND = 7000.0
+"""Limit of the control traffic that one router sends to others."""
 
 
 @dataclass(frozen=True)
 class IndicatorInputs:
-    """What the health checks of one router read.
+    """Input values of the health indicators of one router.
 
     Attributes
     ----------
     in_force, highest : int
-        Version here and the highest that any member told of.
+        Version in force here and the highest version that any member reported.
     unreadable : int
         Version that this release can't read.
     store_age : float or None
-        Seconds since the store was known to answer.
+        Seconds since the last known response of the store.
     store_behind : bool
-        The store has an older version than the fleet.
+        Whether the store has an older version than the fleet.
     silent : int
-        Routers of the platform's list that were not heard lately.
+        Number of listed or recently dead routers that are not live.
     gap : float or None
-        Largest service gap that a dispatcher here sees.
+        Largest service gap that a dispatcher of this router measures.
     idle : int
-        Free slots for which requests wait at a dispatcher here.
+        Free slots while requests wait at a dispatcher of this router.
     rates : mapping of str to float
-        Counters, as gained a second.
+        Increase of counters per second.
     """
 
     in_force: int
@@ -61,18 +61,18 @@
 
 @dataclass(frozen=True)
 class HealthIndicator:
-    """One figure of the status page.
+    """Health indicator on the status page.
 
     Attributes
     ----------
     unit : str
         Unit of the value.
     limit : float
-        Above it, an operator should look.
+        Value above which an operator should investigate.
     meaning : str
-        What it tells, in one sentence.
+        Description of the value in one sentence.
     read : callable
-        Takes the facts; None where it was not measured.
+        Returns the value from the inputs; None if it was not measured.
     """
 
     unit: str
@@ -85,88 +85,88 @@
     "version-lag": HealthIndicator(
         "versions",
         0,
-        "Versions by which this router is behind the highest it heard of.",
-        lambda f: float(max(0, f.highest - f.in_force)),
+        "Versions by which this router is behind the highest reported one.",
+        lambda inputs: float(max(0, inputs.highest - inputs.in_force)),
     ),
     "unreadable-version": HealthIndicator(
         "version",
         0,
-        "A version that this release can't read; the older one serves.",
-        lambda f: float(f.unreadable),
+        "A version that this release can't read; an older one is in force.",
+        lambda inputs: float(inputs.unreadable),
     ),
     "store-age": HealthIndicator(
         "s",
         15,
-        "Time since the store was last known to answer.",
-        lambda f: f.store_age,
+        "Time since the last known response of the store.",
+        lambda inputs: inputs.store_age,
     ),
     "store-behind": HealthIndicator(
         "",
         0,
         "The store shows an older version than the fleet has.",
-        lambda f: float(f.store_behind),
+        lambda inputs: float(inputs.store_behind),
     ),
     "store-errors": HealthIndicator(
         "calls/s",
         0.1,
         "Failed calls to the platform.",
-        lambda f: f.rates.get("store.errors"),
+        lambda inputs: inputs.rates.get("store.errors"),
     ),
     "control-traffic": HealthIndicator(
         "B/s",
-        CONTROL_BYTES,
+        MAX_CONTROL_BYTES_PER_SECOND,
         "Bytes sent to other routers.",
-        lambda f: f.rates.get("peer.sent_bytes"),
+        lambda inputs: inputs.rates.get("peer.sent_bytes"),
     ),
     "silent-routers": HealthIndicator(
         "routers",
         0,
-        "Routers of the platform's list that were not heard lately.",
-        lambda f: float(f.silent),
+        "Listed or recently dead routers that are not live.",
+        lambda inputs: float(inputs.silent),
     ),
     "fairness-gap": HealthIndicator(
         "of the bound",
         1,
-        "Largest service gap of backlogged organisations, over its bound.",
-        lambda f: f.gap,
+        "Largest service gap of backlogged organisations, divided by its limit.",
+        lambda inputs: inputs.gap,
     ),
     "idle-slots": HealthIndicator(
         "slots",
         0,
-        "Free slots for which requests wait at a dispatcher here.",
-        lambda f: float(f.idle),
+        "Free slots while requests wait at a dispatcher of this router.",
+        lambda inputs: float(inputs.idle),
     ),
     "journal-unknowns": HealthIndicator(
         "orders/s",
         0,
-        "Orders of which it is not known whether they ran.",
-        lambda f: f.rates.get("order.unknown"),
+        "Orders whose outcome is unknown.",
+        lambda inputs: inputs.rates.get("order.unknown"),
     ),
 }
-"""The figures of the status page; docs/operations/health.md has an entry for each."""
+"""Indicators on the status page; docs/operations/health.md has an entry for each."""
 
-LOST_SECONDS = 600.0
-"""Time for which a dead router is shown, though the list has it no more."""
+RETAIN_DEAD_SECONDS = 600.0
+"""Time for which a dead router is shown after it left the platform's list."""
 
-RATES: tuple[str, ...] = ("store.errors", "peer.sent_bytes", "order.unknown")
+RATE_METRICS: tuple[str, ...] = ("store.errors", "peer.sent_bytes", "order.unknown")
 
 
-def evaluate_indicators(facts: IndicatorInputs) -> list[dict[str, Any]]:
-    """Return each check with its value and whether it is well."""
+def evaluate_indicators(inputs: IndicatorInputs) -> list[dict[str, Any]]:
+    """Return each indicator with its value and state."""
     entries = []
-    for name, check in HEALTH_INDICATORS.items():
-        value = check.read(facts)
+    for name, indicator in HEALTH_INDICATORS.items():
+        value = indicator.read(inputs)
         state = "not measured"
         if value is not None:
-            state = "look" if value > check.limit else "well"
+            state = "look" if value > indicator.limit else "well"
         entries.append(
             {
                 "name": name,
                 "value": value,
-                "unit": check.unit,
-                "limit": check.limit,
+                "unit": indicator.unit,
+                "limit": indicator.limit,
                 "state": state,
-                "meaning": check.meaning,
+                "meaning": indicator.meaning,
             }
         )
     return entries
@@ -177,16 +177,16 @@
 
     def __init__(
         self,
-        follower: ConfigWatcher,
+        config_watcher: ConfigWatcher,
         membership: Membership,
         ingress: Ingress,
-        tally: RecordingMetrics,
+        metrics: RecordingMetrics,
         shares: ShareSource,
     ) -> None:
-        self._follower = follower
+        self._config_watcher = config_watcher
         self._membership = membership
         self._ingress = ingress
-        self._tally = tally
+        self._metrics = metrics
         self._shares = shares
         self._started = asyncio.get_running_loop().time()
 
@@ -194,7 +194,7 @@
         """Return the status as plain values for JSON."""
         own = self._membership.own
         members = list(self._membership.live())
-        state = self._follower.state
+        state = self._config_watcher.state
         return {
             "vm": own.vm,
             "zone": own.zone,
@@ -220,13 +220,13 @@
             "services": self._services(),
             "shards": [asdict(figure) for figure in self._shares.shards()],
             "shares": [asdict(figure) for figure in self._shares.shares()],
-            "health": evaluate_indicators(self._facts()),
-            "totals": self._tally.totals,
-            "gauges": self._tally.gauges,
+            "health": evaluate_indicators(self._indicator_inputs()),
+            "totals": self._metrics.totals,
+            "gauges": self._metrics.gauges,
         }
 
-    def _facts(self) -> IndicatorInputs:
-        state = self._follower.state
+    def _indicator_inputs(self) -> IndicatorInputs:
+        state = self._config_watcher.state
         members = list(self._membership.live())
         shards = self._shares.shards()
         return IndicatorInputs(
@@ -238,18 +238,18 @@
             len(self._silent()),
             max((shard.gap for shard in shards), default=None),
             sum(shard.idle for shard in shards),
-            {name: self._tally.rate(name) for name in RATES},
+            {name: self._metrics.rate(name) for name in RATE_METRICS},
         )
 
     def _silent(self) -> list[str]:
         live = {member.vm for member in self._membership.live()}
-        # a router that started after the list was read and died before it is
-        # read again stands in neither; reports would pass over its losses
-        lost = self._membership.recently_dead(LOST_SECONDS)
-        return sorted((set(self._membership.listed()) | set(lost)) - live)
+        # a router that started after one read of the list and died before the
+        # next is not listed; its failure would be missing from the status
+        recently_dead = self._membership.recently_dead(RETAIN_DEAD_SECONDS)
+        return sorted((set(self._membership.listed()) | set(recently_dead)) - live)
 
     def _services(self) -> list[dict[str, Any]]:
-        version = self._follower.current
+        version = self._config_watcher.current
         if version is None:
             return []
         entries = []
@@ -274,30 +274,30 @@
 
 
 def fleet_health(reports: Mapping[str, Mapping[str, Any] | None]) -> dict[str, Any]:
-    """Return what only a look at all routers shows.
+    """Return the findings that need the status of all routers.
 
     Parameters
     ----------
     reports : mapping of str to dict or None
-        Status of each router by name; None where it gave none.
+        Status of each router by name; None if it did not respond.
 
     Returns
     -------
     dict
-        Routers that gave no answer, versions in force, and pairs of routers of
-        which one does not see the other.
+        Routers that did not respond, versions in force with their routers, and
+        pairs of routers of which the first has no record of the second as live.
     """
-    answered = {vm: report for vm, report in reports.items() if report is not None}
-    missing = sorted(set(reports) - set(answered))
-    views = {vm: {m["vm"] for m in r["members"]} for vm, r in answered.items()}
+    responses = {vm: report for vm, report in reports.items() if report is not None}
+    missing = sorted(set(reports) - set(responses))
+    views = {vm: {m["vm"] for m in r["members"]} for vm, r in responses.items()}
     unseen = [
         [vm, other]
         for vm, view in sorted(views.items())
-        for other in sorted(answered)
+        for other in sorted(responses)
         if other not in view
     ]
     versions: dict[str, list[str]] = {}
-    for vm, report in sorted(answered.items()):
+    for vm, report in sorted(responses.items()):
         number = str(report["configuration"]["in_force"])
         versions.setdefault(number, []).append(vm)
     return {"missing": missing, "unseen": unseen, "versions": versions}
--- a/packages/router/tests/test_lease.py
+++ b/packages/router/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Tests of the lease on its own."""
+"""Tests of the lease."""
 
 import asyncio
 from contextlib import contextmanager
@@ -25,7 +25,7 @@
     return LeaseRecord.decode(tables.peek(LEASES_TABLE, "l").value)
 
 
-async def test_one_of_two_racing_holders_gets_it(tables):
+async def test_one_of_two_racing_processes_acquires_the_lease(tables):
     a, b = lease(tables, "a"), lease(tables, "b")
     held = await asyncio.gather(a.acquire_or_renew(), b.acquire_or_renew())
     assert [h is not None for h in held].count(True) == 1
@@ -40,9 +40,9 @@
     assert record(tables).number == 1
 
 
-async def test_paused_holder_is_overtaken_and_can_write_nothing(tables):
-    """The holder is paused past its lease and goes on as if nothing had happened;
-    its writes must not land beside those of its successor.
+async def test_paused_holder_cannot_write_after_a_takeover(tables):
+    """The holder is paused until its lease has lapsed, and resumes. Its writes must
+    not take effect beside those of its successor.
     """
     a, b = lease(tables, "a"), lease(tables, "b")
     first = await a.acquire_or_renew()
@@ -50,17 +50,17 @@
     await asyncio.sleep(11.0)
     second = await b.acquire_or_renew()
     assert second.number > first.number
-    late = await a.commit([Write(*ROW, b"a", 0)], first.number + 1)
-    assert late.is_error()
+    late_commit = await a.commit([Write(*ROW, b"a", 0)], first.number + 1)
+    assert late_commit.is_error()
     assert tables.peek(*ROW) is None
     assert a.held is None
     assert (await b.commit([Write(*ROW, b"b", 0)], second.number + 1)).is_ok()
     assert tables.peek(*ROW).value == b"b"
 
 
-async def test_lost_answer_is_found_again(tables):
-    """The write takes effect and its answer is lost; taken for a failure it would
-    leave a lease that nobody uses until it lapses.
+async def test_write_with_a_lost_response_is_recognised(tables):
+    """The write takes effect and its response is lost. If it counted as a failure,
+    nobody would use the lease until it lapses.
     """
     a = lease(tables, "a")
     tables.faults.lose_answers = 1
@@ -79,8 +79,8 @@
     assert second.number > first.number
 
 
-async def test_store_out_of_reach_ends_the_lease_on_the_holders_own_clock(tables):
-    """The holder can't renew. It must stop before others may take over."""
+async def test_lease_ends_on_the_holders_clock_while_the_store_is_down(tables):
+    """The holder can't renew. It must stop before others may take the lease over."""
     a = lease(tables, "a")
     await a.acquire_or_renew()
     tables.faults.down = True
--- a/packages/router/tests/test_status.py
+++ b/packages/router/tests/test_status.py
@@ -1,4 +1,4 @@
-"""Tests of the status page and what it is made of."""
+"""Tests of the status page, the health indicators and the recorded metrics."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -20,7 +20,7 @@
 
 VIRTUAL_CLOCK = True
 
-WELL = IndicatorInputs(4, 4, 0, 1.0, False, 0, 0.1, 0, {"store.errors": 0.0})
+HEALTHY_INPUTS = IndicatorInputs(4, 4, 0, 1.0, False, 0, 0.1, 0, {"store.errors": 0.0})
 
 
 @asynccontextmanager
@@ -35,33 +35,33 @@
     return Status(node.config_watcher, node.membership, node.ingress, tally, shares)
 
 
-def states(facts):
-    return {entry["name"]: entry["state"] for entry in evaluate_indicators(facts)}
+def states(inputs):
+    return {entry["name"]: entry["state"] for entry in evaluate_indicators(inputs)}
 
 
-def test_each_check_tells_well_from_look_and_from_not_measured():
-    found = states(WELL)
+def test_each_indicator_distinguishes_well_look_and_not_measured():
+    found = states(HEALTHY_INPUTS)
     assert found["control-traffic"] == "not measured"
     assert "look" not in found.values()
     bad = {
-        "version-lag": replace(WELL, highest=5),
-        "unreadable-version": replace(WELL, unreadable=5),
-        "store-age": replace(WELL, store_age=16.0),
-        "store-behind": replace(WELL, store_behind=True),
-        "store-errors": replace(WELL, rates={"store.errors": 1.0}),
-        "control-traffic": replace(WELL, rates={"peer.sent_bytes": 8000.0}),
-        "silent-routers": replace(WELL, silent=1),
-        "fairness-gap": replace(WELL, gap=1.1),
-        "idle-slots": replace(WELL, idle=1),
-        "journal-unknowns": replace(WELL, rates={"order.unknown": 0.1}),
+        "version-lag": replace(HEALTHY_INPUTS, highest=5),
+        "unreadable-version": replace(HEALTHY_INPUTS, unreadable=5),
+        "store-age": replace(HEALTHY_INPUTS, store_age=16.0),
+        "store-behind": replace(HEALTHY_INPUTS, store_behind=True),
+        "store-errors": replace(HEALTHY_INPUTS, rates={"store.errors": 1.0}),
+        "control-traffic": replace(HEALTHY_INPUTS, rates={"peer.sent_bytes": 8000.0}),
+        "silent-routers": replace(HEALTHY_INPUTS, silent=1),
+        "fairness-gap": replace(HEALTHY_INPUTS, gap=1.1),
+        "idle-slots": replace(HEALTHY_INPUTS, idle=1),
+        "journal-unknowns": replace(HEALTHY_INPUTS, rates={"order.unknown": 0.1}),
     }
     assert set(bad) == set(HEALTH_INDICATORS)
-    for name, facts in bad.items():
-        assert [n for n, s in states(facts).items() if s == "look"] == [name]
+    for name, inputs in bad.items():
+        assert [n for n, s in states(inputs).items() if s == "look"] == [name]
 
 
-def test_a_look_at_all_routers_shows_what_is_missing_and_who_sees_whom():
-    """One router gives no answer, one does not see another."""
+def test_fleet_health_lists_missing_and_unseen_routers():
+    """One router does not respond, and one has no record of another."""
 
     def report(version, *seen):
         members = [{"vm": vm} for vm in seen]
@@ -94,14 +94,14 @@
     busy = [shard for shard in shards if shard["service"] == "sazetak"]
     running = sum(shard["running"] for shard in busy)
     waiting = sum(shard["waiting"] for shard in busy)
-    # a request that is lent to another zone at this moment is in neither
+    # a request that is being lent to another zone is in neither
     assert running > 20 and waiting > 20 and 70 <= running + waiting <= 80
     assert all(0 <= shard["gap"] < 1 for shard in busy)
     shares = [figure for report in reports.values() for figure in report["shares"]]
     assert {figure["organisation"] for figure in shares} == {
         f"org-{i:02d}" for i in range(4)
     }
-    # requests borrowed from another zone stand in the queue, not in the shares
+    # requests borrowed from another zone are in the queue, not in the shares
     assert 20 < sum(figure["waiting"] for figure in shares) <= 80 - running
     for report in reports.values():
         page = status_page(report)
@@ -109,7 +109,7 @@
     await asyncio.gather(*calls)
 
 
-async def test_page_escapes_what_others_chose():
+async def test_page_escapes_labels():
     async with running_virtual_fleet(get_plan_by_name("sudski-trag"), 3) as fleet:
         tally = RecordingMetrics(NullMetrics())
         tally.count("request.refused", 1, "<script>")
@@ -117,8 +117,8 @@
         assert "<script>" not in page and "&lt;script&gt;" in page
 
 
-async def test_rates_are_those_of_the_last_minutes():
-    """Errors of an hour ago must not keep the page red."""
+async def test_rates_cover_the_last_minutes():
+    """Errors of an hour ago must not keep an indicator above its limit."""
     tally = RecordingMetrics(NullMetrics())
     await asyncio.sleep(1000.0)
     for _ in range(120):
@@ -132,8 +132,8 @@
     assert tally.total("store.errors") == 120
 
 
-async def test_labels_are_bounded():
-    """A caller invents labels by the thousand."""
+async def test_number_of_labels_is_limited():
+    """A caller sends thousands of different labels, which must not fill the memory."""
     tally = RecordingMetrics(NullMetrics())
     for i in range(3 * MAX_LABELS):
         tally.count("request.refused", 1, f"label-{i}")
