--- a/packages/router/src/teaselledge/process/engineadmin.py
+++ b/packages/router/src/teaselledge/process/engineadmin.py
@@ -1,4 +1,4 @@
-"""The engines' interface for orders, over HTTP."""
+"""HTTP client of the engines' administration interface."""
 
 import json
 
@@ -15,7 +15,7 @@
 
 __all__ = ["HttpEngineAdmin"]
 
-CALL_SECONDS = 10.0
+CALL_TIMEOUT_SECONDS = 10.0
 OK = 200
 CONFLICT = 409
 CLIENT_ERRORS = range(400, 500)
@@ -30,7 +30,7 @@
     async def state(self, address: str) -> Result[EngineState, EngineOrderFailure]:
         """Read an engine's state."""
         request = HTTPRequest(
-            f"http://{address}/admin/state", request_timeout=CALL_SECONDS
+            f"http://{address}/admin/state", request_timeout=CALL_TIMEOUT_SECONDS
         )
         try:
             response = await self._client.fetch(request, raise_error=False)
@@ -43,13 +43,13 @@
     async def set_target(
         self, address: str, number: int, target: Target
     ) -> Result[None, EngineOrderFailure]:
-        """Give an order; the answer comes when the engine has taken it."""
+        """Send an order and wait until the engine has accepted it."""
         body = {"number": number, "role": target.role, "models": target.models}
         request = HTTPRequest(
             f"http://{address}/admin/target",
             "PUT",
             body=json.dumps(body),
-            request_timeout=CALL_SECONDS,
+            request_timeout=CALL_TIMEOUT_SECONDS,
         )
         try:
             response = await self._client.fetch(request, raise_error=False)
@@ -63,5 +63,5 @@
             return Error(EngineOrderFailure.OLD_NUMBER)
         if response.code in CLIENT_ERRORS:
             return Error(EngineOrderFailure.REFUSED)
-        # a server error, or tornado's code for a timeout
+        # a server error, or tornado's status code for a timeout
         return Error(EngineOrderFailure.UNCERTAIN)
--- a/packages/router/src/teaselledge/process/enginefeed.py
+++ b/packages/router/src/teaselledge/process/enginefeed.py
@@ -1,4 +1,4 @@
-"""Read what engines tell of their load and of their prefix caches."""
+"""Polling of the engines' load and prefix-cache events."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,9 +18,9 @@
 __all__ = ["EngineFeed", "FeedEvent", "FeedPage", "FeedSource", "HttpFeedSource"]
 
 POLL_SECONDS = 5.0
-"""Time between two reads of one engine by its dispatcher."""
+"""Interval at which a dispatcher polls an engine."""
 
-CALL_SECONDS = 1.5
+CALL_TIMEOUT_SECONDS = 1.5
 MAX_CALLS = 32
 MAX_EVENTS = 256
 MAX_PAGE_BYTES = 64 * 1024
@@ -37,16 +37,16 @@
 
 @dataclass(frozen=True, config=_LENIENT)
 class FeedEvent:
-    """A change of an engine's prefix cache.
+    """Change of an engine's prefix cache.
 
     Attributes
     ----------
     sequence : int
-        Number of the event; a missing number is a lost event.
+        Number of the event; a gap in the numbers means lost events.
     stored, evicted : tuple of int
-        Hashes of prefixes, as the header ``X-Prefix`` of requests has them.
+        Hashes of prefixes, as in the header ``X-Prefix`` of requests.
     cleared : bool
-        The cache was emptied before.
+        Whether the cache was emptied before this change.
     """
 
     sequence: Sequence
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, config=_LENIENT)
 class FeedPage:
-    """What an engine tells at one moment.
+    """Response of an engine to one poll.
 
     Attributes
     ----------
     running, queued : int
-        Requests in its batch, and those that wait for it.
+        Requests in the engine's batch, and in its queue.
     events : tuple of FeedEvent
-        Those after the number that was asked for, in order.
+        Events after the requested number, in order.
     """
 
     running: Count
@@ -76,7 +76,7 @@
     """Reads pages from engines."""
 
     async def read(self, address: str, after: int) -> FeedPage | None:
-        """Return the events after a number, None where there is no answer."""
+        """Return a page with the events after a number, None without a response."""
 
 
 class HttpFeedSource:
@@ -88,9 +88,10 @@
         )
 
     async def read(self, address: str, after: int) -> FeedPage | None:
-        """Return the events after a number, None where there is no answer."""
+        """Return a page with the events after a number, None without a response."""
         request = HTTPRequest(
-            f"http://{address}/v1/feed?after={after}", request_timeout=CALL_SECONDS
+            f"http://{address}/v1/feed?after={after}",
+            request_timeout=CALL_TIMEOUT_SECONDS,
         )
         try:
             response = await self._client.fetch(request, raise_error=False)
@@ -101,15 +102,15 @@
         try:
             return TypeAdapter(FeedPage).validate_json(response.body)
         except ValidationError:
-            # an engine that tells nonsense is chosen by its own counts alone
+            # without its feed the engine is placed by the dispatcher's own counts
             return None
 
 
 class EngineFeed:
-    """Reads the engines of the shards that this VM dispatches for.
+    """Polls the engines of the shards that this VM dispatches for.
 
-    What comes is late and has gaps, so the pool takes it as a hint: a wrong
-    one costs an engine's time for a prefix, and never a request.
+    The data is delayed and has gaps, so the pool uses it only as a hint: a wrong one
+    costs the time to compute a prefix again, but never a request.
     """
 
     def __init__(
@@ -124,18 +125,18 @@
         self._sequences: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Read until cancelled."""
+        """Poll until cancelled."""
         while True:
             await asyncio.sleep(POLL_SECONDS)
             await self.refresh()
 
     async def refresh(self) -> None:
-        """Read each engine once."""
+        """Poll each engine once."""
         version = self._version()
         if version is None:
             return
-        reads = []
-        read_now = set()
+        polls = []
+        polled = set()
         for dispatcher in self._dispatchers.running:
             shard = dispatcher.shard
             service = version.document.services.get(shard.service)
@@ -143,13 +144,13 @@
                 continue
             for name, endpoint in service.endpoints.items():
                 if endpoint.zone == shard.zone:
-                    reads.append(self._read(dispatcher, name, endpoint))
-                    read_now.add(endpoint.address)
-        await asyncio.gather(*reads)
-        # engines of shards that moved away begin anew when they come back
-        self._sequences = {a: n for a, n in self._sequences.items() if a in read_now}
+                    polls.append(self._poll(dispatcher, name, endpoint))
+                    polled.add(endpoint.address)
+        await asyncio.gather(*polls)
+        # engines of shards that moved away start over when the shards return
+        self._sequences = {a: n for a, n in self._sequences.items() if a in polled}
 
-    async def _read(
+    async def _poll(
         self, dispatcher: Dispatcher, name: str, endpoint: Endpoint
     ) -> None:
         after = self._sequences.get(endpoint.address, -1)
--- a/packages/router/src/teaselledge/process/enginekeeper.py
+++ b/packages/router/src/teaselledge/process/enginekeeper.py
@@ -1,4 +1,4 @@
-"""Keep the engines at what the document names, as the holder of a lease."""
+"""Reconciliation of the engines with the document, by the holder of a lease."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,39 +17,42 @@
 _log = get_log("engines")
 
 LEASE_NAME = "engine-orders"
-STEP_SECONDS = 3.0
+RECONCILE_INTERVAL_SECONDS = 3.0
 
-CANDIDATES = 3
-"""Routers that try to hold the lease; all of the fleet would read its row."""
+CANDIDATE_COUNT = 3
+"""Number of routers that try to acquire the lease.
+
+If all routers tried, the whole fleet would read its row.
+"""
 
 
 class EngineController:
-    """Holds the lease, if it falls to this router, and brings engines about."""
+    """Competes for the lease and, as its holder, reconciles the engines."""
 
     def __init__(
         self,
         lease: Lease,
-        orders: EngineReconciler,
+        reconciler: EngineReconciler,
         membership: Membership,
         version: Callable[[], Version | None],
     ) -> None:
         self._lease = lease
-        self._orders = orders
+        self._reconciler = reconciler
         self._membership = membership
         self._version = version
 
     async def run(self) -> None:
-        """Look at the engines every few seconds until cancelled."""
+        """Reconcile the engines every few seconds until cancelled."""
         while True:
-            await asyncio.sleep(STEP_SECONDS)
+            await asyncio.sleep(RECONCILE_INTERVAL_SECONDS)
             try:
                 await self.reconcile_once()
             except Exception as error:
-                # one engine's odd answer must not end the work for all others
-                _log.error(f"Looking after the engines failed: {error!r}.")
+                # an invalid response of one engine must not stop the task
+                _log.error(f"Reconciling the engines failed: {error!r}.")
 
     async def reconcile_once(self) -> None:
-        """Try for the lease and look at the engines once."""
+        """Acquire or renew the lease and reconcile the engines once."""
         version = self._version()
         if version is None or not _has_models(version.document):
             return
@@ -62,22 +65,24 @@
             return
         for name, service in version.document.services.items():
             engines = [e for e, entry in service.endpoints.items() if entry.models]
-            found = await self._orders.reconcile(name, service, engines)
-            for endpoint, progress in found.items():
-                self._tell(name, endpoint, progress)
+            results = await self._reconciler.reconcile(name, service, engines)
+            for endpoint, result in results.items():
+                self._report(name, endpoint, result)
 
-    def _tell(self, service: str, endpoint: str, progress: ReconcileResult) -> None:
-        if progress is ReconcileResult.LOADING:
+    def _report(self, service: str, endpoint: str, result: ReconcileResult) -> None:
+        if result is ReconcileResult.LOADING:
             self._membership.report_endpoint(service, endpoint, EndpointStatus.LOADING)
-        elif progress is ReconcileResult.RIGHT:
+        elif result is ReconcileResult.RIGHT:
             blocked = self._membership.blocked_endpoints()
             if blocked.get((service, endpoint)) is EndpointStatus.LOADING:
                 self._membership.report_endpoint(service, endpoint, EndpointStatus.BACK)
 
     def _is_candidate(self) -> bool:
-        staying = [m.vm for m in self._membership.live() if not m.leaving]
-        ranked = sorted(staying, key=lambda vm: xxhash.xxh3_64_intdigest(vm.encode()))
-        return self._membership.own.vm in ranked[:CANDIDATES]
+        not_leaving = [m.vm for m in self._membership.live() if not m.leaving]
+        ranked = sorted(
+            not_leaving, key=lambda vm: xxhash.xxh3_64_intdigest(vm.encode())
+        )
+        return self._membership.own.vm in ranked[:CANDIDATE_COUNT]
 
 
 def _has_models(document: Document) -> bool:
--- a/packages/router/src/teaselledge/process/engineorders.py
+++ b/packages/router/src/teaselledge/process/engineorders.py
@@ -1,12 +1,11 @@
-"""Orders to engines, issued by one holder of a lease.
-
-An order names the whole state that an engine should have, so the same order
-twice does what it does once. What must not happen is that an order lands after a
-newer, different one. The holder therefore records each order before it sends it,
-in one transaction with the lease. On engines that check fencing numbers a newer
-order goes out at once, since the engine refuses the older one from then on. On
-engines that ignore them it waits until the older order has ended or its sender
-can send no more.
+"""Engine orders, issued by the holder of a lease.
+
+An engine order contains the complete state that an engine should have, so orders are
+idempotent. An order must not take effect after a newer, different one. The holder
+therefore records each order before it sends it, in one transaction with the lease.
+On engines that check fencing numbers a newer order is sent at once, since the engine
+refuses older ones from then on. On engines that ignore them a newer order waits until
+the older one has ended or can no longer arrive.
 """
 
 import asyncio
@@ -40,20 +39,20 @@
 
 ENGINE_ORDERS_TABLE = "engine-orders"
 
-WIRE_SECONDS = 120.0
-"""Time after which bytes of a closed connection can't arrive any more."""
+PACKET_EXPIRY_SECONDS = 120.0
+"""Time after which no packet of a closed connection can arrive."""
 
 
 @dataclass(frozen=True)
 class Target:
-    """The state that an engine should have.
+    """Target state of an engine.
 
     Attributes
     ----------
     role : str
         ``any``, ``prefill`` or ``decode``.
     models : tuple of str
-        Sorted; each ``name@version`` with adapters as ``+adapter``.
+        Models in sorted order, each ``name@version`` with adapters as ``+adapter``.
     """
 
     role: str
@@ -61,7 +60,7 @@
 
 
 def desired_target(service: Service, endpoint: str) -> Target:
-    """Return what the document wants of an engine."""
+    """Return the target state of an engine according to the document."""
     entry = service.endpoints[endpoint]
     models = []
     for name in entry.models:
@@ -74,14 +73,14 @@
 
 @dataclass(frozen=True)
 class EngineState:
-    """What an engine says of itself.
+    """State reported by an engine.
 
     Attributes
     ----------
     target : Target
-        The state that it has, or is getting to.
+        State that the engine has or is loading.
     loading : bool
-        It is getting there and can't answer requests yet.
+        Whether the engine is still loading and can't serve requests yet.
     """
 
     target: Target
@@ -89,20 +88,20 @@
 
 
 class EngineOrderFailure(Enum):
-    """Why an order got no answer that it was carried out."""
+    """Reason why an engine order was not confirmed."""
 
     REFUSED = "refused"
-    """Nothing was carried out: no connection, or the engine is busy."""
+    """The order was not carried out: no connection, or the engine is busy."""
 
     OLD_NUMBER = "old-number"
-    """The engine has seen a higher fencing number."""
+    """The engine has received a higher fencing number."""
 
     UNCERTAIN = "uncertain"
-    """It may be carried out, now or later."""
+    """The order may have been carried out, or may be later."""
 
 
 class EngineAdmin(Protocol):
-    """The engines' interface for orders."""
+    """Client of the engines' administration interface."""
 
     async def state(self, address: str) -> Result[EngineState, EngineOrderFailure]:
         """Read an engine's state."""
@@ -110,23 +109,23 @@
     async def set_target(
         self, address: str, number: int, target: Target
     ) -> Result[None, EngineOrderFailure]:
-        """Give an order; the answer comes when the engine has taken it."""
+        """Send an order and wait until the engine has accepted it."""
 
 
 @dataclass(frozen=True)
 class OrderRow:
-    """The last order to an engine, as recorded.
+    """Record of the last order to an engine.
 
     Attributes
     ----------
     holder : str
-        Who sends it.
+        Process that sends the order.
     number : int
-        Its fencing number.
+        Fencing number of the order.
     target : Target
-        What it says.
+        Target state in the order.
     open : bool
-        It may still be on its way.
+        Whether the order may still arrive at the engine.
     """
 
     holder: str
@@ -135,31 +134,31 @@
     open: bool
 
     def encode(self) -> bytes:
-        """Return the row's value."""
+        """Return the record encoded as a row's value."""
         return json.dumps(asdict(self)).encode()
 
     @classmethod
     def decode(cls, value: bytes) -> "OrderRow":
-        """Read a row's value."""
+        """Return the record in a row's value."""
         fields = json.loads(value)
         target = Target(fields["target"]["role"], tuple(fields["target"]["models"]))
         return cls(fields["holder"], fields["number"], target, fields["open"])
 
 
 class ReconcileResult(Enum):
-    """What one look at an engine led to."""
+    """Result of reconciling one engine."""
 
     RIGHT = "right"
-    """It has the wanted state."""
+    """The engine has its target state."""
 
     LOADING = "loading"
-    """It is getting there."""
+    """The engine is loading its target state."""
 
     WAITING = "waiting"
-    """An older order may still land, or the budget for loads is used up."""
+    """An older order may still arrive, or the budget for loads is used up."""
 
     FAILED = "failed"
-    """It or the store gave no answer; the next look goes on."""
+    """The engine or the store did not respond; the next round tries again."""
 
 
 class EngineReconciler:
@@ -168,16 +167,16 @@
     Parameters
     ----------
     tables : TableService
-        Where orders are recorded.
+        Table service in which orders are recorded.
     lease : Lease
-        Only its holder issues orders.
+        Lease whose holder alone issues orders.
     admin : EngineAdmin
-        Reaches the engines.
+        Client of the engines.
     is_terminated : callable
-        Whether a holder's process can send nothing any more, bytes on their
-        way included. It must never be wrong that it is.
+        Returns whether a holder's process has ended and none of its packets can
+        arrive. It must not return true wrongly.
     metrics : Metrics
-        Where to count.
+        Receives the counters.
     """
 
     def __init__(
@@ -191,39 +190,39 @@
         self._tables = tables
         self._lease = lease
         self._admin = admin
-        self._is_gone = is_terminated
+        self._is_terminated = is_terminated
         self._metrics = metrics
-        self._uncertain: dict[str, float] = {}
+        self._uncertain_since: dict[str, float] = {}
 
     async def reconcile(
         self, name: str, service: Service, endpoints: Iterable[str]
     ) -> dict[str, ReconcileResult]:
-        """Look at the engines of a service once, and order what is missing.
+        """Read the states of a service's engines once and send the missing orders.
 
-        The engines that load draw on the service's budget, so that a change for
-        all of them does not exceed the rate of the weight store.
+        At most ``loads_at_once`` engines load at a time, so that a change for all
+        of them does not exceed the rate of the weight store.
         """
         found: dict[str, ReconcileResult] = {}
-        wanted = list(endpoints)
+        endpoint_names = list(endpoints)
         loading = 0
-        for endpoint in wanted:
+        for endpoint in endpoint_names:
             state = await self._admin.state(service.endpoints[endpoint].address)
             if state.is_ok() and state.ok.loading:
                 loading += 1
                 found[endpoint] = ReconcileResult.LOADING
-        for endpoint in wanted:
+        for endpoint in endpoint_names:
             if endpoint in found:
                 continue
-            room = loading < service.loads_at_once
-            progress = await self.reconcile_engine(name, service, endpoint, room)
-            loading += progress is ReconcileResult.LOADING
-            found[endpoint] = progress
+            may_load_more = loading < service.loads_at_once
+            result = await self.reconcile_engine(name, service, endpoint, may_load_more)
+            loading += result is ReconcileResult.LOADING
+            found[endpoint] = result
         return found
 
     async def reconcile_engine(
         self, name: str, service: Service, endpoint: str, may_load: bool = True
     ) -> ReconcileResult:
-        """Look at one engine and give the order that it needs, if it may."""
+        """Read one engine's state and send an order if it needs and may get one."""
         address = service.endpoints[endpoint].address
         target = desired_target(service, endpoint)
         key = f"{name}/{endpoint}"
@@ -232,7 +231,7 @@
             return ReconcileResult.FAILED
         row = read.ok
         last = OrderRow.decode(row.value) if row else None
-        if last is None or not last.open or self._is_sent(key, last, target):
+        if last is None or not last.open or self._is_own_order_open(key, last, target):
             state = await self._admin.state(address)
             if state.is_error():
                 return ReconcileResult.FAILED
@@ -245,40 +244,44 @@
         if not may_load or self._must_wait(service, key, last, target):
             self._metrics.count("engines.waiting")
             return ReconcileResult.WAITING
-        return await self._order(service, key, address, row, target)
+        return await self._send_order(service, key, address, row, target)
 
-    def _is_sent(self, key: str, last: OrderRow, target: Target) -> bool:
-        """Return whether only a copy of this process's same order may still come."""
+    def _is_own_order_open(self, key: str, last: OrderRow, target: Target) -> bool:
+        """Return whether the open order is this process's own, with this target.
+
+        It got no response, so that a copy of it may still arrive.
+        """
         if last.holder != self._lease.holder or last.target != target:
             return False
-        return key in self._uncertain and not self._expired(key)
+        return key in self._uncertain_since and not self._has_expired(key)
 
     def _must_wait(
         self, service: Service, key: str, last: OrderRow | None, target: Target
     ) -> bool:
-        """Return whether an older order could land after a new one.
+        """Return whether an older order could arrive after a new one.
 
-        Also one that says the same: a new record would hide that the older one
-        is still open, and the next change could then be undone by it.
+        This includes an older order with the same target: a new record would hide
+        that it is still open, and it could then undo the next change.
         """
         if service.checks_fencing or last is None or not last.open:
             return False
         if last.holder == self._lease.holder:
-            # this process's own send has ended; where it got no answer, its
-            # bytes may still be on their way
+            # this process's own call has ended; if it got no response, the order
+            # may still arrive
             return (
                 last.target != target
-                and key in self._uncertain
-                and not self._expired(key)
+                and key in self._uncertain_since
+                and not self._has_expired(key)
             )
-        if self._is_gone(last.holder):
+        if self._is_terminated(last.holder):
             return False
         _log.warning(
-            f"Order to {key} waits: {last.holder} may still send an older one."
+            f"Engine order to {key} waits: an older one of {last.holder} may still "
+            "arrive."
         )
         return True
 
-    async def _order(
+    async def _send_order(
         self,
         service: Service,
         key: str,
@@ -292,42 +295,42 @@
         number = held.number + 1
         entry = OrderRow(self._lease.holder, number, target, True)
         version = row.version if row else 0
-        intent = Write(ENGINE_ORDERS_TABLE, key, entry.encode(), version)
-        recorded = await self._lease.commit([intent], number)
-        if recorded.is_error():
+        record_write = Write(ENGINE_ORDERS_TABLE, key, entry.encode(), version)
+        committed = await self._lease.commit([record_write], number)
+        if committed.is_error():
             return ReconcileResult.FAILED
-        # a pause here is why the record exists: whoever holds the lease by now
-        # knows that this order may come
+        # if this process is paused here, the record shows the next holder of the
+        # lease that this order may still arrive
         sent = await self._admin.set_target(address, number, target)
         if sent.is_error() and sent.error is EngineOrderFailure.UNCERTAIN:
-            self._uncertain[key] = asyncio.get_running_loop().time()
+            self._uncertain_since[key] = asyncio.get_running_loop().time()
             return ReconcileResult.FAILED
-        if key in self._uncertain and not service.checks_fencing:
-            # an earlier copy of this order may still be on its way, so the record
-            # stays open until it can't be
-            if not self._expired(key):
+        if key in self._uncertain_since and not service.checks_fencing:
+            # an earlier copy of this order may still arrive; the record stays open
+            # until it no longer can
+            if not self._has_expired(key):
                 return ReconcileResult.LOADING
-            del self._uncertain[key]
+            del self._uncertain_since[key]
         closed = OrderRow(entry.holder, number, target, False)
-        # without the lease: also a holder that has lost it must say that its
-        # order has ended, for its successor waits for that
+        # not conditional on the lease: a holder that has lost it must close its
+        # record too, since its successor waits for that
         await self._tables.commit(
             [Write(ENGINE_ORDERS_TABLE, key, closed.encode(), version + 1)]
         )
         self._metrics.count("engines.orders")
         return ReconcileResult.FAILED if sent.is_error() else ReconcileResult.LOADING
 
-    def _expired(self, key: str) -> bool:
+    def _has_expired(self, key: str) -> bool:
         now = asyncio.get_running_loop().time()
-        return now - self._uncertain[key] >= WIRE_SECONDS
+        return now - self._uncertain_since[key] >= PACKET_EXPIRY_SECONDS
 
 
 def decode_state(data: bytes) -> Result[EngineState, EngineOrderFailure]:
-    """Read an engine's answer about its state."""
+    """Decode an engine's response with its state."""
     try:
         fields = json.loads(data)
         target = Target(str(fields["role"]), tuple(sorted(map(str, fields["models"]))))
         return Ok(EngineState(target, bool(fields["loading"])))
     except (ValueError, KeyError, TypeError):
-        # an engine of another make or a proxy's error page
+        # a different kind of engine, or a proxy's error page
         return Error(EngineOrderFailure.REFUSED)
--- a/packages/router/src/teaselledge/process/node.py
+++ b/packages/router/src/teaselledge/process/node.py
@@ -118,11 +118,11 @@
         self.engine_controller: EngineController | None = None
         if engines is not None:
             lease = Lease(platform.tables, LEASE_NAME, owner)
-            orders = EngineReconciler(
+            reconciler = EngineReconciler(
                 platform.tables, lease, engines, self.membership.is_terminated, metrics
             )
             self.engine_controller = EngineController(
-                lease, orders, self.membership, self._version
+                lease, reconciler, self.membership, self._version
             )
 
     @property
--- a/packages/router/tests/test_enginefeed.py
+++ b/packages/router/tests/test_enginefeed.py
@@ -1,4 +1,4 @@
-"""Tests of reading engines' load and cache events."""
+"""Tests of polling the engines' load and cache events."""
 
 import asyncio
 import json
@@ -17,13 +17,13 @@
 
 @asynccontextmanager
 async def engines():
-    """Run one router before two engines of its zone."""
+    """Run one router with two engines in its zone."""
     plan = FleetPlan({"r1": "north-a"}, engine_zones=("north-a", "north-a"))
     async with running_fleet(plan) as fleet:
         yield fleet
 
 
-async def ask(fleet, prompt):
+async def request_completion(fleet, prompt):
     address = fleet.routers["r1"].caller_address
     reply = await Caller(key_of("amber")).request_completion(
         address, prompt, 1, "amber"
@@ -31,28 +31,32 @@
     assert reply.status == 200
 
 
-async def test_requests_return_to_the_engine_that_holds_their_prefix(engines):
-    """Prompts with long common beginnings come again and again. Sent at random,
-    half of them would be computed anew at the other engine.
+async def test_requests_return_to_the_engine_that_caches_their_prefix(engines):
+    """Prompts with long common prefixes are repeated. With random placement half of
+    them would be computed again at the other engine.
     """
     random = Random(1)
     for _ in range(4):
         for first in range(0, len(PROMPTS), 4):
-            some = PROMPTS[first : first + 4]
-            random.shuffle(some)
-            await asyncio.gather(*(ask(engines, prompt) for prompt in some))
+            prompts = PROMPTS[first : first + 4]
+            random.shuffle(prompts)
+            await asyncio.gather(
+                *(request_completion(engines, prompt) for prompt in prompts)
+            )
     caches = [engine.cache for engine in engines.engines.values()]
     assert all(cache.misses > 0 for cache in caches)
-    # each prompt is computed once, and asked for four times
+    # each prompt is requested four times and computed once
     assert sum(cache.misses for cache in caches) <= len(PROMPTS) + 2
 
 
 async def test_events_reach_the_dispatcher_late_and_with_gaps(engines):
-    """Another router's requests fill the caches; only the events tell of them."""
+    """Another router's requests fill the caches; this router knows them only from
+    the events, some of which are lost.
+    """
     for engine in engines.engines.values():
         engine.cache.drop_every_nth = 3
     for prompt in PROMPTS:
-        await ask(engines, prompt)
+        await request_completion(engines, prompt)
     await asyncio.sleep(0.6)
     node = engines.routers["r1"].node
     await node.feed.refresh()
@@ -62,9 +66,9 @@
     assert seen == expected and expected
 
 
-async def test_nonsense_of_an_engine_is_dropped():
-    """An engine tells negative loads, endless events or no JSON at all."""
-    answers = [
+async def test_invalid_feed_pages_are_dropped():
+    """An engine sends negative loads, too many events or invalid JSON."""
+    responses = [
         b"no json",
         json.dumps({"running": -1}).encode(),
         json.dumps({"running": "nan"}).encode(),
@@ -75,7 +79,7 @@
 
     class Handler(RequestHandler):
         def get(self):
-            self.write(answers[0])
+            self.write(responses[0])
 
     server = HTTPServer(Application([(r"/.*", Handler)], log_function=lambda h: None))
     sockets = bind_sockets(0, "127.0.0.1")
@@ -83,9 +87,9 @@
     address = f"127.0.0.1:{sockets[0].getsockname()[1]}"
     source = HttpFeedSource()
     pages = []
-    while answers:
+    while responses:
         pages.append(await source.read(address, -1))
-        answers.pop(0)
+        responses.pop(0)
     server.stop()
     assert pages[:-1] == [None] * 5
     assert pages[-1].running == 1
--- a/packages/router/tests/test_enginekeeper.py
+++ b/packages/router/tests/test_enginekeeper.py
@@ -1,4 +1,4 @@
-"""Tests of the engines' keeper over loopback."""
+"""Tests of the engine controller over loopback."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -25,19 +25,19 @@
             await asyncio.sleep(0.05)
 
 
-async def test_engines_get_what_the_document_names_one_at_a_time(engines):
-    """The document names a model for two engines, and the weight store serves one
-    load at a time.
+async def test_engines_load_the_models_of_the_document_one_at_a_time(engines):
+    """The document sets a model for two engines, and the weight store can serve one
+    load at a time. The engines must not load it at the same time.
     """
     admins = [engine.admin for engine in engines.engines.values()]
     for admin in admins:
         admin.load_seconds = 2.0
-    both = []
+    loading_counts = []
 
     def done():
-        both.append(sum(admin.loading for admin in admins))
+        loading_counts.append(sum(admin.loading for admin in admins))
         return all(admin.models == ["big@v2+french"] for admin in admins)
 
     await until(done)
-    assert max(both) == 1
+    assert max(loading_counts) == 1
     assert sorted(len(admin.orders) for admin in admins) == [1, 1]
--- a/packages/router/tests/test_engineorders.py
+++ b/packages/router/tests/test_engineorders.py
@@ -1,4 +1,4 @@
-"""Tests of orders to engines: every interleaving of two holders, on the real code."""
+"""Tests of engine orders: the real code under every interleaving of two holders."""
 
 import asyncio
 from functools import partial
@@ -30,7 +30,7 @@
 
 LEASE_SECONDS = 1.0
 ROUNDS = {"a": 1, "b": 2}
-"""One holder that is overtaken, and one that watches the lease and takes it."""
+"""Rounds by holder: a loses the lease, b observes it and takes it over."""
 
 FIRST = LeaseRecord("a", 1, "a/0")
 
@@ -46,7 +46,7 @@
 
 
 class Engine:
-    """An engine whose orders land when the explorer lets them."""
+    """Engine at which orders arrive when the explorer delivers them."""
 
     def __init__(self, world, checks_fencing):
         self.world = world
@@ -54,8 +54,8 @@
         self.highest = 0
         self.target = Target("any", ())
 
-    def land(self, number, target):
-        """Carry an order out, as the engine of this deployment does."""
+    def apply_order(self, number, target):
+        """Carry out an order, with or without a check of its fencing number."""
         if self.checks and number < self.highest:
             return Error(EngineOrderFailure.OLD_NUMBER)
         undone = number < self.highest and target != self.target
@@ -66,7 +66,7 @@
 
 
 class Admin:
-    """The engine as one holder reaches it."""
+    """Client of the engine for one holder."""
 
     def __init__(self, engine, actor):
         self.engine, self.actor = engine, actor
@@ -78,15 +78,15 @@
         return await self.engine.world.call(self.actor, "state", outcomes)
 
     async def set_target(self, address, number, target):
-        """Give an order."""
-        land = partial(self.engine.land, number, target)
+        """Send an order."""
+        apply_order = partial(self.engine.apply_order, number, target)
 
         def lose():
-            land()
+            apply_order()
             return Error(EngineOrderFailure.UNCERTAIN)
 
         outcomes = [
-            CallChoice("taken", land),
+            CallChoice("taken", apply_order),
             CallChoice(
                 "no connection", lambda: Error(EngineOrderFailure.REFUSED), REFUSED
             ),
@@ -96,35 +96,39 @@
         return await self.engine.world.call(self.actor, label, outcomes)
 
 
-def gone(world, holder):
-    """Return whether nothing more can come from a holder.
+def is_terminated(world, holder):
+    """Return whether no order of a holder can arrive any more.
 
-    What a killed holder had under way lands later or never; a platform that
-    takes a VM away waits out the life of its packets.
+    Orders in transit from a killed holder arrive later or never; a platform that
+    removes a VM waits until its packets have expired.
     """
     if not world.is_dead(holder):
         return False
     return not any(f.label.startswith(f"{holder} order") for f in world._floating)
 
 
-def holders(checks_fencing, orders_class=EngineReconciler, wants=("1", "2")):
+def holders(checks_fencing, reconciler_class=EngineReconciler, versions=("1", "2")):
     def setup(world):
         engine = Engine(world, checks_fencing)
         world.engine = engine
         world.tables.apply([Write(LEASES_TABLE, "engines", FIRST.encode())])
-        for actor, version in zip("ab", wants, strict=True):
+        for actor, version in zip("ab", versions, strict=True):
             world.spawn(actor, work(world, engine, actor, version))
 
     async def work(world, engine, actor, version):
         tables = world.tables_of(actor)
         lease = Lease(tables, "engines", actor, LEASE_SECONDS)
-        orders = orders_class(
-            tables, lease, Admin(engine, actor), partial(gone, world), NullMetrics()
+        reconciler = reconciler_class(
+            tables,
+            lease,
+            Admin(engine, actor),
+            partial(is_terminated, world),
+            NullMetrics(),
         )
-        wanted = service(version, checks_fencing)
+        target_service = service(version, checks_fencing)
         for _ in range(ROUNDS[actor]):
             if await lease.acquire_or_renew() is not None:
-                await orders.reconcile_engine("s", wanted, "e")
+                await reconciler.reconcile_engine("s", target_service, "e")
             await asyncio.sleep(LEASE_SECONDS)
 
     return setup
@@ -141,74 +145,74 @@
     numbers = [number for number, _, _ in world.log]
     assert not numbers or max(numbers) <= record.number, "an order has no record"
     if not record.open and not world.engine.checks:
-        # a closed record says that nothing more comes from any earlier order;
-        # one that was refused a connection is closed too, and not carried out
+        # a closed record means that no earlier order can arrive any more; an order
+        # whose connection was refused is closed too, without being carried out
         floating = [f.label for f in world._floating if " order " in f.label]
-        assert not floating, f"closed, but still under way: {floating}"
+        assert not floating, f"closed, but still in transit: {floating}"
 
 
-def explored(name, checks, budget, orders_class=EngineReconciler):
-    found = explore(holders(checks, orders_class), check, budget)
+def explore_holders(name, checks, budget, reconciler_class=EngineReconciler):
+    found = explore(holders(checks, reconciler_class), check, budget)
     print(
         f"{name}: {found.states} states, {found.runs} runs, {found.completed_runs} ends"
     )
     return found
 
 
-def test_engine_that_ignores_numbers_with_a_paused_holder_and_a_lost_answer():
-    """The holder is paused anywhere, also between recording an order and sending
-    it, and past the end of its lease; one answer of the store is lost. Another
-    holder takes over and wants something else. The paused one then sends its
-    order to an engine that does not look at numbers.
+def test_engine_that_ignores_numbers_with_a_paused_holder_and_a_lost_store_response():
+    """The holder is paused at any point, also between recording an order and sending
+    it, until its lease has lapsed; one response of the store is lost. Another holder
+    takes over with a different target. The paused one then sends its order to an
+    engine that does not check fencing numbers.
     """
-    assert explored("ignoring, lost", False, {LOST: 1, WAIT: 1}).states > 2000
+    assert explore_holders("ignoring, lost", False, {LOST: 1, WAIT: 1}).states > 2000
 
 
 def test_engine_that_ignores_numbers_with_a_crash():
-    """The holder is killed, and what it sent lands later or never."""
-    assert explored("ignoring, crash", False, {CRASH: 1, WAIT: 1}).states > 500
+    """The holder is killed, and its order arrives later or never."""
+    assert explore_holders("ignoring, crash", False, {CRASH: 1, WAIT: 1}).states > 500
 
 
-def test_engine_that_ignores_numbers_and_loses_an_answer():
-    """The engine carries an order out and the answer is lost."""
+def test_engine_that_ignores_numbers_with_a_lost_engine_response():
+    """The engine carries out an order and the response is lost."""
     budget = {"engine": 1, WAIT: 1}
-    assert explored("ignoring, engine", False, budget).states > 500
+    assert explore_holders("ignoring, engine", False, budget).states > 500
 
 
 def test_engine_that_checks_numbers():
-    """The successor orders at once; the paused holder's order comes afterwards and
-    is refused.
+    """The successor sends its order at once; the paused holder's order arrives
+    afterwards and is refused.
     """
-    assert explored("checking", True, {WAIT: 1, REFUSED: 1}).states > 500
+    assert explore_holders("checking", True, {WAIT: 1, REFUSED: 1}).states > 500
 
 
-def must_see(orders_class, complaint):
+def assert_detected(reconciler_class, complaint):
     try:
-        explored("broken", False, {WAIT: 1}, orders_class)
+        explore_holders("broken", False, {WAIT: 1}, reconciler_class)
     except ExplorationError as error:
         assert complaint in str(error), error
         return
     raise AssertionError("the broken holder passed")
 
 
-class HastyOrders(EngineReconciler):
-    """Orders at once, though the engine ignores numbers."""
+class UnwaitingReconciler(EngineReconciler):
+    """Sends orders at once, though the engine ignores fencing numbers."""
 
     def _must_wait(self, service, key, last, target):
         return False
 
 
-def test_holder_that_does_not_wait_is_caught():
-    """The same holders, except that the successor does not wait for an order that
-    may still come; the exploration has to see the older order undo the newer.
+def test_exploration_detects_a_holder_that_does_not_wait():
+    """With a successor that does not wait for an order that may still arrive, the
+    exploration must detect that the older order undoes the newer one.
     """
-    must_see(HastyOrders, "undid")
+    assert_detected(UnwaitingReconciler, "undid")
 
 
-class TrustingOrders(EngineReconciler):
-    """Trusts its clock instead of the record's condition."""
+class ClockTrustingReconciler(EngineReconciler):
+    """Checks the lease by its clock instead of with a conditional write."""
 
-    async def _order(self, service, key, address, row, target):
+    async def _send_order(self, service, key, address, row, target):
         held = self._lease.held
         if held is None:
             return engineorders.ReconcileResult.FAILED
@@ -219,18 +223,20 @@
         return engineorders.ReconcileResult.LOADING
 
 
-def test_holder_that_trusts_its_clock_is_caught():
-    """Looking at the lease right before the send is not enough: the pause comes
-    between the look and the send.
+def test_exploration_detects_a_holder_that_trusts_its_clock():
+    """A check of the lease right before sending is not enough: the holder can be
+    paused between the check and the send.
     """
-    must_see(TrustingOrders, "")
+    assert_detected(ClockTrustingReconciler, "")
 
 
-def test_target_names_role_models_versions_and_adapters():
-    wanted = Service(
+def test_target_contains_role_models_versions_and_adapters():
+    target_service = Service(
         "tokens",
         {"e": Endpoint("e:1", "z", models=("b", "a"), role="prefill")},
         {},
         models={"a": Model("v1", ("french",)), "b": Model("v2")},
     )
-    assert desired_target(wanted, "e") == Target("prefill", ("a@v1+french", "b@v2"))
+    assert desired_target(target_service, "e") == Target(
+        "prefill", ("a@v1+french", "b@v2")
+    )
