--- a/packages/router/src/teaselledge/process/addresses.py
+++ b/packages/router/src/teaselledge/process/addresses.py
@@ -1,4 +1,4 @@
-"""Which routers a caller should use, and for how long."""
+"""Address lists: the routers that a caller should use, and for how long."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -12,29 +12,29 @@
 __all__ = ["RouterResolver", "AddressList"]
 
 MAX_ADDRESSES = 16
-"""Addresses in one answer."""
+"""Maximum number of addresses in a list."""
 
 MAX_NEAREST = 12
-"""Of these, such from the nearest zone, so that its loss leaves others."""
+"""Maximum number of addresses from the nearest zone, in case that zone fails."""
 
 
 @dataclass(frozen=True)
 class AddressList:
-    """An answer to a caller.
+    """Address list for a caller.
 
     Attributes
     ----------
     keep_seconds : float
-        How long the caller may use it.
+        Time for which the caller may cache the list.
     members : tuple of Member
-        The routers, those to try first in front.
+        Routers in the order in which to try them.
     """
 
     keep_seconds: float
     members: tuple[Member, ...]
 
     def as_json(self) -> dict[str, Any]:
-        """Return the answer's body."""
+        """Return the body of the response."""
         return {
             "keep_seconds": self.keep_seconds,
             "addresses": [
@@ -45,20 +45,20 @@
 
 
 class RouterResolver:
-    """Answers the callers' question which routers to use.
+    """Selects the routers that callers should use.
 
     Parameters
     ----------
     zone : str
-        Zone of a caller that names none: this router's.
+        This router's zone, used for callers that name none.
     keep_seconds : float
-        How long an answer holds; a leaving router serves for so long.
+        Validity of a list; a leaving router continues to serve for that time.
     members : callable
-        The live routers.
+        Returns the live routers.
     version : callable
-        The configuration in force, which knows the regions.
+        Returns the configuration in force, which contains the regions.
     chance : random.Random or None
-        Spreads the callers.
+        Random numbers for the order of the routers.
     """
 
     def __init__(
@@ -78,24 +78,27 @@
     def resolve(self, zone: str | None = None) -> AddressList:
         """Return the routers for a caller in a zone, nearest first.
 
-        Routers that leave are absent, and so are those without a configuration
-        where others have one. Within one distance the order is drawn for each
-        answer, idle routers in front more often: a fixed order would send all
-        callers to the same router.
+        Leaving routers are excluded, and so are routers without a configuration
+        unless none has one. Routers at the same distance are shuffled for each
+        list, with idle ones more often in front: with a fixed order all callers
+        would use the same router.
         """
-        staying = [m for m in self._members() if not m.leaving and m.caller_address]
-        configured = [member for member in staying if member.version > 0]
-        near = self._by_distance(configured or staying, zone)
+        not_leaving = [m for m in self._members() if not m.leaving and m.caller_address]
+        configured = [member for member in not_leaving if member.version > 0]
+        groups = self._by_distance(configured or not_leaving, zone)
         ordered: list[Member] = []
-        for members in near:
+        for members in groups:
             ordered.extend(self._shuffle(members))
-        if len(near) > 1 and len(near[0]) > MAX_NEAREST:
+        if len(groups) > 1 and len(groups[0]) > MAX_NEAREST:
             first = ordered[:MAX_NEAREST]
-            ordered = first + ordered[len(near[0]) :] + ordered[MAX_NEAREST:]
+            ordered = first + ordered[len(groups[0]) :] + ordered[MAX_NEAREST:]
         return AddressList(self._keep_seconds, tuple(ordered[:MAX_ADDRESSES]))
 
     def alternative_address(self, own: str) -> str:
-        """Return the address of another router that takes new work, or nothing."""
+        """Return the address of another router, or an empty string.
+
+        The router is live and not leaving.
+        """
         others = [m for m in self.resolve().members if m.vm != own]
         return others[0].caller_address if others else ""
 
@@ -103,20 +106,20 @@
         self, members: Iterable[Member], zone: str | None
     ) -> list[list[Member]]:
         version = self._version()
-        here = zone or self._zone
-        if version is not None and here not in version.document.zones:
-            here = self._zone
+        caller_zone = zone or self._zone
+        if version is not None and caller_zone not in version.document.zones:
+            caller_zone = self._zone
         groups: dict[int, list[Member]] = {}
         for member in members:
-            far = 0 if member.zone == here else 1
+            zone_distance = 0 if member.zone == caller_zone else 1
             if version is not None:
-                far = distance(version.document, here, member.zone)
-            groups.setdefault(far, []).append(member)
-        return [groups[far] for far in sorted(groups)]
+                zone_distance = distance(version.document, caller_zone, member.zone)
+            groups.setdefault(zone_distance, []).append(member)
+        return [groups[zone_distance] for zone_distance in sorted(groups)]
 
     def _shuffle(self, members: list[Member]) -> list[Member]:
         def key(member: Member) -> float:
-            # a weighted order: weight 1 for an idle router, less under load
+            # weighted shuffle: weight 1 for an idle router, less under load
             return self._chance.random() ** (1.0 + max(0.0, member.load))
 
         return sorted(members, key=key, reverse=True)
--- a/packages/router/src/teaselledge/process/httpplatform.py
+++ b/packages/router/src/teaselledge/process/httpplatform.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP and JSON."""
+"""Clients of the platform's services, over HTTP and JSON."""
 
 import base64
 import json
@@ -14,16 +14,16 @@
 
 __all__ = ["HttpObjectStore", "HttpTableService", "HttpVmList"]
 
-CALL_SECONDS = 3.0
+CALL_TIMEOUT_SECONDS = 3.0
 MAX_CALLS = 64
-REFUSED = frozenset({429, 503})
+REFUSED_STATUSES = frozenset({429, 503})
 CONFLICT = 409
 NOT_FOUND = 404
 OK = 200
 
 
-class _Caller:
-    """Calls one service of the platform."""
+class _ServiceClient:
+    """HTTP client of one service of the platform."""
 
     def __init__(self, address: str) -> None:
         self._base = f"http://{address}"
@@ -34,18 +34,18 @@
     async def call(
         self, method: str, path: str, body: bytes | None = None
     ) -> Result[HTTPResponse, StoreError]:
-        """Call and classify failures.
+        """Send a request and classify failures.
 
-        A refusal tells that nothing was written. Anything else that is no
-        answer leaves open whether the write took effect.
+        After a refusal nothing was written. After any other failure to get a
+        response it is unknown whether a write took effect.
         """
         request = HTTPRequest(
             self._base + path,
             method,
             body=body,
             allow_nonstandard_methods=True,
-            request_timeout=CALL_SECONDS,
-            connect_timeout=CALL_SECONDS,
+            request_timeout=CALL_TIMEOUT_SECONDS,
+            connect_timeout=CALL_TIMEOUT_SECONDS,
         )
         try:
             response = await self._client.fetch(request, raise_error=False)
@@ -53,7 +53,7 @@
             return Error(StoreError(StoreErrorKind.UNAVAILABLE, "refused"))
         except OSError as error:
             return Error(StoreError(StoreErrorKind.UNCERTAIN, repr(error)))
-        if response.code in REFUSED:
+        if response.code in REFUSED_STATUSES:
             return Error(StoreError(StoreErrorKind.UNAVAILABLE, str(response.code)))
         if response.code == CONFLICT:
             return Error(StoreError(StoreErrorKind.CONFLICT))
@@ -67,15 +67,15 @@
 
 
 class HttpTableService:
-    """The table service."""
+    """Client of the table service."""
 
     def __init__(self, address: str) -> None:
-        self._caller = _Caller(address)
+        self._client = _ServiceClient(address)
 
     async def get(self, table: str, key: str) -> Result[Row | None, StoreError]:
         """Read a row."""
         path = f"/tables/{quote(table, safe='')}/rows/{quote(key, safe='')}"
-        result = await self._caller.call("GET", path)
+        result = await self._client.call("GET", path)
         return result.map(
             lambda r: None if r.code == NOT_FOUND else _row(json.loads(r.body))
         )
@@ -86,11 +86,11 @@
         """Read rows in key order."""
         query = urlencode({"prefix": prefix, "limit": limit, "after": after})
         path = f"/tables/{quote(table, safe='')}/rows?{query}"
-        result = await self._caller.call("GET", path)
+        result = await self._client.call("GET", path)
         return result.map(lambda r: [_row(entry) for entry in json.loads(r.body)])
 
     async def commit(self, writes: Sequence[Write]) -> Result[None, StoreError]:
-        """Write all rows or none."""
+        """Write all rows or none, in one transaction."""
         body = json.dumps(
             [
                 {
@@ -104,42 +104,42 @@
                 for write in writes
             ]
         ).encode()
-        result = await self._caller.call("POST", "/commit", body)
+        result = await self._client.call("POST", "/commit", body)
         return result.map(lambda r: None)
 
 
 class HttpObjectStore:
-    """The object store."""
+    """Client of the object store."""
 
     def __init__(self, address: str) -> None:
-        self._caller = _Caller(address)
+        self._client = _ServiceClient(address)
 
     async def put(self, key: str, data: bytes) -> Result[None, StoreError]:
         """Store an object."""
         path = f"/objects/{quote(key, safe='')}"
-        result = await self._caller.call("PUT", path, data)
+        result = await self._client.call("PUT", path, data)
         return result.map(lambda r: None)
 
     async def get(self, key: str) -> Result[bytes | None, StoreError]:
         """Read an object."""
         path = f"/objects/{quote(key, safe='')}"
-        result = await self._caller.call("GET", path)
+        result = await self._client.call("GET", path)
         return result.map(lambda r: None if r.code == NOT_FOUND else r.body)
 
     async def delete(self, key: str) -> Result[None, StoreError]:
         """Remove an object."""
         path = f"/objects/{quote(key, safe='')}"
-        result = await self._caller.call("DELETE", path)
+        result = await self._client.call("DELETE", path)
         return result.map(lambda r: None)
 
 
 class HttpVmList:
-    """The list of VMs."""
+    """Client of the list of VMs."""
 
     def __init__(self, address: str) -> None:
-        self._caller = _Caller(address)
+        self._client = _ServiceClient(address)
 
     async def list(self) -> Result[list[VmEntry], StoreError]:
         """Read the list."""
-        result = await self._caller.call("GET", "/vms")
+        result = await self._client.call("GET", "/vms")
         return result.map(lambda r: [VmEntry(**entry) for entry in json.loads(r.body)])
--- a/packages/router/src/teaselledge/process/invalidinput.py
+++ b/packages/router/src/teaselledge/process/invalidinput.py
@@ -1,4 +1,4 @@
-"""Bad input from peers and endpoints: counted each time, logged seldom."""
+"""Counting and rate-limited logging of invalid input from peers and endpoints."""
 
 import asyncio
 
@@ -7,11 +7,11 @@
 
 __all__ = ["InvalidInputReporter"]
 
-PERIOD_SECONDS = 10.0
+LOG_PERIOD_SECONDS = 10.0
 
 
 class InvalidInputReporter:
-    """Counts bad input and logs each cause once a period."""
+    """Counts invalid input and logs each cause once per period."""
 
     def __init__(self, part: str, metrics: Metrics) -> None:
         self._log = get_log(part)
@@ -19,11 +19,11 @@
         self._logged: dict[tuple[str, str], float] = {}
 
     def report(self, metric: str, cause: str, text: str) -> None:
-        """Count an occurrence; a flood of them must not fill the logs."""
+        """Count an occurrence, and log it unless its cause was logged recently."""
         self._metrics.count(metric, 1, cause)
         now = asyncio.get_running_loop().time()
         last = self._logged.get((metric, cause))
-        if last is not None and now - last < PERIOD_SECONDS:
+        if last is not None and now - last < LOG_PERIOD_SECONDS:
             return
         self._logged[(metric, cause)] = now
         self._log.warning(text)
--- a/packages/router/src/teaselledge/process/main.py
+++ b/packages/router/src/teaselledge/process/main.py
@@ -16,16 +16,18 @@
 EXIT_BAD_SETTINGS = 2
 
 _SETTINGS = flags.DEFINE_string("settings", None, "YAML file with the settings.")
-_LOG_JSON = flags.DEFINE_bool("log_json", False, "Write logs as JSON, one a line.")
+_LOG_JSON = flags.DEFINE_bool(
+    "log_json", False, "Write logs as one JSON object per line."
+)
 _LOG_LEVEL = flags.DEFINE_enum(
-    "log_level", "INFO", ["DEBUG", "INFO", "WARNING", "ERROR"], "Lowest level to log."
+    "log_level", "INFO", ["DEBUG", "INFO", "WARNING", "ERROR"], "Minimum log level."
 )
 
 
 async def serve(settings: settings_module.Settings) -> int:
-    """Run a router until it has left, and return the exit code.
+    """Run a router until its shutdown, and return the exit code.
 
-    The first signal starts a graceful shutdown; the second one ends it.
+    The first SIGTERM or SIGINT starts a graceful shutdown; the second ends it.
     """
     router = Router.from_config(settings)
     loop = asyncio.get_running_loop()
@@ -39,21 +41,21 @@
 
 
 def main(argv: list[str]) -> int:
-    """Read the settings and serve."""
+    """Load the settings and run the router."""
     if len(argv) > 1 or _SETTINGS.value is None:
         print("usage: teaselledge --settings FILE", file=sys.stderr)
         return EXIT_BAD_SETTINGS
     start_logging(_LOG_JSON.value, _LOG_LEVEL.value)
     loaded = settings_module.load(Path(_SETTINGS.value))
     if loaded.is_error():
-        for mistake in loaded.error:
-            print(mistake, file=sys.stderr)
+        for issue in loaded.error:
+            print(issue, file=sys.stderr)
         return EXIT_BAD_SETTINGS
     return asyncio.run(serve(loaded.ok))
 
 
 def run() -> None:
-    """Entry point of the binary."""
+    """Entry point of the command."""
     app.run(main)
 
 
--- a/packages/router/src/teaselledge/process/objectives.py
+++ b/packages/router/src/teaselledge/process/objectives.py
@@ -1,7 +1,7 @@
-"""Count good and bad events against the service-level objectives.
+"""Counts of good and bad events against the service-level objectives.
 
-Everything is kept in memory: a VM has no disk, and a restart loses what its
-router counted. Reports say for each window how much of it the routers cover.
+The counts are kept in memory only, since a VM has no disk; a restart loses them. A
+report contains the router's uptime, which shows how much of each window it covers.
 """
 
 import asyncio
@@ -19,24 +19,24 @@
 __all__ = ["LEVELS", "MAX_SERIES", "WINDOWS", "ObjectiveTracker"]
 
 WINDOWS: tuple[int, ...] = (300, 1800, 3600, 7200, 21_600, 86_400, 259_200)
-"""Seconds of the windows that routers report."""
+"""Windows that routers report, in seconds."""
 
 MAX_SERIES = 2000
-"""Organisations, services and kinds that one router counts apart."""
+"""Maximum number of series, each for an organisation, service and kind."""
 
 SKETCH_SECONDS = 3600
 
 
 @dataclass(frozen=True)
 class Level:
-    """Buckets of one width.
+    """Width and number of the buckets of one ring.
 
     Attributes
     ----------
     width : int
-        Seconds of a bucket.
+        Width of a bucket in seconds.
     count : int
-        Buckets that are kept.
+        Number of buckets.
     """
 
     width: int
@@ -44,7 +44,7 @@
 
     @property
     def seconds(self) -> int:
-        """Time that the level spans."""
+        """Time covered by all buckets."""
         return self.width * self.count
 
 
@@ -56,7 +56,7 @@
 
 
 class _Ring:
-    """Good and bad events in the buckets of one level."""
+    """Ring buffer of good and bad events in the buckets of one level."""
 
     def __init__(self, level: Level, now: float) -> None:
         self._level = level
@@ -70,7 +70,7 @@
         counts[self._last % self._level.count] += 1
 
     def sums(self, now: float, seconds: int) -> tuple[int, int]:
-        """Return good and bad events of the last so many seconds."""
+        """Return the numbers of good and bad events in the last `seconds`."""
         self._advance(now)
         level = self._level
         buckets = min(level.count, max(1, seconds // level.width))
@@ -87,7 +87,7 @@
 
 
 class _Series:
-    """What one organisation saw of one kind of request."""
+    """Events and durations of one organisation, service and kind."""
 
     def __init__(self, now: float) -> None:
         self.rings = [_Ring(level, now) for level in LEVELS]
@@ -97,7 +97,7 @@
     def add(self, now: float, seconds: float, good: bool) -> None:
         for ring in self.rings:
             ring.add(now, good)
-        self._turn(now)
+        self._rotate(now)
         add_seconds(self._sketches[0], seconds)
 
     def sums(self, now: float, seconds: int) -> tuple[int, int]:
@@ -107,14 +107,14 @@
         return self.rings[-1].sums(now, seconds)
 
     def sketch(self, now: float) -> DDSketch:
-        """Return the durations of this hour and the one before."""
-        self._turn(now)
+        """Return the sketch of the durations in this hour and the previous one."""
+        self._rotate(now)
         merged = new_sketch()
         for sketch in self._sketches:
             merged.merge(sketch)
         return merged
 
-    def _turn(self, now: float) -> None:
+    def _rotate(self, now: float) -> None:
         hour = int(now // SKETCH_SECONDS)
         if hour == self._hour:
             return
@@ -124,12 +124,12 @@
 
 
 class ObjectiveTracker:
-    """Counts the requests of one router.
+    """Counts the requests of one router against the objectives.
 
     Parameters
     ----------
     version : callable
-        The configuration in force.
+        Returns the configuration in force.
     """
 
     def __init__(self, version: Callable[[], Version | None]) -> None:
@@ -138,7 +138,9 @@
         self._evicted = 0
         self._started: float | None = None
         self._document: Document | None = None
-        self._by_kind: dict[tuple[str, str], list[tuple[str, Objective]]] = {}
+        self._objectives_by_kind: dict[
+            tuple[str, str], list[tuple[str, Objective]]
+        ] = {}
 
     def record(
         self, organisation: str, service: str, kind: str, seconds: float, failed: bool
@@ -150,22 +152,22 @@
         organisation, service, kind : str
             Names from the document.
         seconds : float
-            From arrival to the end of the answer.
+            Time from arrival to the end of the response.
         failed : bool
-            Whether the system failed it; a caller's own mistake is no failure.
+            Whether the system failed the request; a caller's error does not count.
         """
         found = self._objective(organisation, service, kind)
         if found is None:
             return
         now = self._now()
-        self._begin(now)
+        self._ensure_started(now)
         key = (organisation, service, kind)
         series = self._series.get(key)
         if series is None:
             series = self._series[key] = _Series(now)
             if len(self._series) > MAX_SERIES:
-                # organisations that come and go must not fill the memory; the
-                # report says that something was dropped
+                # changing organisations must not fill the memory; the report
+                # contains the number of evicted series
                 self._series.popitem(last=False)
                 self._evicted += 1
         self._series.move_to_end(key)
@@ -173,44 +175,49 @@
         series.add(now, seconds, good)
 
     def report(self, service: str = "", organisation: str = "") -> dict[str, Any]:
-        """Return what was counted, as plain values for JSON."""
+        """Return the counts as plain values for JSON."""
         now = self._now()
         entries = []
-        for (who, where, kind), series in self._series.items():
-            if service not in ("", where) or organisation not in ("", who):
+        for (series_organisation, series_service, kind), series in self._series.items():
+            if service not in ("", series_service) or organisation not in (
+                "",
+                series_organisation,
+            ):
                 continue
-            found = self._objective(who, where, kind)
+            found = self._objective(series_organisation, series_service, kind)
             if found is None:
                 continue
             name, objective = found
             entries.append(
                 {
                     "objective": name,
-                    "organisation": who,
-                    "service": where,
+                    "organisation": series_organisation,
+                    "service": series_service,
                     "kind": kind,
                     "target": objective.target,
                     "seconds": objective.seconds,
                     "window": objective.window_hours * 3600,
-                    "counts": {str(w): series.sums(now, w) for w in WINDOWS},
+                    "counts": {
+                        str(window): series.sums(now, window) for window in WINDOWS
+                    },
                     "budget": series.sums(now, int(objective.window_hours * 3600)),
                     "sketch": encode_sketch(series.sketch(now)),
                 }
             )
         return {
-            "uptime": now - self._begin(now),
+            "uptime": now - self._ensure_started(now),
             "evicted": self._evicted,
             "series": entries,
         }
 
     def start(self) -> None:
-        """Note the time from which events are counted."""
-        self._begin(self._now())
+        """Record the time from which events are counted."""
+        self._ensure_started(self._now())
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def _begin(self, now: float) -> float:
+    def _ensure_started(self, now: float) -> float:
         if self._started is None:
             self._started = now
         return self._started
@@ -222,18 +229,18 @@
         if version is None:
             return None
         if version.document is not self._document:
-            self._index(version.document)
+            self._index_objectives(version.document)
         general = None
-        for name, objective in self._by_kind.get((service, kind), ()):
+        for name, objective in self._objectives_by_kind.get((service, kind), ()):
             if organisation in objective.organisations:
                 return name, objective
             if not objective.organisations:
                 general = (name, objective)
         return general
 
-    def _index(self, document: Document) -> None:
+    def _index_objectives(self, document: Document) -> None:
         self._document = document
-        self._by_kind = {}
+        self._objectives_by_kind = {}
         for name, objective in document.objectives.items():
             key = (objective.service, objective.kind)
-            self._by_kind.setdefault(key, []).append((name, objective))
+            self._objectives_by_kind.setdefault(key, []).append((name, objective))
--- a/packages/router/src/teaselledge/process/router.py
+++ b/packages/router/src/teaselledge/process/router.py
@@ -1,4 +1,4 @@
-"""One router: its parts, wired together."""
+"""A router process without its command line."""
 
 import secrets
 import time
@@ -41,12 +41,12 @@
 
 _log = get_log("router")
 
-HARD_LIMIT = 4
-"""Multiple of a limit at which a connection is closed without an answer."""
+HARD_LIMIT_FACTOR = 4
+"""Factor over a limit at which a connection is closed without a response."""
 
 
 class Router:
-    """A router process without its command line: a node with listeners."""
+    """A node with its listeners and its clients of the platform."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
     ) -> None:
         self._settings = settings
         self._incarnation = new_incarnation(time.time(), secrets.randbits(RANDOM_BITS))
-        self._requests = 0
+        self._request_count = 0
         self._server: CallerServer | None = None
         self._caller_address = ""
         self._peer_address = ""
@@ -126,7 +126,7 @@
 
     @property
     def request_runner(self) -> DrainGate:
-        """What runs the callers' requests."""
+        """Runs the callers' requests."""
         return self.node.request_runner
 
     @property
@@ -136,48 +136,48 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it can serve."""
+        """Whether a configuration is in force, so that requests can be served."""
         return self.node.ready
 
     @property
     def caller_address(self) -> str:
-        """Where callers connect."""
+        """Advertised ``host:port`` for callers."""
         return self._caller_address
 
     @property
     def peer_address(self) -> str:
-        """Where other routers connect."""
+        """Advertised ``host:port`` for other routers."""
         return self._peer_address
 
     @property
     def listening_peer_address(self) -> str:
-        """Where this router itself listens for other routers."""
+        """Local ``host:port`` of the listener for other routers."""
         return self._listening_peer_address
 
     @property
     def operator_address(self) -> str:
-        """Where operators connect."""
+        """Advertised ``host:port`` for operators."""
         return self._operator_address
 
     def next_request_id(self) -> str:
-        """Return an identifier that no other request has."""
-        self._requests += 1
-        return f"{self._settings.vm}-{self._incarnation:x}-{self._requests}"
+        """Return a unique identifier for a request."""
+        self._request_count += 1
+        return f"{self._settings.vm}-{self._incarnation:x}-{self._request_count}"
 
     def listen(self) -> None:
-        """Open the listeners, so that the addresses are known."""
+        """Open the listeners and set the router's addresses."""
         settings = self._settings
         warn_if_plaintext("callers'", settings.callers)
         warn_if_plaintext("peers'", settings.peers)
         warn_if_plaintext("operators'", settings.operators)
-        # the handlers refuse what is over the limits with an answer; tornado's
-        # own limits close the connection and only stop what is far beyond
+        # the handlers answer requests over the limits with an error; tornado's
+        # limits close the connection and only apply far beyond
         self._server = CallerServer(
             make_application(self),
             ssl_options=server_context(settings.callers.tls),
             max_connections=settings.limits.connections,
-            max_body_size=HARD_LIMIT * settings.limits.upload_bytes,
-            max_header_size=HARD_LIMIT * settings.limits.header_bytes,
+            max_body_size=HARD_LIMIT_FACTOR * settings.limits.upload_bytes,
+            max_header_size=HARD_LIMIT_FACTOR * settings.limits.header_bytes,
         )
         sockets = bind_sockets(settings.callers.port, settings.callers.host)
         self._server.add_sockets(sockets)
@@ -187,7 +187,9 @@
         self._peer_address = settings.peers.advertised(peer_port)
         self._listening_peer_address = f"{settings.peers.host}:{peer_port}"
         operators = settings.operators
-        self._operators = OperatorServer(self._site(), server_context(operators.tls))
+        self._operators = OperatorServer(
+            self._operator_context(), server_context(operators.tls)
+        )
         operator_port = self._operators.listen(operators.host, operators.port)
         self._operator_address = operators.advertised(operator_port)
         self.node.set_addresses(
@@ -195,12 +197,12 @@
         )
 
     async def start(self) -> None:
-        """Start the node; the listeners are open."""
+        """Start the node; `listen` must have been called."""
         await self.node.start()
         _log.info(f"Router {self._settings.vm} serves {self._caller_address}.")
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Announce the end of this process, and stop without draining."""
         self.node.membership.announce_shutdown()
         await self.node.stop()
         if self._server is not None:
@@ -211,10 +213,10 @@
         await self._mesh.close()
 
     def addresses(self, zone: str | None = None) -> dict[str, Any]:
-        """Return which routers a caller in a zone should use."""
+        """Return the address list for a caller in a zone."""
         return self.node.addresses.resolve(zone).as_json()
 
-    def _site(self) -> OperatorContext:
+    def _operator_context(self) -> OperatorContext:
         node = self.node
         publisher = Publisher(
             self._tables,
--- a/packages/router/src/teaselledge/process/settings.py
+++ b/packages/router/src/teaselledge/process/settings.py
@@ -27,7 +27,7 @@
         This router's certificate and its private key. Between routers the
         certificate must name the VM as a DNS name.
     authority : str or None
-        Certificates that sign the clients'; clients then need one.
+        Certificates of the authority; if set, clients need one signed by it.
     """
 
     certificate: str
@@ -37,18 +37,18 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class Listener:
-    """An address to listen on.
+    """Address of a listener.
 
     Attributes
     ----------
     host : str
-        IP number.
+        IP address.
     port : int
-        Port; 0 takes a free one.
+        Port; 0 for any free port.
     advertise : str or None
-        ``host:port`` told to others where it differs from the listener's.
+        ``host:port`` to advertise if it differs from the listener's.
     tls : Tls or None
-        TLS on this listener.
+        TLS files; without them the listener has no TLS.
     """
 
     host: str = "127.0.0.1"
@@ -57,7 +57,7 @@
     tls: Tls | None = None
 
     def advertised(self, port: int) -> str:
-        """Return the address to tell others, given the port in use."""
+        """Return the address to advertise, given the port in use."""
         return self.advertise or f"{self.host}:{port}"
 
 
@@ -82,14 +82,14 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class Statsd:
-    """Where metrics go.
+    """Statsd daemon to which metrics are sent.
 
     Attributes
     ----------
     host : str
-        Name or IP number of the statsd daemon.
+        Host name or IP address of the daemon.
     port : int
-        Its UDP port.
+        UDP port of the daemon.
     """
 
     host: str
@@ -103,16 +103,16 @@
     Attributes
     ----------
     body_bytes, header_bytes : int
-        Largest request body and headers.
+        Maximum size of request bodies and of headers.
     upload_bytes : int
-        Largest body of a repeatable request; what is beyond ``body_bytes`` is
-        passed on as it arrives.
+        Maximum body size of a repeatable request; a body over ``body_bytes`` is
+        streamed to the endpoint as it arrives.
     waiting : int
-        Requests that may wait in total.
+        Maximum number of waiting requests.
     waiting_bytes : int
-        Bytes of waiting bodies in total.
+        Maximum total size of the bodies of waiting requests.
     connections : int
-        Callers' connections.
+        Maximum number of callers' connections.
     """
 
     body_bytes: Annotated[int, Field(ge=1024, le=1 << 30)] = 4 << 20
@@ -132,23 +132,24 @@
     vm : str
         Name of the VM.
     zone, region : str
-        Where it is.
+        Location of the VM.
     platform : Platform
         The platform's services.
     callers, peers, operators : Listener
-        Where callers, other routers and operators connect; three ports.
+        Listeners for callers, other routers and operators; three ports.
     statsd : Statsd or None
-        Where metrics go; without it they are only on the status page.
+        Daemon for metrics; without it they are only on the status page.
     limits : Limits
-        What it holds at most.
+        Limits on requests and connections.
     drain_seconds : float
-        Longest time that a graceful shutdown takes.
+        Maximum duration of a graceful shutdown.
     address_seconds : float
-        How long callers keep the answer of the address list.
+        Time for which callers may cache an address list.
     seeds : tuple of str
-        Peer addresses to try when the list of VMs is out of reach.
+        Peer addresses to try while no other router is known, as when the list of
+        VMs is out of reach.
     first_key : str or None
-        SHA-256, in hex, of the key that may make the first version.
+        SHA-256, in hex, of the key that may publish the first version.
     """
 
     vm: str
@@ -172,7 +173,7 @@
     Returns
     -------
     Result of Settings or list of ConfigIssue
-        The settings, or every fault in the file.
+        The settings, or all errors in the file.
     """
     return yamlsource.read(path).bind(
         lambda source: yamlsource.validate_as(Settings, source)
--- a/packages/router/src/teaselledge/process/tally.py
+++ b/packages/router/src/teaselledge/process/tally.py
@@ -1,4 +1,4 @@
-"""Metrics that are kept for the status page and passed on."""
+"""Metrics recorded for the status page."""
 
 import asyncio
 
@@ -8,16 +8,19 @@
 
 WINDOW_SECONDS = 60.0
 MAX_LABELS = 1000
-"""Names that are kept; labels come from requests and must not fill the memory."""
+"""Maximum number of recorded counters and of gauges, by name and label.
+
+Labels come from requests and must not fill the memory.
+"""
 
 
 class RecordingMetrics:
-    """Passes metrics on, and keeps totals and the last minute.
+    """Forwards metrics, and records totals and recent rates.
 
     Parameters
     ----------
     metrics : Metrics
-        Where they go.
+        Receives the forwarded metrics.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -25,8 +28,8 @@
         self._totals: dict[str, float] = {}
         self._gauges: dict[str, float] = {}
         self._window = 0
-        self._before: dict[str, float] = {}
-        self._at_start: dict[str, float] = {}
+        self._previous_window_start: dict[str, float] = {}
+        self._window_start: dict[str, float] = {}
 
     @property
     def totals(self) -> dict[str, float]:
@@ -39,23 +42,23 @@
         return dict(self._gauges)
 
     def rate(self, name: str) -> float:
-        """Return what a counter, all labels together, gained a second lately.
+        """Return the recent increase per second of a counter over all its labels.
 
-        It is measured from the start of the minute before this one.
+        The rate is measured from the start of the previous minute.
         """
-        self._turn()
+        self._rotate()
         now = asyncio.get_running_loop().time()
-        passed = now - (self._window - 1) * WINDOW_SECONDS
-        gained = _sum(self._totals, name) - _sum(self._before, name)
-        return gained / max(1.0, passed)
+        elapsed = now - (self._window - 1) * WINDOW_SECONDS
+        increase = _sum(self._totals, name) - _sum(self._previous_window_start, name)
+        return increase / max(1.0, elapsed)
 
     def total(self, name: str) -> float:
-        """Return a counter, all labels together."""
+        """Return the total of a counter over all its labels."""
         return _sum(self._totals, name)
 
     def count(self, name: str, value: float = 1, label: str = "") -> None:
         """Add to a counter."""
-        self._turn()
+        self._rotate()
         self._metrics.count(name, value, label)
         key = f"{name}.{label}" if label else name
         if key in self._totals or len(self._totals) < MAX_LABELS:
@@ -69,16 +72,18 @@
             self._gauges[key] = value
 
     def time(self, name: str, seconds: float, label: str = "") -> None:
-        """Pass a duration on."""
+        """Forward a duration."""
         self._metrics.time(name, seconds, label)
 
-    def _turn(self) -> None:
+    def _rotate(self) -> None:
         window = int(asyncio.get_running_loop().time() // WINDOW_SECONDS)
         if window == self._window:
             return
         current = dict(self._totals)
-        self._before = self._at_start if window == self._window + 1 else current
-        self._at_start = current
+        self._previous_window_start = (
+            self._window_start if window == self._window + 1 else current
+        )
+        self._window_start = current
         self._window = window
 
 
--- a/packages/router/src/teaselledge/process/tls.py
+++ b/packages/router/src/teaselledge/process/tls.py
@@ -21,12 +21,12 @@
 def server_context(tls: Tls | None) -> ssl.SSLContext | None:
     """Return the context of a listener, None without TLS.
 
-    With an authority, clients must have a certificate of it.
+    If an authority is set, clients must have a certificate signed by it.
 
     Raises
     ------
     OSError
-        If a file can't be read or holds no such thing; `ssl.SSLError` is one.
+        If a file can't be read or is invalid; `ssl.SSLError` is a subclass.
     """
     if tls is None:
         return None
@@ -40,13 +40,13 @@
 def client_context(tls: Tls | None) -> ssl.SSLContext | None:
     """Return the context for connecting to other routers, None without TLS.
 
-    The routers are reached by IP number, so the name in the certificate is
-    compared with the VM's by `certificate_dns_names` instead.
+    Connections use IP addresses, so host names are not checked. The caller compares
+    the names from `certificate_dns_names` with the VM's instead.
 
     Raises
     ------
     OSError
-        If a file can't be read or holds no such thing.
+        If a file can't be read or is invalid.
     """
     if tls is None:
         return None
@@ -57,7 +57,7 @@
 
 
 def certificate_dns_names(certificate: dict[str, Any] | None) -> frozenset[str]:
-    """Return the DNS names that a verified certificate is for."""
+    """Return the DNS names in a verified certificate."""
     if not certificate:
         return frozenset()
     pairs = certificate.get("subjectAltName", ())
@@ -65,12 +65,12 @@
 
 
 def warn_if_plaintext(part: str, listener: Listener) -> bool:
-    """Warn where a listener is open to others without TLS; tell whether it is."""
+    """Warn if a listener without TLS is not on loopback; return whether it warned."""
     if listener.tls is not None or ip_address(listener.host).is_loopback:
         return False
     _log.warning(
-        f"The {part} listener on {listener.host} has no TLS: whoever reaches it "
-        "can read and forge what passes."
+        f"The {part} listener on {listener.host} has no TLS: traffic can be read and "
+        "forged by anyone on its network."
     )
     return True
 
--- a/packages/router/tests/test_main.py
+++ b/packages/router/tests/test_main.py
@@ -60,8 +60,10 @@
                 await process.communicate()
 
 
-async def test_sigterm_ends_the_process_when_its_stream_is_whole():
-    """The platform takes a VM away while it relays a stream."""
+async def test_sigterm_ends_the_process_after_its_stream_is_complete():
+    """The platform terminates a VM while a stream runs. The stream must be complete
+    before the process ends.
+    """
     async with running_process(20) as (process, address):
         caller = Caller(key_of("amber"))
         stream = asyncio.create_task(
@@ -78,7 +80,7 @@
             assert await process.wait() == DrainExit.WHOLE
 
 
-async def test_second_signal_and_its_exit_code():
+async def test_second_signal_ends_the_process_with_its_exit_code():
     async with running_process(20) as (process, address):
         caller = Caller(key_of("amber"))
         stream = asyncio.create_task(
@@ -92,13 +94,13 @@
             await process.stderr.read()
             assert await process.wait() == DrainExit.SECOND_SIGNAL
         reply = await asyncio.gather(stream, return_exceptions=True)
-        # what was cut is visibly broken
+        # the caller can see that the stream was cut
         assert isinstance(reply[0], Exception) or not is_complete_response(
             reply[0], "s", 5000
         )
 
 
-async def test_bad_settings_end_the_process_with_every_fault():
+async def test_invalid_settings_end_the_process_with_all_errors():
     with TemporaryDirectory() as folder:
         process = await start("vm: x\nzone: 3\nnonsense: 1\n", folder)
         _, errors = await process.communicate()
--- a/packages/router/tests/test_processes.py
+++ b/packages/router/tests/test_processes.py
@@ -10,13 +10,16 @@
 from teaselledge_standins.caller import Caller, is_complete_response
 from teaselledge_standins.processes import ADMIN_KEY, FIRST_KEY, running_processes
 
-POLLS = 10
-"""Questions within which a version is in force: 6 s on an idle machine, where the
-command takes 0.4 s. Beside 40 busy processes its start alone takes 4.4 s."""
+MAX_STATUS_QUERIES = 10
+"""Status queries within which a version must be in force.
+
+This is 6 s on an idle machine, where the command takes 0.4 s. Beside 40 busy
+processes the start of the command alone takes 4.4 s.
+"""
 
 
 async def teaselctl(fleet, key, *arguments):
-    """Run the operators' command and return its exit code and output."""
+    """Run ``teaselctl`` and return its exit code and output."""
     path = fleet.folder / "key"
     path.write_text(key)
     command = [sys.executable, "-m", "teaselctl.main", *arguments]
@@ -52,57 +55,57 @@
     return reply, is_complete_response(reply, name, tokens)
 
 
-async def test_from_an_empty_fleet_to_a_changed_share(processes):
-    """An operator applies a document to an empty fleet, and then another share.
-    Callers of both routers are served throughout, and the version is in force.
+async def test_first_document_and_a_changed_share_on_an_empty_fleet(processes):
+    """An operator applies a document to an empty fleet, and then changes a share.
+    Callers of both routers must be served, and the new version must be in force.
     """
     for router in processes.callers:
-        reply, whole = await complete(processes, router, f"first-{router}")
-        assert whole, reply
+        reply, is_complete = await complete(processes, router, f"first-{router}")
+        assert is_complete, reply
     document = processes.document()
     document["organisations"]["amber"]["share"] = 5
     await apply(processes, document, 1, ADMIN_KEY)
-    for _ in range(POLLS):
+    for _ in range(MAX_STATUS_QUERIES):
         code, text = await teaselctl(processes, ADMIN_KEY, "status", "--json")
         in_force = code == 0 and text.count('"version": 2') >= 2
         if in_force:
             break
         await asyncio.sleep(0.2)
     assert in_force, text
-    reply, whole = await complete(processes, "r2", "second")
-    assert whole, reply
+    reply, is_complete = await complete(processes, "r2", "second")
+    assert is_complete, reply
 
 
-async def test_killed_router_harms_no_caller_of_another(processes):
-    """One router is killed. Callers of the other one may wait for a moment, while
-    it takes the killed one's shards over; nobody gets an error or a wrong answer.
+async def test_killed_router_affects_no_caller_of_another(processes):
+    """One router is killed. Callers of the other may wait while it takes over the
+    shards of the killed one; none may get an error or a wrong response.
     """
     processes.signal("r1", signal.SIGKILL)
     for number in range(5):
-        reply, whole = await complete(processes, "r2", f"after-{number}")
-        assert whole, reply
+        reply, is_complete = await complete(processes, "r2", f"after-{number}")
+        assert is_complete, reply
     processes.start_router("r1")
     await processes.until_ready("r1")
-    reply, whole = await complete(processes, "r1", "back")
-    assert whole, reply
+    reply, is_complete = await complete(processes, "r1", "back")
+    assert is_complete, reply
 
 
-async def test_frozen_router_harms_no_caller_of_another(processes):
-    """One router is frozen, as a VM is while it is moved. It holds its
-    connections open, so others notice by its silence only.
+async def test_paused_router_affects_no_caller_of_another(processes):
+    """One router is paused, as a VM is during a migration. Its connections stay
+    open, so that the others can only detect the missing heartbeats.
     """
     processes.signal("r1", signal.SIGSTOP)
     for number in range(3):
-        reply, whole = await complete(processes, "r2", f"frozen-{number}")
-        assert whole, reply
+        reply, is_complete = await complete(processes, "r2", f"frozen-{number}")
+        assert is_complete, reply
     processes.signal("r1", signal.SIGCONT)
-    reply, whole = await complete(processes, "r1", "thawed")
-    assert whole, reply
+    reply, is_complete = await complete(processes, "r1", "thawed")
+    assert is_complete, reply
 
 
-async def test_order_survives_the_router_that_took_it(processes):
-    """A router is killed while an order runs. Its caller asks another router
-    under the same key and must not have it run a second time.
+async def test_order_of_a_killed_router_does_not_run_twice(processes):
+    """A router is killed while an order runs. Its caller retries at another router
+    with the same key, which must not run the order a second time.
     """
     caller = Caller("key-of-amber")
     first = asyncio.create_task(
@@ -120,12 +123,12 @@
 
 
 async def test_terminated_router_finishes_its_stream(processes):
-    """A router gets SIGTERM in the middle of a stream. The caller still gets the
-    whole answer, and the process ends by itself with code 0.
+    """A router receives SIGTERM during a stream. The caller must get the complete
+    response, and the process must exit with code 0.
     """
     stream = asyncio.create_task(complete(processes, "r1", "long", 300))
     await asyncio.sleep(0.5)
     processes.signal("r1", signal.SIGTERM)
-    reply, whole = await stream
-    assert whole, reply
+    reply, is_complete = await stream
+    assert is_complete, reply
     assert await processes.exit_code("r1") == 0
--- a/packages/router/tests/test_tls.py
+++ b/packages/router/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Tests of TLS towards callers and operators."""
+"""Tests of TLS on the listeners for callers and operators."""
 
 from contextlib import contextmanager
 from dataclasses import replace
@@ -14,13 +14,13 @@
 
 @contextmanager
 def folder():
-    """Make a folder for certificates."""
+    """Create a temporary folder for certificates."""
     with TemporaryDirectory() as name:
         yield Path(name)
 
 
 async def status_of(url, context):
-    """Return the status of an answer, or none where no connection comes about."""
+    """Return the status of a response, or None without a connection."""
     client = SimpleAsyncHTTPClient(force_instance=True)
     request = HTTPRequest(url, ssl_options=context, request_timeout=5)
     try:
@@ -41,15 +41,17 @@
         assert await status_of(f"http://{address}/readyz", None) is None
 
 
-async def test_operators_without_a_certificate_of_the_authority_get_nothing(folder):
-    """Somebody reaches the operators' port with a certificate of his own making.
-    The connection ends before any key is looked at.
+async def test_operators_need_a_certificate_of_the_authority(folder):
+    """A client connects to the operators' port with a certificate of another
+    authority. The connection must end before an operator's key is checked.
     """
-    authority, foreign = Authority(folder), Authority(folder, "foreign")
+    authority, foreign_authority = Authority(folder), Authority(folder, "foreign")
     plan = FleetPlan({"r1": "north-a"}, operators_tls=authority.issue(["r1"]))
     async with running_fleet(plan) as fleet:
         url = f"https://{fleet.routers['r1'].operator_address}/v1/status"
-        known = client_context(authority.issue(["operator"]))
-        stranger = client_context(foreign.issue(["operator"], authority.path))
-        assert await status_of(url, known) == 401
-        assert await status_of(url, stranger) is None
+        valid_context = client_context(authority.issue(["operator"]))
+        foreign_context = client_context(
+            foreign_authority.issue(["operator"], authority.path)
+        )
+        assert await status_of(url, valid_context) == 401
+        assert await status_of(url, foreign_context) is None
