--- a/packages/router/src/teaselledge/process/addresses.py
+++ b/packages/router/src/teaselledge/process/addresses.py
@@ -67,13 +67,13 @@
         keep_seconds: float,
         members: Callable[[], Iterable[Member]],
         version: Callable[[], Version | None],
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._zone = zone
         self._keep_seconds = keep_seconds
         self._members = members
         self._version = version
-        self._chance = chance or random.Random()
+        self._rng = rng or random.Random()
 
     def resolve(self, zone: str | None = None) -> AddressList:
         """Return the routers for a caller in a zone, nearest first.
@@ -120,6 +120,6 @@
     def _shuffle(self, members: list[Member]) -> list[Member]:
         def key(member: Member) -> float:
             # weighted shuffle: weight 1 for an idle router, less under load
-            return self._chance.random() ** (1.0 + max(0.0, member.load))
+            return self._rng.random() ** (1.0 + max(0.0, member.load))
 
         return sorted(members, key=key, reverse=True)
--- a/packages/router/src/teaselledge/process/lease.py
+++ b/packages/router/src/teaselledge/process/lease.py
@@ -76,7 +76,7 @@
 
     number: int
     version: int
-    until: float
+    expires_at: float
 
 
 class Lease:
@@ -109,7 +109,7 @@
     def held(self) -> HeldLease | None:
         """The lease, None if it is not held or may have been taken over."""
         held = self._held
-        if held is None or asyncio.get_running_loop().time() >= held.until:
+        if held is None or asyncio.get_running_loop().time() >= held.expires_at:
             return None
         return held
 
@@ -207,32 +207,34 @@
         lease_write = Write(LEASES_TABLE, self._name, record.encode(), version)
         error = StoreError(StoreErrorKind.UNCERTAIN)
         # others may see the first attempt from now on
-        until = loop.time() + self._seconds
+        expires_at = loop.time() + self._seconds
         for _ in range(MAX_ATTEMPTS):
             result = await self._tables.commit([lease_write, *writes])
             if result.is_ok():
-                return Ok(self._set_held(record, version + 1, until))
+                return Ok(self._set_held(record, version + 1, expires_at))
             error = result.error
             if error.kind is StoreErrorKind.CONFLICT:
-                return await self._after_conflict(record, until, error)
+                return await self._after_conflict(record, expires_at, error)
             await asyncio.sleep(RETRY_SECONDS)
         return Error(error)
 
     async def _after_conflict(
-        self, record: LeaseRecord, until: float, error: StoreError
+        self, record: LeaseRecord, expires_at: float, error: StoreError
     ) -> Result[HeldLease, StoreError]:
         for _ in range(MAX_ATTEMPTS):
             read = await self._tables.get(LEASES_TABLE, self._name)
             if read.is_ok():
                 row = read.ok
                 if row is not None and row.value == record.encode():
-                    return Ok(self._set_held(record, row.version, until))
+                    return Ok(self._set_held(record, row.version, expires_at))
                 return Error(error)
             await asyncio.sleep(RETRY_SECONDS)
         return Error(StoreError(StoreErrorKind.UNCERTAIN))
 
-    def _set_held(self, record: LeaseRecord, version: int, until: float) -> HeldLease:
-        self._held = HeldLease(record.number, version, until)
+    def _set_held(
+        self, record: LeaseRecord, version: int, expires_at: float
+    ) -> HeldLease:
+        self._held = HeldLease(record.number, version, expires_at)
         return self._held
 
     def _make_record(self, number: int, holder: str) -> LeaseRecord:
--- a/packages/router/src/teaselledge/process/liveness.py
+++ b/packages/router/src/teaselledge/process/liveness.py
@@ -176,11 +176,11 @@
 
     @property
     def epoch(self) -> int:
-        """Counter of changes of the routers and of the fields that others act on."""
+        """Counter of added and removed records and of changes that others act on."""
         return self._epoch
 
     def digest(self, own: Member) -> int:
-        """Return a hash of the live routers with `own`, equal in views that agree."""
+        """Return a hash of the live routers, `own` included; equal in equal views."""
         key = (self._epoch, own)
         if self._digest is None or self._digest[0] != key:
             members = [r.member for r in self.live_records() if r.member.vm != own.vm]
--- a/packages/router/src/teaselledge/process/membership.py
+++ b/packages/router/src/teaselledge/process/membership.py
@@ -49,7 +49,7 @@
 """Time after which a suspected router is dead unless someone refutes it."""
 
 MAX_HEARTBEAT_TIMEOUT_SECONDS = 60.0
-"""Maximum timeout for a router whose suspicions were refuted repeatedly."""
+"""Limit of the heartbeat timeout, which doubles with each suspicion of a router."""
 
 AUDIT_BEATS = 5
 """Heartbeats between two checks of a router chosen round robin."""
@@ -87,7 +87,7 @@
 MAX_REPORTS_PER_MESSAGE = 200
 
 JOIN_SECONDS = 5.0
-"""Time after the start in which large updates are not forwarded."""
+"""Time after the start in which updates on over JOIN_FANOUT routers stay local."""
 
 
 class Membership:
@@ -306,12 +306,12 @@
             return False
         if current.member.incarnation <= record.member.incarnation:
             return False
-        first = self._first_seen.get((vm, current.member.incarnation), now)
-        same = current.member.peer_address == record.member.peer_address
-        return same and now - first >= PACKET_EXPIRY_SECONDS
+        first_seen = self._first_seen.get((vm, current.member.incarnation), now)
+        same_address = current.member.peer_address == record.member.peer_address
+        return same_address and now - first_seen >= PACKET_EXPIRY_SECONDS
 
     def address_of(self, vm: str) -> str | None:
-        """Return where a router listens for its peers."""
+        """Return a router's address for peers, None if it is unknown."""
         if vm.startswith("@"):
             return vm[1:]
         record = self._view.current(vm)
@@ -346,8 +346,8 @@
             and own.leaving
             and own.peer_address == self._own.peer_address
         ):
-            # the process continues to serve its requests, and drains when it
-            # receives the signal to stop
+            # the platform decides that this router leaves; the process continues
+            # to serve its requests, and drains when it receives the signal to stop
             self.announce_leaving()
         if updates:
             self._forward(updates, [])
@@ -410,7 +410,8 @@
         for vm in set(self._unanswered_since) - known:
             del self._unanswered_since[vm]
         targets = set(self.neighbours()) | self._audit_targets()
-        # repeated, since a single frame may have been lost
+        # routers without a response get another heartbeat, since a single frame
+        # may have been lost
         targets |= set(self._unanswered_since)
         for vm in sorted(targets & known):
             self._unanswered_since.setdefault(vm, now)
@@ -469,10 +470,10 @@
             return False
         # the list lags and may still mean a predecessor with the same name and
         # address; a change seen during this incarnation applies to it
-        first = self._first_seen.get((member.vm, member.incarnation), now)
+        first_seen = self._first_seen.get((member.vm, member.incarnation), now)
         if old is not None and not old.leaving:
             return True
-        return new is not None and now - first > LIST_TRUST_SECONDS
+        return new is not None and now - first_seen > LIST_TRUST_SECONDS
 
     def _audit_targets(self) -> set[str]:
         # a router that failed together with all its neighbours would otherwise
@@ -670,8 +671,8 @@
             self._mesh.send(sender, self._gossip_message(corrections, []))
         if not updates:
             return
-        # a router that has just started receives all members in one message;
-        # the others know them already
+        # a router that has just started receives all members in one message,
+        # which the others know already
         if now - self._started > JOIN_SECONDS or len(updates) <= JOIN_FANOUT:
             self._forward(updates, [], sender)
         self._notify_callbacks()
