--- a/packages/router/src/teaselledge/process/liveness.py
+++ b/packages/router/src/teaselledge/process/liveness.py
@@ -54,7 +54,7 @@
     state: State
     since: float
 
-    def to_rumour(self) -> Rumour:
+    def to_report(self) -> Rumour:
         """Return the record as a member report for other routers."""
         member = self.member
         short = Rumour(
--- a/packages/router/src/teaselledge/process/membership.py
+++ b/packages/router/src/teaselledge/process/membership.py
@@ -185,7 +185,7 @@
             own.operator_address,
         )
 
-    def load_rumours(self, reports: Iterable[Rumour]) -> None:
+    def load_reports(self, reports: Iterable[Rumour]) -> None:
         """Merge member reports without forwarding them."""
         now = asyncio.get_running_loop().time()
         for report in reports:
@@ -339,7 +339,7 @@
         for record in list(self._view.live_records()):
             if self._is_listed_leaving(record, before, now):
                 marked = self._view.mark_leaving(record)
-                updates.append(marked.to_rumour())
+                updates.append(marked.to_report())
         own = self._listed.get(self._own.vm)
         if (
             own is not None
@@ -527,14 +527,14 @@
             2 * timeout_seconds, MAX_HEARTBEAT_TIMEOUT_SECONDS
         )
         suspected = self._view.set_state(record, State.SUSPECT, now)
-        self._forward([suspected.to_rumour()], [])
+        self._forward([suspected.to_report()], [])
 
     def _own_for_digest(self) -> Member:
         configured = min(1, self._version())
         return replace(self._own, leaving=self._leaving, version=configured)
 
     def _own_report(self) -> Rumour:
-        return MemberRecord(self.own, self._beat_number, State.ALIVE, 0.0).to_rumour()
+        return MemberRecord(self.own, self._beat_number, State.ALIVE, 0.0).to_report()
 
     def _own_beat(self, ask: bool) -> Beat:
         digest = self._view.digest(self._own_for_digest())
@@ -587,7 +587,7 @@
         if record is not None and record.state is State.DEAD:
             # the sender was cut off or paused; it refutes the report of its
             # death with a higher beat number
-            self._mesh.send(origin.vm, self._gossip_message([record.to_rumour()], []))
+            self._mesh.send(origin.vm, self._gossip_message([record.to_report()], []))
         if record is None:
             # the sender's first message was lost, or this router has restarted
             self._mesh.send(
@@ -603,7 +603,7 @@
                 self._timeout_seconds.pop(origin.vm, None)
         else:
             self._mesh.send(origin.vm, make_message("beat", self._own_beat(False)))
-        report = record.to_rumour()
+        report = record.to_report()
         report.beat, report.leaving = body.beat, body.leaving
         report.state = int(State.ALIVE)
         member = record.member
@@ -642,7 +642,7 @@
 
     def _send_all_reports(self, vm: str) -> None:
         reports = [self._own_report()]
-        reports += [record.to_rumour() for record in self._view.live_records()]
+        reports += [record.to_report() for record in self._view.live_records()]
         for start in range(0, len(reports), MAX_REPORTS_PER_MESSAGE):
             chunk = reports[start : start + MAX_REPORTS_PER_MESSAGE]
             self._mesh.send(vm, self._gossip_message(chunk, []))
@@ -666,7 +666,7 @@
             elif change is Change.STALE and report.state != State.ALIVE:
                 found = self._view.find(*key)
                 if found is not None:
-                    corrections.append(found.to_rumour())
+                    corrections.append(found.to_report())
         if corrections:
             self._mesh.send(sender, self._gossip_message(corrections, []))
         if not updates:
@@ -714,7 +714,7 @@
                 and record.state is not State.DEAD
             ):
                 dead = self._view.set_state(record, State.DEAD, now)
-                marked_dead.append(dead.to_rumour())
+                marked_dead.append(dead.to_report())
         return marked_dead
 
     def _notify_callbacks(self) -> None:
--- a/packages/standins/src/teaselledge_standins/virtual/members.py
+++ b/packages/standins/src/teaselledge_standins/virtual/members.py
@@ -75,11 +75,11 @@
         """Let every router know every other, as after a long time together."""
         now = asyncio.get_running_loop().time()
         rumours = [
-            MemberRecord(m.own, 1, State.ALIVE, now).to_rumour()
+            MemberRecord(m.own, 1, State.ALIVE, now).to_report()
             for m in self.members.values()
         ]
         for vm, membership in self.members.items():
-            membership.load_rumours([rumour for rumour in rumours if rumour.vm != vm])
+            membership.load_reports([rumour for rumour in rumours if rumour.vm != vm])
 
     async def wait_until_converged(self, seconds: float = 60.0) -> None:
         """Wait until every router knows every other."""
