--- a/packages/router/src/teaselledge/process/enginefeed.py
+++ b/packages/router/src/teaselledge/process/enginefeed.py
@@ -102,7 +102,7 @@
         try:
             return TypeAdapter(FeedPage).validate_json(response.body)
         except ValidationError:
-            # without its feed the engine is placed by the dispatcher's own counts
+            # requests are then placed by the dispatcher's own counts alone
             return None
 
 
--- a/packages/router/src/teaselledge/process/ingress.py
+++ b/packages/router/src/teaselledge/process/ingress.py
@@ -40,7 +40,7 @@
 """Interval between checks whether a shard's dispatcher has changed."""
 
 REPLY_TIMEOUT_SECONDS = 2.5
-"""Time after which a dispatcher that has not answered a snapshot is avoided."""
+"""Time after which a dispatcher that has not replied to a snapshot is avoided."""
 
 FINAL_DIGEST_COUNT = 3
 """Digests sent to a dispatcher after the last request there has ended."""
@@ -328,7 +328,7 @@
             running.vm = vm
             moved.add(_Target(vm, slot.shard))
         held = self._held_requests()
-        for target in sorted(moved, key=lambda p: (p.vm, p.shard.zone)):
+        for target in sorted(moved, key=lambda t: (t.vm, t.shard.zone)):
             self._send_full(target, held.get(target, _HeldRequests()))
 
     def send_digests(self) -> None:
@@ -350,10 +350,10 @@
             self._send(target, "snapshot", body)
         for vm in self._placement.suspects:
             # a reply shows that the dispatcher can be reached again
-            service = next(iter(held), None)
-            if service is not None:
+            any_target = next(iter(held), None)
+            if any_target is not None:
                 body = Snapshot([], [], 0, 0, False)
-                self._send(_Target(vm, service.shard), "snapshot", body)
+                self._send(_Target(vm, any_target.shard), "snapshot", body)
 
     def _refusal(self, version: Version, slot_request: SlotRequest) -> Fault | None:
         entry = version.document.organisations.get(slot_request.organisation)
@@ -417,7 +417,7 @@
         return found.vm if found else ""
 
     def _suspect_silent(self, now: float) -> None:
-        """Avoid dispatchers that do not answer.
+        """Avoid dispatchers that do not respond.
 
         After a network split in one direction, heartbeats from a dispatcher
         still arrive, but it receives nothing from this ingress. Requests would
