--- a/packages/fleet/src/teaselledge_fleet/process/relaying.py
+++ b/packages/fleet/src/teaselledge_fleet/process/forwarding.py
@@ -6,15 +6,21 @@
 from dataclasses import dataclass
 
 from teaselledge_fleet.process.members import Member
-from teaselledge_fleet.process.work import key_of
+from teaselledge_fleet.process.work import name_hash
 
-__all__ = ["CROWDED", "Delivery", "SeenMessages", "deliveries", "relay_order"]
+__all__ = [
+    "MAX_FORWARDER_UTILISATION",
+    "Delivery",
+    "SeenMessages",
+    "plan_deliveries",
+    "forwarding_order",
+]
 
 FANOUT = 2
 """Routers of the own region to which one router sends a message. 32 routers are then
 reached in five steps, and no router sends more than two copies."""
 
-CROWDED = 0.7
+MAX_FORWARDER_UTILISATION = 0.7
 """Part of its processor time beyond which a router is put last, where it has nobody to
 pass the message on to."""
 
@@ -32,20 +38,20 @@
 
     Attributes
     ----------
-    member : Member
+    recipient : Member
         Who gets it.
-    pass_to : list of int
+    forward_to : list of int
         Numbers of the routers to which that one passes it on.
-    introduce : tuple of Member
+    unknown_members : tuple of Member
         Those of them that it may not know.
     """
 
-    member: Member
-    pass_to: list[int]
-    introduce: tuple[Member, ...] = ()
+    recipient: Member
+    forward_to: list[int]
+    unknown_members: tuple[Member, ...] = ()
 
 
-def relay_order(members: Iterable[Member]) -> list[int]:
+def forwarding_order(members: Iterable[Member]) -> list[int]:
     """Return the numbers of routers in the order in which they are to be reached.
 
     Those in the first half pass the message on. The order is another one each time: a
@@ -53,11 +59,11 @@
     """
     shuffled = list(members)
     random.shuffle(shuffled)
-    shuffled.sort(key=lambda member: member.busy > CROWDED)
-    return [key_of(member.vm) for member in shuffled]
+    shuffled.sort(key=lambda member: member.utilisation > MAX_FORWARDER_UTILISATION)
+    return [name_hash(member.vm) for member in shuffled]
 
 
-def deliveries(
+def plan_deliveries(
     keys: Sequence[int], region: str, find: Callable[[int], Member | None]
 ) -> list[Delivery]:
     """Return the copies by which a message reaches all routers of some numbers.
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -2,14 +2,17 @@
 
 import asyncio
 
-from teaselledge_fleet.process.admission import Admission, Question
+from teaselledge_fleet.process.admission import AdmissionController, AdmissionQuery
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_fleet.process.reading import BUSY_PART, FIRST_SECONDS
-from teaselledge_fleet.process.waiting import WAIT_PART
-from teaselledge_fleet.process.work import Work, key_of
-from teaselledge_fleet.request.call import Call, Prompt, PromptPart
+from teaselledge_fleet.process.prefill import (
+    INITIAL_OVERHEAD_SECONDS,
+    PREFILL_TIME_FRACTION,
+)
+from teaselledge_fleet.process.waiting import WAIT_FRACTION
+from teaselledge_fleet.process.work import EndpointLoad, name_hash
+from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptPart
 from teaselledge_fleet.request.context import Outcome, RequestContext
-from teaselledge_fleet.version.routes import Organisation, Repeat
+from teaselledge_fleet.version.routes import Organisation, RetryPolicy
 from teaselledge_standins.routes import make_route
 from teaselledge_standins.spreadfleet import SpreadFleet, spread_fleet
 from teaselledge_standins.statestore import decode_number, store_of
@@ -26,20 +29,24 @@
     """Return a prompt that an engine reads in 45 ms."""
     parts = (PromptPart("p1", 13_000), PromptPart(f"own{number}", 3_700))
     prompt = Prompt(16_700, 120, parts)
-    call = Call(f"q{number}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt)
-    route = make_route(Repeat.NEVER, stream=True, prompt=True, objective=OBJECTIVE)
+    call = CallerRequest(
+        f"q{number}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt
+    )
+    route = make_route(
+        RetryPolicy.NEVER, stream=True, carries_prompt=True, latency_objective=OBJECTIVE
+    )
     now = asyncio.get_running_loop().time()
     owner = Organisation("cellar", ())
     return RequestContext(call, b"", route, "books", owner, now, now + 8.0)
 
 
-def question(sender: int, sequence: int, running: int = 0, **more) -> Question:
-    return Question(
+def question(sender: int, sequence: int, running: int = 0, **more) -> AdmissionQuery:
+    return AdmissionQuery(
         sender,
         sequence,
         1,
         SLOTS,
-        Work(running, 0.1 * running),
+        EndpointLoad(running, 0.1 * running),
         more.get("added", 0.1),
         more.get("most_wait", 0.4),
     )
@@ -61,20 +68,20 @@
 
 async def test_requests_are_counted_one_after_another():
     """Two routers ask within the time of a pulse; the second must see the first."""
-    admission = Admission()
-    assert admission.ask(question(1, 1, added=0.4)).admitted
-    second = admission.ask(question(2, 1))
+    admission = AdmissionController()
+    assert admission.decide(question(1, 1, added=0.4)).admitted
+    second = admission.decide(question(2, 1))
     assert not second.admitted
-    assert second.others == Work(1, 0.4)
-    assert admission.total(1) == Work(1, 0.4)
+    assert second.remote_load == EndpointLoad(1, 0.4)
+    assert admission.total_load(1) == EndpointLoad(1, 0.4)
 
 
 async def test_what_was_not_admitted_does_not_count():
-    admission = Admission()
-    admission.ask(question(1, 1, added=0.4))
-    admission.ask(question(2, 1))
-    admission.report(1, 2, {1: Work(1, 0.0)})
-    assert admission.ask(question(2, 2)).admitted
+    admission = AdmissionController()
+    admission.decide(question(1, 1, added=0.4))
+    admission.decide(question(2, 1))
+    admission.record_load(1, 2, {1: EndpointLoad(1, 0.0)})
+    assert admission.decide(question(2, 2)).admitted
 
 
 async def test_requests_asked_for_together_count_once_each():
@@ -82,10 +89,10 @@
 
     Those must not stand in the way of the next ones.
     """
-    admission = Admission()
-    answers = [admission.ask(question(1, n, running=n)) for n in range(10)]
+    admission = AdmissionController()
+    answers = [admission.decide(question(1, n, running=n)) for n in range(10)]
     assert sum(answer.admitted for answer in answers) == 4
-    assert admission.total(1).running == 4
+    assert admission.total_load(1).in_flight == 4
 
 
 async def test_an_engine_that_is_slower_than_believed_shows_in_the_reports():
@@ -94,12 +101,12 @@
     By the time that has gone by it would have read everything, and callers would go on
     being sent to it.
     """
-    admission = Admission()
+    admission = AdmissionController()
     for sequence in range(8):
-        admission.ask(question(1, sequence, running=sequence, most_wait=9.0))
+        admission.decide(question(1, sequence, running=sequence, most_wait=9.0))
     await asyncio.sleep(1.0)
-    admission.report(1, 8, {1: Work(8, 0.8)})
-    assert not admission.ask(question(2, 1)).admitted
+    admission.record_load(1, 8, {1: EndpointLoad(8, 0.8)})
+    assert not admission.decide(question(2, 1)).admitted
 
 
 async def test_a_request_whose_time_to_wait_is_just_over_is_refused():
@@ -111,32 +118,32 @@
     async with spread_fleet(store_of(ENGINES[:1]), SMALL, decode_number) as fleet:
         await asyncio.sleep(5)
         engine = ENGINES[0]
-        name = fleet.routers[0].asking._coordinators.of(engine).vm
+        name = fleet.routers[0].asking._coordinators.for_endpoint(engine).vm
         coordinator = next(r for r in fleet.routers if r.vm == name)
-        coordinator.work.add(engine.id, 5, 1.0)
-        coordinator.asking.report([engine.id])
+        coordinator.work.add_local(engine.id, 5, 1.0)
+        coordinator.asking.report_load([engine.id])
         asker = next(r for r in fleet.routers if r.vm != name)
         for left in (-0.0015, -0.001, 0.0):
-            answer = await asker.asking.ask(engine, 0.05, left)
+            answer = await asker.asking.request_admission(engine, 0.05, left)
             assert not answer.admitted
 
 
 async def test_a_report_that_was_overtaken_changes_nothing():
     """Datagrams arrive in another order; work that ended must not come back."""
-    admission = Admission()
-    admission.report(1, 3, {1: Work(0, 0.0)})
-    admission.report(1, 2, {1: Work(5, 0.5)})
-    assert admission.total(1) == Work()
+    admission = AdmissionController()
+    admission.record_load(1, 3, {1: EndpointLoad(0, 0.0)})
+    admission.record_load(1, 2, {1: EndpointLoad(5, 0.5)})
+    assert admission.total_load(1) == EndpointLoad()
 
 
 async def test_the_work_of_a_dead_router_is_forgotten():
     """A router dies with requests under way; nobody tells that they have ended."""
-    admission = Admission()
-    admission.report(1, 1, {1: Work(SLOTS, 2.0)})
-    assert not admission.ask(question(2, 1)).admitted
+    admission = AdmissionController()
+    admission.record_load(1, 1, {1: EndpointLoad(SLOTS, 2.0)})
+    assert not admission.decide(question(2, 1)).admitted
     await asyncio.sleep(2)
-    assert admission.ask(question(2, 2)).admitted
-    assert admission.totals() == {1: Work(1, 0.1)}
+    assert admission.decide(question(2, 2)).admitted
+    assert admission.total_loads() == {1: EndpointLoad(1, 0.1)}
 
 
 async def test_many_routers_do_not_overfill_an_engine():
@@ -151,20 +158,24 @@
             await asyncio.sleep(6)
             if alone:
                 for router in fleet.routers:
-                    router.placer.ask_with(nobody)
+                    router.placer.set_admission_check(nobody)
             # the engine keeps the part already
-            fleet.routers[0].placer._locator.tell("p1", ENGINES[0], ENGINES[0])
+            fleet.routers[0].placer._locator.report_use("p1", ENGINES[0], ENGINES[0])
             await asyncio.sleep(0.1)
             sent = await burst(fleet, 2)
             await asyncio.sleep(0.2)
-            reading = sum(router.work.own("e0").reading for router in fleet.routers)
+            reading = sum(
+                router.work.local("e0").prefill_seconds for router in fleet.routers
+            )
             if alone:
                 assert sent == 2 * LARGE
                 continue
             assert 4 <= sent <= 8
             last = reading / sent
-            assert (reading - last) / BUSY_PART <= WAIT_PART * OBJECTIVE
-            assert reading / BUSY_PART + FIRST_SECONDS <= OBJECTIVE
+            assert (reading - last) / PREFILL_TIME_FRACTION <= WAIT_FRACTION * OBJECTIVE
+            assert (
+                reading / PREFILL_TIME_FRACTION + INITIAL_OVERHEAD_SECONDS <= OBJECTIVE
+            )
 
 
 async def nobody(endpoint: Endpoint, added: float, most_wait: float) -> None:
@@ -179,7 +190,9 @@
     async with spread_fleet(store_of(ENGINES[:1]), SMALL, decode_number) as fleet:
         await asyncio.sleep(5)
         engine = ENGINES[0]
-        coordinators = {r.asking._coordinators.of(engine).vm for r in fleet.routers}
+        coordinators = {
+            r.asking._coordinators.for_endpoint(engine).vm for r in fleet.routers
+        }
         assert len(coordinators) == 1
         first = coordinators.pop()
         next(r for r in fleet.routers if r.vm == first).kill()
@@ -192,7 +205,7 @@
         # two waits in vain, and three times the answers of two routers 40 ms away
         assert loop.time() - started < 2 * 0.1 + 3 * 2 * 0.05
         await asyncio.sleep(1.5)
-        coordinators = {r.asking._coordinators.of(engine).vm for r in living}
+        coordinators = {r.asking._coordinators.for_endpoint(engine).vm for r in living}
         assert len(coordinators) == 1
         assert first not in coordinators
 
@@ -211,8 +224,8 @@
             assert loop.time() - started <= 0.31
             context = make_context(number)
             engine = placed.ok.endpoint
-            lonely.placer.began(context, engine)
-            lonely.placer.ended(context, engine, Outcome.WHOLE)
+            lonely.placer.on_response_started(context, engine)
+            lonely.placer.on_attempt_ended(context, engine, Outcome.WHOLE)
 
 
 async def test_a_caller_that_leaves_while_asking_leaves_nothing_behind():
@@ -226,10 +239,16 @@
             if task.done():
                 # it admits there itself and asks nobody: its request has begun
                 sent = task.result().ok.endpoint
-                router.placer.ended(context, sent, Outcome.ABANDONED)
+                router.placer.on_attempt_ended(context, sent, Outcome.ABANDONED)
             task.cancel()
         await asyncio.sleep(1.0)
         for engine in ENGINES:
-            assert all(r.work.own(engine.id) == Work() for r in fleet.routers if r.work)
-            key = key_of(engine.id)
-            assert all(r.work.kept(key).running == 0 for r in fleet.routers)
+            assert all(
+                r.work.local(engine.id) == EndpointLoad()
+                for r in fleet.routers
+                if r.work
+            )
+            key = name_hash(engine.id)
+            assert all(
+                r.work.coordinated_load(key).in_flight == 0 for r in fleet.routers
+            )
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -4,16 +4,16 @@
 from dataclasses import dataclass, field
 
 from teaselledge_fleet.faults import FaultKind
-from teaselledge_fleet.process.admission import Answer
-from teaselledge_fleet.process.endpoints import Endpoint, EndpointView, Entry
-from teaselledge_fleet.process.parts import ranked
+from teaselledge_fleet.process.admission import AdmissionDecision
+from teaselledge_fleet.process.endpoints import Endpoint, EndpointEntry, EndpointView
 from teaselledge_fleet.process.placing import FleetPlacer
+from teaselledge_fleet.process.prefixes import rendezvous_order
 from teaselledge_fleet.process.revision import Revision
-from teaselledge_fleet.process.shares import Use
-from teaselledge_fleet.process.work import Work, key_of
-from teaselledge_fleet.request.call import Call, Prompt, PromptPart
+from teaselledge_fleet.process.shares import TokenUsage
+from teaselledge_fleet.process.work import EndpointLoad, name_hash
+from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptPart
 from teaselledge_fleet.request.context import Outcome, RequestContext
-from teaselledge_fleet.version.routes import Organisation, Repeat
+from teaselledge_fleet.version.routes import Organisation, RetryPolicy
 from teaselledge_standins.routes import make_route
 from tornado.httputil import HTTPHeaders
 
@@ -33,7 +33,7 @@
     asked: int = 0
 
     def __post_init__(self) -> None:
-        self.view.merge(Entry(e.id, Revision(0, 1), e) for e in ENGINES)
+        self.view.merge(EndpointEntry(e.id, Revision(0, 1), e) for e in ENGINES)
         self.placer = FleetPlacer(self.view, "north", ZONES)
 
     def context(self, part: str = "p1", shared: int = 13_000, own: int = 3_700, **more):
@@ -41,16 +41,22 @@
         self.asked += 1
         parts = (PromptPart(part, shared), PromptPart(f"own{self.asked}", own))
         prompt = Prompt(shared + own, 120, parts)
-        call = Call(f"q{self.asked}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt)
+        call = CallerRequest(
+            f"q{self.asked}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt
+        )
         now = asyncio.get_running_loop().time()
-        route = make_route(Repeat.NEVER, stream=True, prompt=True, objective=0.8)
+        route = make_route(
+            RetryPolicy.NEVER, stream=True, carries_prompt=True, latency_objective=0.8
+        )
         owner = Organisation(more.get("owner", "cellar"), ())
         body = b"x" * more.get("size", 17_000)
         return RequestContext(call, body, route, "books", owner, now, now + 8.0)
 
     def fill(self, engine: str, reading: float, running: int = 1) -> None:
         """Let another router tell of work at an engine."""
-        self.placer.work.hear("r2", {key_of(engine): Work(running, reading)})
+        self.placer.load.update_source(
+            "r2", {name_hash(engine): EndpointLoad(running, reading)}
+        )
 
 
 async def placed(desk: Desk, context: RequestContext):
@@ -66,8 +72,8 @@
         for _ in range(5):
             context = desk.context(part)
             chosen.add(await placed(desk, context))
-            desk.placer.began(context, desk.view.get(next(iter(chosen))))
-        assert chosen == {ranked(part, ENGINES)[0].id}
+            desk.placer.on_response_started(context, desk.view.get(next(iter(chosen))))
+        assert chosen == {rendezvous_order(part, ENGINES)[0].id}
 
 
 async def test_another_router_chooses_the_same_engine():
@@ -81,16 +87,16 @@
 
 async def test_a_part_stays_when_another_engine_goes():
     desk = Desk()
-    home = ranked("p1", ENGINES)[0].id
-    other = ranked("p1", ENGINES)[1].id
-    desk.view.merge([Entry(other, Revision(0, 2), None)])
+    home = rendezvous_order("p1", ENGINES)[0].id
+    other = rendezvous_order("p1", ENGINES)[1].id
+    desk.view.merge([EndpointEntry(other, Revision(0, 2), None)])
     assert await placed(desk, desk.context("p1")) == home
 
 
 async def test_a_new_first_choice_copies_the_part_from_the_old_one():
     """The engine that keeps a part leaves; the next one need not read it anew."""
     desk = Desk()
-    home, second = ranked("p1", ENGINES)[:2]
+    home, second = rendezvous_order("p1", ENGINES)[:2]
     result = await desk.placer.place(desk.context("p1"))
     assert result.ok.endpoint == home
     assert result.ok.fetch_from == second.address
@@ -105,7 +111,9 @@
     desk = Desk()
     for engine in ENGINES:
         desk.fill(engine.id, 0.0)
-    desk.placer.work.hear("r2", {key_of(e.id): Work(5, 0.6) for e in ENGINES})
+    desk.placer.load.update_source(
+        "r2", {name_hash(e.id): EndpointLoad(5, 0.6) for e in ENGINES}
+    )
     refused = await placed(desk, desk.context())
     assert refused.kind is FaultKind.OVER_CAPACITY
     assert 0 < refused.retry_after < 2
@@ -113,7 +121,7 @@
 
 async def test_a_short_prompt_leaves_a_full_engine():
     desk = Desk()
-    home = ranked("chat", ENGINES)[0].id
+    home = rendezvous_order("chat", ENGINES)[0].id
     desk.fill(home, 0.05, running=47)
     context = desk.context("chat", shared=350, own=1_100, size=1_500)
     assert await placed(desk, context) != home
@@ -122,14 +130,16 @@
 async def test_over_share_is_refused_before_the_others():
     """One organisation floods the fleet; the others must still find room."""
     desk = Desk()
-    desk.placer.shares.hear(
+    desk.placer.shares.update_source(
         "r2",
         {
-            key_of("flood"): Use(900_000, 500_000),
-            key_of("cellar"): Use(300_000, 100_000),
+            name_hash("flood"): TokenUsage(900_000, 500_000),
+            name_hash("cellar"): TokenUsage(300_000, 100_000),
         },
     )
-    desk.placer.work.hear("r2", {key_of(e.id): Work(5, 0.2) for e in ENGINES})
+    desk.placer.load.update_source(
+        "r2", {name_hash(e.id): EndpointLoad(5, 0.2) for e in ENGINES}
+    )
     flood = await placed(desk, desk.context(owner="flood"))
     assert flood.kind is FaultKind.OVER_SHARE
     assert isinstance(await placed(desk, desk.context(owner="cellar")), str)
@@ -142,14 +152,18 @@
     another one that asked for more than that was refused and got 0.7 million.
     """
     desk = Desk()
-    desk.placer.shares.promise(100_000)
+    desk.placer.shares.set_guaranteed_rate(100_000)
     uses = {
-        "flood": Use(3_000_000, 1_200_000),
-        "other": Use(1_500_000, 400_000),
-        "cellar": Use(300_000, 300_000),
+        "flood": TokenUsage(3_000_000, 1_200_000),
+        "other": TokenUsage(1_500_000, 400_000),
+        "cellar": TokenUsage(300_000, 300_000),
     }
-    desk.placer.shares.hear("r2", {key_of(name): use for name, use in uses.items()})
-    desk.placer.work.hear("r2", {key_of(e.id): Work(5, 0.07) for e in ENGINES})
+    desk.placer.shares.update_source(
+        "r2", {name_hash(name): use for name, use in uses.items()}
+    )
+    desk.placer.load.update_source(
+        "r2", {name_hash(e.id): EndpointLoad(5, 0.07) for e in ENGINES}
+    )
     flood = await placed(desk, desk.context(owner="flood"))
     assert not isinstance(flood, str)
     assert flood.kind is FaultKind.OVER_SHARE
@@ -158,14 +172,18 @@
 
 async def test_nobody_is_refused_while_engines_have_room():
     desk = Desk()
-    desk.placer.shares.hear("r2", {key_of("flood"): Use(900_000, 500_000)})
+    desk.placer.shares.update_source(
+        "r2", {name_hash("flood"): TokenUsage(900_000, 500_000)}
+    )
     assert isinstance(await placed(desk, desk.context(owner="flood")), str)
 
 
 async def test_work_of_a_silent_router_is_forgotten():
     """A router is cut off; what it had told must not block engines for ever."""
     desk = Desk()
-    desk.placer.work.hear("r2", {key_of(e.id): Work(48, 5.0) for e in ENGINES})
+    desk.placer.load.update_source(
+        "r2", {name_hash(e.id): EndpointLoad(48, 5.0) for e in ENGINES}
+    )
     assert not isinstance(await placed(desk, desk.context()), str)
     await asyncio.sleep(2.5)
     assert isinstance(await placed(desk, desk.context()), str)
@@ -176,18 +194,18 @@
     for outcome in Outcome:
         context = desk.context()
         name = await placed(desk, context)
-        desk.placer.ended(context, desk.view.get(name), outcome)
+        desk.placer.on_attempt_ended(context, desk.view.get(name), outcome)
         await asyncio.sleep(60)
     for engine in ENGINES:
-        total = desk.placer.work.total(engine.id)
-        assert (total.running, round(total.reading, 9)) == (0, 0)
+        total = desk.placer.load.total(engine.id)
+        assert (total.in_flight, round(total.prefill_seconds, 9)) == (0, 0)
 
 
 async def test_an_engine_that_can_not_be_reached_is_left_for_a_while():
     desk = Desk()
     context = desk.context("p1")
     home = await placed(desk, context)
-    desk.placer.ended(context, desk.view.get(home), Outcome.UNSENT)
+    desk.placer.on_attempt_ended(context, desk.view.get(home), Outcome.UNSENT)
     assert await placed(desk, desk.context("p1")) != home
     await asyncio.sleep(5)
     assert await placed(desk, desk.context("p1")) == home
@@ -204,7 +222,7 @@
         """Answer what was filled in."""
         return self.holders
 
-    def tell(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
+    def report_use(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
         """Note what is told."""
         self.told.append(endpoint.id)
 
@@ -216,10 +234,10 @@
     part was read again: the longest prompts came late.
     """
     desk = Desk()
-    third = ranked("p1", ENGINES)[2]
-    directory = Directory([key_of(third.id)])
-    desk.placer.locate_with(directory)
-    desk.placer.work.hear("r2", {key_of(third.id): Work(5, 0.35)})
+    third = rendezvous_order("p1", ENGINES)[2]
+    directory = Directory([name_hash(third.id)])
+    desk.placer.set_locator(directory)
+    desk.placer.load.update_source("r2", {name_hash(third.id): EndpointLoad(5, 0.35)})
     result = await desk.placer.place(desk.context("p1"))
     assert result.ok.endpoint != third
     assert result.ok.fetch_from == third.address
@@ -228,37 +246,41 @@
 
 async def test_an_engine_that_keeps_a_part_goes_before_its_first_choice():
     desk = Desk()
-    third = ranked("p1", ENGINES)[2]
-    desk.placer.locate_with(Directory([key_of(third.id)]))
+    third = rendezvous_order("p1", ENGINES)[2]
+    desk.placer.set_locator(Directory([name_hash(third.id)]))
     assert await placed(desk, desk.context("p1")) == third.id
 
 
 async def test_a_part_that_nobody_keeps_is_read_whole_by_its_first_choice():
     """The part was dropped everywhere; the engine is behind by its whole length."""
     desk = Desk()
-    desk.placer.locate_with(Directory([]))
+    desk.placer.set_locator(Directory([]))
     context = desk.context("p1", shared=13_000, own=3_700)
-    assert await placed(desk, context) == ranked("p1", ENGINES)[0].id
+    assert await placed(desk, context) == rendezvous_order("p1", ENGINES)[0].id
     kept = desk.context("p1", shared=13_000, own=3_700)
-    desk.placer.locate_with(Directory([key_of(ranked("p1", ENGINES)[0].id)]))
+    desk.placer.set_locator(
+        Directory([name_hash(rendezvous_order("p1", ENGINES)[0].id)])
+    )
     await placed(desk, kept)
-    assert context.reading > 2 * kept.reading
+    assert context.prefill_seconds > 2 * kept.prefill_seconds
 
 
 async def test_without_a_directory_the_first_choice_is_taken_to_keep_a_part():
     """The router that keeps the directory is cut off; requests go on as before."""
     desk = Desk()
-    desk.placer.locate_with(Directory(None))
-    assert await placed(desk, desk.context("p1")) == ranked("p1", ENGINES)[0].id
+    desk.placer.set_locator(Directory(None))
+    assert (
+        await placed(desk, desk.context("p1")) == rendezvous_order("p1", ENGINES)[0].id
+    )
 
 
 async def test_short_parts_are_not_asked_for():
     """Asking for each short prompt would cost routers more than it saves engines."""
     desk = Desk()
-    directory = Directory([key_of(ranked("p1", ENGINES)[2].id)])
-    desk.placer.locate_with(directory)
+    directory = Directory([name_hash(rendezvous_order("p1", ENGINES)[2].id)])
+    desk.placer.set_locator(directory)
     context = desk.context("p1", shared=300, own=600, size=900)
-    assert await placed(desk, context) == ranked("p1", ENGINES)[0].id
+    assert await placed(desk, context) == rendezvous_order("p1", ENGINES)[0].id
     assert directory.told == []
 
 
@@ -267,8 +289,8 @@
     desk = Desk()
     for owner, shared in (("cellar", 13_000), ("flood", 1_000)):
         await placed(desk, desk.context("p1", shared=shared, own=3_700, owner=owner))
-    uses = desk.placer.shares.own()
-    assert uses[key_of("cellar")] == uses[key_of("flood")]
+    uses = desk.placer.shares.local()
+    assert uses[name_hash("cellar")] == uses[name_hash("flood")]
 
 
 async def test_nobody_is_refused_while_another_engine_is_idle():
@@ -278,8 +300,8 @@
     best again and again, and callers were refused on a quiet day.
     """
     desk = Desk()
-    home = ranked("p1", ENGINES)[0].id
-    desk.placer.locate_with(Directory([key_of(home)]))
+    home = rendezvous_order("p1", ENGINES)[0].id
+    desk.placer.set_locator(Directory([name_hash(home)]))
     desk.fill(home, 0.45, running=3)
     placed_at = await placed(desk, desk.context("p1", shared=30_000))
     assert isinstance(placed_at, str)
@@ -293,10 +315,12 @@
 
     async def ask(endpoint, added, most_wait):
         asked.append(endpoint.id)
-        return Answer(False, Work(5, 0.6))
+        return AdmissionDecision(False, EndpointLoad(5, 0.6))
 
-    desk.placer.ask_with(ask)
-    desk.placer.work.hear("r2", {key_of(e.id): Work(5, 0.6) for e in ENGINES})
+    desk.placer.set_admission_check(ask)
+    desk.placer.load.update_source(
+        "r2", {name_hash(e.id): EndpointLoad(5, 0.6) for e in ENGINES}
+    )
     refused = await placed(desk, desk.context())
     assert refused.kind is FaultKind.OVER_CAPACITY
     assert len(asked) == 1
@@ -308,9 +332,9 @@
         context = desk.context(own=12_000)
         engine = desk.view.get(await placed(desk, context))
         await asyncio.sleep(3.0)
-        desk.placer.began(context, engine)
-        desk.placer.ended(context, engine, Outcome.WHOLE)
-    return desk.placer._chooser.reading.factor("books")
+        desk.placer.on_response_started(context, engine)
+        desk.placer.on_attempt_ended(context, engine, Outcome.WHOLE)
+    return desk.placer._chooser.prefill.slowdown("books")
 
 
 async def test_own_delay_is_not_taken_for_slow_engines():
@@ -320,7 +344,7 @@
     their share at engines with nothing to do.
     """
     desk = Desk()
-    desk.placer.learn_if(lambda at: False)
+    desk.placer.set_sample_filter(lambda at: False)
     assert await answer_late(desk, 100) == 1.0
-    desk.placer.learn_if(lambda at: True)
+    desk.placer.set_sample_filter(lambda at: True)
     assert await answer_late(desk, 20) > 1.0
--- a/packages/standins/src/teaselledge_standins/fleetrouters.py
+++ b/packages/standins/src/teaselledge_standins/fleetrouters.py
@@ -8,8 +8,8 @@
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.router import FleetRouter
 from teaselledge_fleet.process.settings import FleetSettings, Listeners, Place
-from teaselledge_fleet.request.owndialect import OwnDialect
-from teaselledge_fleet.version.routes import Routing
+from teaselledge_fleet.request.defaultcodec import DefaultHeaderCodec
+from teaselledge_fleet.version.routes import RoutingConfiguration
 
 from teaselledge_standins.processes import free_ports
 from teaselledge_standins.statestore import StoreClient, store_of
@@ -24,11 +24,11 @@
 
     addresses_path = "/addresses"
 
-    def place_asked(self, arguments: dict[str, str]) -> tuple[str, str]:
+    def caller_location(self, arguments: dict[str, str]) -> tuple[str, str]:
         """Return the only zone."""
         return ZONE, REGION
 
-    def addresses(self, addresses: list[str], seconds: float) -> Page:
+    def addresses_page(self, addresses: list[str], seconds: float) -> Page:
         """Return the page that names routers."""
         return Page(200, "\n".join(addresses).encode())
 
@@ -37,17 +37,17 @@
 class UsedUp:
     """Stands for the busyness of a router that has no processor time left."""
 
-    late: bool = False
+    recently_blocked: bool = False
     overloaded: bool = True
-    busy: float = 1.0
-    crowded: float = 1.0
-    loop_used: float = 0.0
+    utilisation: float = 1.0
+    rebalance_fraction: float = 1.0
+    loop_utilisation: float = 0.0
 
-    def prompt_since(self, at: float) -> bool:
+    def responsive_since(self, at: float) -> bool:
         """Return that it is late all the time."""
         return False
 
-    def take_longest_turn(self) -> float:
+    def pop_longest_iteration(self) -> float:
         """Return that turns are short: the limit of connections is not wanted here."""
         return 0.0
 
@@ -82,7 +82,7 @@
 
 @asynccontextmanager
 async def running_routers(
-    count: int, routing: Routing, endpoints: Iterable[Endpoint]
+    count: int, routing: RoutingConfiguration, endpoints: Iterable[Endpoint]
 ) -> AsyncIterator[list[RunningRouter]]:
     """Run so many routers of one zone."""
     store = store_of(endpoints)
@@ -93,7 +93,7 @@
         router = FleetRouter(
             settings,
             StoreClient(store, settings.place.vm),
-            OwnDialect(),
+            DefaultHeaderCodec(),
             LocalPages(),
             lambda data: routing,
         )
