--- a/packages/router/src/teaselledge/process/tls.py
+++ b/packages/router/src/teaselledge/process/tls.py
@@ -69,8 +69,8 @@
     if listener.tls is not None or ip_address(listener.host).is_loopback:
         return False
     _log.warning(
-        f"The {part} listener on {listener.host} has no TLS: traffic can be read and "
-        "forged by anyone on its network."
+        f"The {part} listener on {listener.host} has no TLS: anyone who can reach it "
+        "can read and forge its traffic."
     )
     return True
 
