--- a/packages/router/src/teaselledge/request/orderqueries.py
+++ b/packages/router/src/teaselledge/request/orderqueries.py
@@ -64,7 +64,7 @@
     """The record changed after it was read; read it again."""
 
     STORE = "store"
-    """The table service failed, so the write may have taken effect; read it again."""
+    """The table service failed; a write may have taken effect, so read it again."""
 
 
 @dataclass(frozen=True)
--- a/packages/router/src/teaselledge/request/orderrun.py
+++ b/packages/router/src/teaselledge/request/orderrun.py
@@ -51,13 +51,13 @@
 
 MIN_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 1.0
-"""Delays between attempts at a store call double from the first to the second."""
+"""Delays between attempts at a store call, doubled up to the maximum."""
 
 MAX_LATE_RESPONSE_SECONDS = 600.0
 """How long an endpoint may still respond after the caller's deadline."""
 
 OVERDUE_SECONDS = 5.0
-"""Wall-clock time past the deadline after which nobody waits for a started order."""
+"""Wall-clock time past a started order's deadline until no other attempt waits."""
 
 MAX_CONCURRENT_RELEASES = 8
 """Attempts of one router that release their record concurrently."""
@@ -154,7 +154,7 @@
     def detach_caller(self) -> bool:
         """Detach the caller; return whether the attempt is to be cancelled.
 
-        It is if nothing was sent; otherwise it continues without the caller.
+        An attempt that has sent the order continues without the caller.
         """
         self._relay.abort()
         self._abandoned = not self._sent
--- a/packages/router/src/teaselledge/request/slot.py
+++ b/packages/router/src/teaselledge/request/slot.py
@@ -1,4 +1,4 @@
-"""Waiting for a slot in a task, with the slot released unless it is used."""
+"""A wait for a slot that can be cancelled."""
 
 import asyncio
 
