--- a/bench/orders.py
+++ b/bench/orders.py
@@ -143,9 +143,11 @@
 
 def _equip(fleet: VirtualFleet, vm: str, pace: type[ClaimTiming]) -> CountingJournal:
     orders = fleet.nodes[vm].orders
-    old = orders.tools.journal
+    old = orders.dependencies.journal
     journal = CountingJournal(old.tables, old.objects, NullMetrics(), old.now)
-    orders.tools = replace(orders.tools, journal=journal, claim_timing=pace())
+    orders.dependencies = replace(
+        orders.dependencies, journal=journal, claim_timing=pace()
+    )
     return journal
 
 
--- a/packages/router/src/teaselledge/request/forward.py
+++ b/packages/router/src/teaselledge/request/forward.py
@@ -19,7 +19,7 @@
 from teaselledge.request.cost import Meter, get_meter_by_name
 from teaselledge.request.exchange import is_mismatched_response
 from teaselledge.request.order import OrderExecutor, as_unverified
-from teaselledge.request.prefix import PREFIX_HEADER, prefix_of
+from teaselledge.request.prefix import PREFIX_HEADER, prefix_hash
 from teaselledge.request.resume import resumes_at, with_resume_header
 from teaselledge.request.retry import (
     MAX_ATTEMPTS,
@@ -127,7 +127,7 @@
         """
         if not request.kind_entry.repeatable:
             return await self.orders.run(request, sink)
-        progress = _RequestProgress(request, sink, prefix=prefix_of(request))
+        progress = _RequestProgress(request, sink, prefix=prefix_hash(request))
         self._budget(request.service).deposit()
         while True:
             acquired = await self._ingress.acquire(progress.slot_request())
--- a/packages/router/src/teaselledge/request/order.py
+++ b/packages/router/src/teaselledge/request/order.py
@@ -52,7 +52,7 @@
 
     Attributes
     ----------
-    tools : OrderDependencies
+    dependencies : OrderDependencies
         Dependencies shared by the orders.
     """
 
@@ -65,7 +65,7 @@
         owner: str,
         claim_timing: ClaimTiming | None = None,
     ) -> None:
-        self.tools = OrderDependencies(
+        self.dependencies = OrderDependencies(
             ingress,
             client,
             journal,
@@ -80,7 +80,7 @@
     @property
     def journal(self) -> Journal:
         """The order journal."""
-        return self.tools.journal
+        return self.dependencies.journal
 
     @property
     def pending(self) -> int:
@@ -144,8 +144,8 @@
 
     def _create_attempt(self, request: CallerRequest, sink: Sink) -> OrderAttempt:
         self._attempts += 1
-        attempt = f"{self.tools.owner}/{self._attempts}"
-        return OrderAttempt(self.tools, request, sink, attempt)
+        attempt = f"{self.dependencies.owner}/{self._attempts}"
+        return OrderAttempt(self.dependencies, request, sink, attempt)
 
     async def _await_result(
         self, order: OrderAttempt, coroutine: Coroutine[Any, Any, None]
--- a/packages/router/src/teaselledge/request/orderrun.py
+++ b/packages/router/src/teaselledge/request/orderrun.py
@@ -57,7 +57,7 @@
 """How long an endpoint may still respond after the caller's deadline."""
 
 OVERDUE_SECONDS = 5.0
-"""Wall-clock time past a started order's deadline until no other attempt waits."""
+"""Wall-clock time past its deadline for which others wait for a started order."""
 
 MAX_CONCURRENT_RELEASES = 8
 """Attempts of one router that release their record concurrently."""
--- a/packages/router/src/teaselledge/request/prefix.py
+++ b/packages/router/src/teaselledge/request/prefix.py
@@ -4,7 +4,7 @@
 
 from teaselledge.request.context import CallerRequest
 
-__all__ = ["PREFIX_BYTES", "PREFIX_HEADER", "prefix_of"]
+__all__ = ["PREFIX_BYTES", "PREFIX_HEADER", "prefix_hash"]
 
 PREFIX_HEADER = "X-Prefix"
 """Header that passes the hash to an engine for its cache events."""
@@ -15,7 +15,7 @@
 HASH_BITS = 63
 
 
-def prefix_of(request: CallerRequest) -> int | None:
+def prefix_hash(request: CallerRequest) -> int | None:
     """Return a hash of the prompt's prefix, None if no cache applies.
 
     An engine that has recently processed the same prefix has it in its cache and
--- a/packages/router/src/teaselledge/request/sweep.py
+++ b/packages/router/src/teaselledge/request/sweep.py
@@ -50,7 +50,7 @@
     ----------
     journal : Journal
         The order journal.
-    is_mine : callable
+    is_responsible : callable
         Returns whether this router has to sweep.
     retention : float
         Seconds for which a key is retained.
@@ -59,11 +59,11 @@
     def __init__(
         self,
         journal: Journal,
-        is_mine: Callable[[], bool],
+        is_responsible: Callable[[], bool],
         retention: float = RETENTION_SECONDS,
     ) -> None:
         self._journal = journal
-        self._is_responsible = is_mine
+        self._is_responsible = is_responsible
         self._retention = retention
         self._after = ""
 
--- a/packages/standins/src/teaselledge_standins/virtual/naive.py
+++ b/packages/standins/src/teaselledge_standins/virtual/naive.py
@@ -22,7 +22,7 @@
     """Looks for a stored answer, else sends until one comes, then stores it."""
 
     def __init__(self, node: Node) -> None:
-        tools = node.orders.tools
+        tools = node.orders.dependencies
         super().__init__(
             tools.ingress, tools.client, tools.journal, NullMetrics(), tools.owner
         )
@@ -30,7 +30,7 @@
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
         """Answer an order."""
         row = order_row(request.organisation, request.key or "")
-        tables = self.tools.journal.tables
+        tables = self.dependencies.journal.tables
         found = await tables.get(ORDERS_TABLE, row)
         if found.is_ok() and found.ok is not None:
             await self._give(sink, found.ok.value)
@@ -49,7 +49,7 @@
         await sink.finish()
 
     async def _try_once(self, request: CallerRequest) -> bytes | None:
-        tools = self.tools
+        tools = self.dependencies
         ticket = SlotRequest(
             request.organisation,
             request.service,
