--- a/packages/router/tests/test_forward.py
+++ b/packages/router/tests/test_forward.py
@@ -133,7 +133,7 @@
     call = asyncio.ensure_future(send_request(fleet, cost=400.0))
     await asyncio.sleep(2)
     (running,) = fleet.nodes["vm-0"].ingress._running.values()
-    running.granted.preempted.set()
+    running.slot.preempted.set()
     await asyncio.sleep(0.1)
     assert sum(runs_by_name(fleet).values()) == 1
     outcome = await call
