--- a/packages/fleet/src/teaselledge_fleet/request/serving.py
+++ b/packages/fleet/src/teaselledge_fleet/request/serving.py
@@ -1,4 +1,4 @@
-"""Run one request: find its route, place it, send it, pass the answer on."""
+"""Run a request: resolve its route, place it, send it, forward the response."""
 
 import asyncio
 from collections.abc import Callable
@@ -42,62 +42,76 @@
 
 _log = get_log("serving")
 
-SUCCESS = range(200, 300)
-SERVER_ERROR = 500
-NO_BODY = frozenset({204, 304})
+SUCCESS_STATUSES = range(200, 300)
+MIN_SERVER_ERROR_STATUS = 500
+BODYLESS_STATUSES = frozenset({204, 304})
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise that a request has not run."""
+"""Statuses that promise to the caller that its request has not run."""
 
 LEAVING_RETRY_SECONDS = 0.05
-"""Another router can take the request now."""
+"""Short, as another router can accept the request immediately."""
 
 STARTING_RETRY_SECONDS = 0.15
-"""A router that starts has a configuration after 0.1 to 0.3 s."""
+"""A starting router receives its configuration within 0.1 to 0.3 s."""
 
 BUSY_RETRY_SECONDS = 0.2
-"""The caller tries another router; half of the time for which this one refuses."""
+"""Half of the time for which an overloaded router refuses requests; the caller
+retries at another router."""
 
 RESPONSE_TRANSIT_SECONDS = 0.02
-"""Taken off the time given to an endpoint, for the way of its answer back."""
+"""Subtracted from an endpoint's time limit, as its response takes time to arrive."""
 
 
 def resolve_route(
-    routing: RoutingConfiguration, call: CallerRequest
+    routing: RoutingConfiguration, request: CallerRequest
 ) -> Result[tuple[Route, Organisation | None], Fault]:
-    """Return the route of a request and whose it is, or why it is not allowed."""
-    route = routing.find_route(call.host, call.path)
+    """Return the route and organisation of a request, or why it is rejected."""
+    route = routing.find_route(request.host, request.path)
     if route is None:
         return Error(Fault(FaultKind.NO_ROUTE))
-    organisation = routing.find_organisation(call.key) if call.key else None
+    organisation = routing.find_organisation(request.key) if request.key else None
     if organisation is None and routing.organisations and not route.public:
         return Error(Fault(FaultKind.UNKNOWN_KEY))
     return Ok((route, organisation))
 
 
 class RequestProxy:
-    """Serves requests of callers.
+    """Forwards callers' requests to endpoints and their responses to the callers.
+
+    Parameters
+    ----------
+    codec : HeaderCodec
+        Decodes and encodes the headers of callers and endpoints.
+    pool : ConnectionPool
+        Connections to endpoints.
+    placer : Placer
+        Chooses the endpoint of each attempt.
+    budget : RepeatBudget
+        Limits retries.
+    metrics : FleetMetrics, optional
+        Counts requests and attempts.
 
     Attributes
     ----------
-    routing : Routing or None
+    routing : RoutingConfiguration or None
         The configuration in force.
     leaving : bool
-        Whether new requests are refused because the router is about to stop.
+        Whether new requests are refused because the router is shutting down.
     is_overloaded : callable
-        Whether the router's own work is held up. It then refuses at once: what it
-        took would reach an engine after its caller has left, and the work on it
-        would hold up the next.
+        Returns whether the router is overloaded. It then refuses requests at once:
+        an accepted request would reach an engine after its caller has left, and the
+        work on it would delay the next request.
     """
 
     def __init__(
         self,
-        dialect: HeaderCodec,
+        codec: HeaderCodec,
         pool: ConnectionPool,
         placer: Placer,
         budget: RepeatBudget,
         metrics: FleetMetrics | None = None,
     ) -> None:
-        self._dialect = dialect
+        self._codec = codec
         self._pool = pool
         self._placer = placer
         self._budget = budget
@@ -106,155 +120,157 @@
         self.leaving = False
         self.is_overloaded: Callable[[], bool] = lambda: False
 
-    async def handle(self, incoming: ReceivedRequest, sink: ResponseWriter) -> None:
-        """Run a request and answer it."""
-        call = self._dialect.decode_request(
-            incoming.method, incoming.target, incoming.headers
+    async def handle(self, received: ReceivedRequest, writer: ResponseWriter) -> None:
+        """Run a request and write its response."""
+        request = self._codec.decode_request(
+            received.method, received.target, received.headers
         )
-        admitted = self._admit(call, incoming)
+        admitted = self._admit(request, received)
         if admitted.is_error():
-            self._tell_refusal(call, incoming.remote_ip, admitted.error)
-            await self._refuse(call, sink, admitted.error)
+            self._record_refusal(request, received.remote_ip, admitted.error)
+            await self._refuse(request, writer, admitted.error)
             return
         context = admitted.ok
-        await _Run(self, context, sink).go()
+        await _ActiveRequest(self, context, writer).run()
 
     def _admit(
-        self, call: CallerRequest, incoming: ReceivedRequest
+        self, request: CallerRequest, received: ReceivedRequest
     ) -> Result[RequestContext, Fault]:
         routing = self.routing
-        origin = incoming.origin
+        origin = received.origin
         if routing is None or routing.version < (origin.min_version or 0):
             return Error(Fault(FaultKind.NOT_CONFIGURED, STARTING_RETRY_SECONDS))
-        permitted = resolve_route(routing, call)
-        if permitted.is_ok():
-            # before anything is refused: whoever is refused most would otherwise look
-            # as if it asked for least, and its share would go to the others
-            self._placer.record_demand(call, permitted.ok[1], origin.sample_weight)
+        resolved = resolve_route(routing, request)
+        if resolved.is_ok():
+            # recorded before any refusal: an organisation with many refused requests
+            # would otherwise appear to have little demand and lose its share
+            self._placer.record_demand(request, resolved.ok[1], origin.sample_weight)
         if self.leaving:
             return Error(Fault(FaultKind.LEAVING, LEAVING_RETRY_SECONDS))
         if self.is_overloaded() or origin.overloaded:
             return Error(Fault(FaultKind.ROUTER_BUSY, BUSY_RETRY_SECONDS))
-        if permitted.is_error():
-            return Error(permitted.error)
-        route, organisation = permitted.ok
-        seconds = route.timeout
-        if call.timeout_seconds is not None:
-            seconds = min(seconds, call.timeout_seconds)
-        draw = hash(call.id) % 997 / 997
+        if resolved.is_error():
+            return Error(resolved.error)
+        route, organisation = resolved.ok
+        timeout = route.timeout
+        if request.timeout_seconds is not None:
+            timeout = min(timeout, request.timeout_seconds)
+        fraction = hash(request.id) % 997 / 997
         return Ok(
             RequestContext(
-                call,
-                incoming.body,
+                request,
+                received.body,
                 route,
-                route.choose_service(draw),
+                route.choose_service(fraction),
                 organisation,
-                incoming.arrived_at,
-                incoming.arrived_at + seconds,
+                received.arrived_at,
+                received.arrived_at + timeout,
                 version=routing.version,
             )
         )
 
-    def _tell_refusal(self, call: CallerRequest, caller: str, fault: Fault) -> None:
+    def _record_refusal(
+        self, request: CallerRequest, remote_ip: str, fault: Fault
+    ) -> None:
         kind = fault.kind.value
         organisation = None
-        if self.routing is not None and call.key:
-            organisation = self.routing.find_organisation(call.key)
+        if self.routing is not None and request.key:
+            organisation = self.routing.find_organisation(request.key)
         self._metrics.count("requests", outcome="refused", fault=kind, service="")
         _log.info(
             "request refused",
-            id=call.id,
+            id=request.id,
             fault=kind,
-            caller=caller,
+            caller=remote_ip,
             organisation=organisation.name if organisation is not None else None,
-            host=call.host,
-            path=call.path,
+            host=request.host,
+            path=request.path,
             version=self.routing.version if self.routing is not None else 0,
             retry_after=fault.retry_after,
         )
 
     async def _refuse(
-        self, call: CallerRequest, sink: ResponseWriter, fault: Fault
+        self, request: CallerRequest, writer: ResponseWriter, fault: Fault
     ) -> None:
         if fault.kind is FaultKind.ROUTER_BUSY:
-            # callers that keep their connections here would find it busy again, while
-            # other routers of the zone have room
-            sink.reconnect_probability = 1.0
+            # on a persistent connection the caller would retry at this overloaded
+            # router, while other routers of the zone have capacity
+            writer.reconnect_probability = 1.0
         body = fault_body(fault)
         headers = fault_headers(
-            fault, self._dialect.local_reply_headers(call), len(body)
+            fault, self._codec.local_reply_headers(request), len(body)
         )
-        chunk = None if call.method == "HEAD" else body
-        await sink.start(FAULT_RESPONSES[fault.kind].status, headers, chunk)
-        sink.finish()
+        chunk = None if request.method == "HEAD" else body
+        await writer.start(FAULT_RESPONSES[fault.kind].status, headers, chunk)
+        writer.finish()
 
 
-class _Run:
-    """The attempts of one request."""
+class _ActiveRequest:
+    """Runs the attempts of one request until it is answered or fails."""
 
     def __init__(
-        self, server: RequestProxy, context: RequestContext, sink: ResponseWriter
+        self, proxy: RequestProxy, context: RequestContext, writer: ResponseWriter
     ) -> None:
-        self._server = server
+        self._proxy = proxy
         self._context = context
-        self._sink = sink
+        self._writer = writer
         self._splitter = EventSplitter() if context.route.stream else None
         self._fault: Fault | None = None
-        self._last_part: float | None = None
+        self._last_event_at: float | None = None
 
-    async def go(self) -> None:
-        """Run the request to its end."""
+    async def run(self) -> None:
+        """Run the request, and record how it ended."""
         outcome, endpoint = Outcome.ABANDONED, None
         try:
             async with asyncio.timeout_at(self._context.deadline):
-                outcome, endpoint = await self._attempts()
+                outcome, endpoint = await self._run_attempts()
         except TimeoutError:
-            await self._time_out()
+            await self._on_timeout()
         finally:
-            self._tell(outcome, endpoint)
+            self._record_end(outcome, endpoint)
 
-    async def _attempts(self) -> tuple[Outcome, Endpoint | None]:
+    async def _run_attempts(self) -> tuple[Outcome, Endpoint | None]:
         context = self._context
         while True:
-            placed = await self._server._placer.place(context)
+            placed = await self._proxy._placer.place(context)
             if placed.is_error():
-                await self._give_up(placed.error)
+                await self._fail(placed.error)
                 return Outcome.DECLINED, None
             endpoint = placed.ok.endpoint
             outcome = Outcome.ABANDONED
             try:
-                outcome = await self._attempt(placed.ok)
+                outcome = await self._run_attempt(placed.ok)
             finally:
-                self._server._placer.on_attempt_ended(context, endpoint, outcome)
-                self._server._metrics.count(
+                self._proxy._placer.on_attempt_ended(context, endpoint, outcome)
+                self._proxy._metrics.count(
                     "attempts", outcome=outcome.name.lower(), service=context.service
                 )
             if outcome in (Outcome.WHOLE, Outcome.ABANDONED):
                 return outcome, endpoint
-            if not self._again(outcome):
-                await self._give_up(self._last_fault(outcome))
+            if not self._should_retry(outcome):
+                await self._fail(self._final_fault(outcome))
                 return outcome, endpoint
 
-    async def _attempt(self, placement: Placement) -> Outcome:
+    async def _run_attempt(self, placement: Placement) -> Outcome:
         endpoint = placement.endpoint
         context = self._context
-        server = self._server
+        proxy = self._proxy
         context.attempted_endpoints.append(endpoint.id)
-        once = context.route.retry_policy is not RetryPolicy.ANY
-        taken = await server._pool.acquire(endpoint.address, once)
-        if taken.is_error():
+        at_most_once = context.route.retry_policy is not RetryPolicy.ANY
+        acquired = await proxy._pool.acquire(endpoint.address, at_most_once)
+        if acquired.is_error():
             return Outcome.UNSENT
-        if self._sink.disconnected:
+        if self._writer.disconnected:
             return Outcome.ABANDONED
-        if not server._placer.accepts_requests(endpoint):
+        if not proxy._placer.accepts_requests(endpoint):
             _log.info("endpoint left", id=context.request.id, endpoint=endpoint.id)
             return Outcome.UNSENT
-        outdated = self._outdated()
-        if outdated is not None:
-            await self._give_up(outdated)
+        rejection = self._configuration_fault()
+        if rejection is not None:
+            await self._fail(rejection)
             return Outcome.ABANDONED
         if context.send_count == 0:
-            server._budget.note_first(context.service)
+            proxy._budget.note_first(context.service)
         context.send_count += 1
         _log.info(
             "attempt sent",
@@ -265,157 +281,162 @@
             fetch_from=placement.fetch_from,
             **placement.log_fields,
         )
-        before = context.may_have_run
+        may_have_run_before = context.may_have_run
         context.may_have_run = True
-        onward = self._onward(placement)
-        headers = server._dialect.endpoint_request_headers(context.request, onward)
-        exchange = taken.ok.send_request(
-            context.request, server._dialect, headers, context.body
+        forwarding = self._forwarding_info(placement)
+        headers = proxy._codec.endpoint_request_headers(context.request, forwarding)
+        exchange = acquired.ok.send_request(
+            context.request, proxy._codec, headers, context.body
         )
         try:
             head = await exchange.head()
             if head.is_error():
-                return self._lost(head.error)
+                return self._on_send_failure(head.error)
             if head.ok.declined:
-                context.may_have_run = before
+                context.may_have_run = may_have_run_before
                 return Outcome.DECLINED
-            return await self._pass_on(endpoint, head.ok, exchange)
+            return await self._forward_response(endpoint, head.ok, exchange)
         finally:
             exchange.cancel()
 
-    def _outdated(self) -> Fault | None:
-        """Return why the configuration in force forbids what was decided before it.
+    def _configuration_fault(self) -> Fault | None:
+        """Return why a newer configuration rejects the request, if it does.
 
-        A router that is held up sends seconds after it has decided. Its callers would
-        see an old version in force, and engines get requests of routes that are gone.
+        A blocked router may send a request seconds after placing it. Without this
+        check callers would see an old version in force, and engines would get requests
+        of deleted routes.
         """
-        context, routing = self._context, self._server.routing
+        context, routing = self._context, self._proxy.routing
         if routing is None or routing.version == context.version or context.send_count:
             return None
-        permitted = resolve_route(routing, context.request)
-        if permitted.is_error():
-            return permitted.error
-        route, _ = permitted.ok
+        resolved = resolve_route(routing, context.request)
+        if resolved.is_error():
+            return resolved.error
+        route, _ = resolved.ok
         if all(target.service != context.service for target in route.targets):
             return Fault(FaultKind.NOT_CONFIGURED, STARTING_RETRY_SECONDS)
         return None
 
-    def _onward(self, placement: Placement) -> ForwardingInfo:
+    def _forwarding_info(self, placement: Placement) -> ForwardingInfo:
         context = self._context
-        left = context.deadline - asyncio.get_running_loop().time()
-        after = self._splitter.last_id if self._splitter is not None else None
+        remaining = context.deadline - asyncio.get_running_loop().time()
+        last_event_id = self._splitter.last_id if self._splitter is not None else None
         return ForwardingInfo(
             placement.endpoint.id,
             context.organisation_name or None,
-            max(0.001, left - RESPONSE_TRANSIT_SECONDS),
-            after,
+            max(0.001, remaining - RESPONSE_TRANSIT_SECONDS),
+            last_event_id,
             placement.fetch_from,
         )
 
-    def _lost(self, failure: SendFailure) -> Outcome:
+    def _on_send_failure(self, failure: SendFailure) -> Outcome:
         _log.info(
             "attempt lost",
             id=self._context.request.id,
             fault=failure.fault.value,
             reused=failure.reused,
         )
-        return Outcome.BROKEN if self._sink.started else Outcome.LOST
+        return Outcome.BROKEN if self._writer.started else Outcome.LOST
 
-    async def _pass_on(
+    async def _forward_response(
         self, endpoint: Endpoint, head: ResponseHead, exchange: Exchange
     ) -> Outcome:
         if not head.authentic:
-            return Outcome.BROKEN if self._sink.started else Outcome.LOST
-        failed = head.status >= SERVER_ERROR or head.status in NOT_RUN_STATUSES
-        if failed and (self._sink.started or self._may_repeat(Outcome.FAILED)):
+            return Outcome.BROKEN if self._writer.started else Outcome.LOST
+        failed = (
+            head.status >= MIN_SERVER_ERROR_STATUS or head.status in NOT_RUN_STATUSES
+        )
+        if failed and (self._writer.started or self._may_retry(Outcome.FAILED)):
             return Outcome.FAILED
         if head.status in NOT_RUN_STATUSES:
-            # the endpoint does not say that it has not run the request, and this
-            # status would
+            # the endpoint gave no assurance that the request has not run, and the
+            # status would promise it to the caller
             return Outcome.LOST
-        if head.status not in SUCCESS or self._splitter is None:
-            return await self._relay(endpoint, head, exchange)
-        return await self._relay_events(endpoint, head, exchange)
+        if head.status not in SUCCESS_STATUSES or self._splitter is None:
+            return await self._forward_buffered(endpoint, head, exchange)
+        return await self._forward_events(endpoint, head, exchange)
 
-    async def _relay(
+    async def _forward_buffered(
         self, endpoint: Endpoint, head: ResponseHead, exchange: Exchange
     ) -> Outcome:
-        """Pass on an answer whose parts have no edges."""
-        if self._sink.started:
+        """Forward a response that is no event stream, once it is complete."""
+        if self._writer.started:
             return Outcome.BROKEN
-        parts = []
+        chunks = []
         try:
-            async for part in exchange.body():
-                parts.append(part)
+            async for chunk in exchange.body():
+                chunks.append(chunk)
         except IncompleteResponseError:
             return Outcome.LOST
-        self._server._placer.on_response_started(self._context, endpoint)
-        body = b"".join(parts)
+        self._proxy._placer.on_response_started(self._context, endpoint)
+        body = b"".join(chunks)
         headers = head.headers.copy()
-        if head.status not in NO_BODY and "Content-Length" not in headers:
+        if head.status not in BODYLESS_STATUSES and "Content-Length" not in headers:
             headers["Content-Length"] = str(len(body))
-        await self._sink.start(head.status, headers, body or None)
-        self._sink.finish()
-        return Outcome.WHOLE if head.status < SERVER_ERROR else Outcome.FAILED
+        await self._writer.start(head.status, headers, body or None)
+        self._writer.finish()
+        return (
+            Outcome.WHOLE if head.status < MIN_SERVER_ERROR_STATUS else Outcome.FAILED
+        )
 
-    async def _relay_events(
+    async def _forward_events(
         self, endpoint: Endpoint, head: ResponseHead, exchange: Exchange
     ) -> Outcome:
-        """Pass on whole events as they come."""
+        """Forward each event of a stream as soon as it is complete."""
         splitter = self._splitter
         assert splitter is not None
         try:
-            async for part in exchange.body():
-                events = splitter.feed(part)
+            async for chunk in exchange.body():
+                events = splitter.feed(chunk)
                 if events:
-                    await self._put(endpoint, head, events)
+                    await self._write_events(endpoint, head, events)
         except IncompleteResponseError:
             splitter.discard_partial_event()
-            return Outcome.BROKEN if self._sink.started else Outcome.LOST
+            return Outcome.BROKEN if self._writer.started else Outcome.LOST
         if splitter.has_partial_event:
             splitter.discard_partial_event()
-            return Outcome.BROKEN if self._sink.started else Outcome.LOST
-        if not self._sink.started:
-            await self._put(endpoint, head, b"")
-        self._sink.finish()
+            return Outcome.BROKEN if self._writer.started else Outcome.LOST
+        if not self._writer.started:
+            await self._write_events(endpoint, head, b"")
+        self._writer.finish()
         return Outcome.WHOLE
 
-    async def _put(self, endpoint: Endpoint, head: ResponseHead, events: bytes) -> None:
-        self._note_pause()
-        if self._sink.started:
-            await self._sink.write(events)
+    async def _write_events(
+        self, endpoint: Endpoint, head: ResponseHead, events: bytes
+    ) -> None:
+        self._record_event_gap()
+        if self._writer.started:
+            await self._writer.write(events)
             return
         context = self._context
         context.first_event_at = asyncio.get_running_loop().time()
-        self._server._placer.on_response_started(context, endpoint)
+        self._proxy._placer.on_response_started(context, endpoint)
         headers = head.headers.copy()
-        # the whole may come from several endpoints
+        # the rest of the stream may come from other endpoints
         headers.pop("Content-Length", None)
-        await self._sink.start(head.status, headers, events or None)
+        await self._writer.start(head.status, headers, events or None)
 
-    def _note_pause(self) -> None:
+    def _record_event_gap(self) -> None:
         now = asyncio.get_running_loop().time()
-        if self._last_part is not None:
-            pause = now - self._last_part
-            self._context.longest_event_gap = max(
-                self._context.longest_event_gap, pause
-            )
-        self._last_part = now
+        if self._last_event_at is not None:
+            gap = now - self._last_event_at
+            self._context.longest_event_gap = max(self._context.longest_event_gap, gap)
+        self._last_event_at = now
 
-    def _again(self, outcome: Outcome) -> bool:
-        if self._sink.finished or not self._may_repeat(outcome):
+    def _should_retry(self, outcome: Outcome) -> bool:
+        if self._writer.finished or not self._may_retry(outcome):
             return False
         if outcome is Outcome.UNSENT:
             return True
-        return self._server._budget.allow(self._context.service)
+        return self._proxy._budget.allow(self._context.service)
 
-    def _may_repeat(self, outcome: Outcome) -> bool:
+    def _may_retry(self, outcome: Outcome) -> bool:
         context = self._context
         route = context.route
         if outcome is Outcome.UNSENT:
             return (
                 len(context.attempted_endpoints) - context.send_count
-                < MAX_CONNECT_FAILURES
+                < MAX_FAILED_CONNECTS
             )
         if context.send_count >= route.attempts:
             return False
@@ -423,7 +444,7 @@
             return True
         return route.retry_policy is not RetryPolicy.NEVER
 
-    def _last_fault(self, outcome: Outcome) -> Fault:
+    def _final_fault(self, outcome: Outcome) -> Fault:
         context = self._context
         if context.may_have_run:
             return Fault(FaultKind.ENDPOINT_FAILED)
@@ -431,29 +452,29 @@
             return Fault(FaultKind.NO_ENDPOINT, 0.3)
         return Fault(FaultKind.ENDPOINT_DECLINED, 0.3)
 
-    async def _give_up(self, fault: Fault) -> None:
-        if self._sink.finished:
+    async def _fail(self, fault: Fault) -> None:
+        if self._writer.finished:
             return
-        if self._sink.started:
-            self._sink.abort()
+        if self._writer.started:
+            self._writer.abort()
             return
         if (
             self._context.may_have_run
             and FAULT_RESPONSES[fault.kind].status in NOT_RUN_STATUSES
         ):
-            # an earlier attempt may have run, so no promise can be made
+            # an earlier attempt may have run; this status would promise the opposite
             fault = Fault(FaultKind.ENDPOINT_FAILED)
         self._fault = fault
-        await self._server._refuse(self._context.request, self._sink, fault)
+        await self._proxy._refuse(self._context.request, self._writer, fault)
 
-    async def _time_out(self) -> None:
+    async def _on_timeout(self) -> None:
         if self._context.may_have_run:
-            await self._give_up(Fault(FaultKind.ENDPOINT_TIMEOUT))
+            await self._fail(Fault(FaultKind.ENDPOINT_TIMEOUT))
             return
-        await self._give_up(Fault(FaultKind.NOT_IN_TIME, 0.5))
+        await self._fail(Fault(FaultKind.NOT_IN_TIME, 0.5))
 
-    def _count(self, outcome: Outcome, now: float) -> None:
-        context, metrics = self._context, self._server._metrics
+    def _record_metrics(self, outcome: Outcome, now: float) -> None:
+        context, metrics = self._context, self._proxy._metrics
         service = context.service
         fault = self._fault.kind.value if self._fault is not None else ""
         metrics.count(
@@ -461,17 +482,17 @@
         )
         metrics.observe("request_seconds", now - context.arrived_at, service=service)
         if context.first_event_at is not None:
-            first = context.first_event_at - context.arrived_at
-            metrics.observe("first_event_seconds", first, service=service)
+            first_event_seconds = context.first_event_at - context.arrived_at
+            metrics.observe("first_event_seconds", first_event_seconds, service=service)
             metrics.observe("pause_seconds", context.longest_event_gap, service=service)
 
-    def _tell(self, outcome: Outcome, endpoint: Endpoint | None) -> None:
+    def _record_end(self, outcome: Outcome, endpoint: Endpoint | None) -> None:
         context = self._context
         now = asyncio.get_running_loop().time()
-        self._count(outcome, now)
-        first = None
+        self._record_metrics(outcome, now)
+        first_event_ms = None
         if context.first_event_at is not None:
-            first = round((context.first_event_at - context.arrived_at) * 1000)
+            first_event_ms = round((context.first_event_at - context.arrived_at) * 1000)
         _log.info(
             "request ended",
             id=context.request.id,
@@ -488,12 +509,12 @@
             reading_ms=round(context.prefill_seconds * 1000),
             retry_after=self._fault.retry_after if self._fault is not None else None,
             sends=context.send_count,
-            first_ms=first,
+            first_ms=first_event_ms,
             pause_ms=round(context.longest_event_gap * 1000),
             ms=round((now - context.arrived_at) * 1000),
             left_ms=round((context.deadline - now) * 1000),
         )
 
 
-MAX_CONNECT_FAILURES = 3
-"""Endpoints that can't be connected to, before a request is given up."""
+MAX_FAILED_CONNECTS = 3
+"""Endpoints to which connecting may fail before the request fails."""
