--- a/packages/fleet/src/teaselledge_fleet/request/__init__.py
+++ b/packages/fleet/src/teaselledge_fleet/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one request."""
+"""Decoding, forwarding and state of one request."""
--- a/packages/fleet/src/teaselledge_fleet/request/call.py
+++ b/packages/fleet/src/teaselledge_fleet/request/call.py
@@ -1,4 +1,4 @@
-"""One request as the router understands it, whatever its wire names."""
+"""Types of a decoded request, independent of the header names on the wire."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt, which other prompts may share.
+    """A segment of a prompt, which other prompts may begin with as well.
 
     Attributes
     ----------
     id : str
-        Names its content.
+        Identifies the segment's content.
     tokens : int
-        Its length.
+        Length in tokens.
     """
 
     id: str
@@ -33,18 +33,19 @@
 
 @dataclass(frozen=True)
 class Prompt:
-    """What a request asks of a model engine.
+    """Size of a prompt and of the output requested from a model engine.
 
     Attributes
     ----------
     input_tokens : int
-        Tokens to be read.
+        Length of the prompt.
     max_output_tokens : int
-        Most tokens to be generated.
+        Maximum number of tokens to generate.
     parts : tuple of PromptPart
-        The prompt's parts in order; the last is the request's own.
+        The prompt's segments in order; the last one is specific to the request.
     expected_output_tokens : int or None
-        The caller's estimate of the tokens generated; right at the median.
+        The caller's estimate of the number of generated tokens, correct at the
+        median.
     """
 
     input_tokens: int
@@ -60,19 +61,19 @@
     Attributes
     ----------
     id : str
-        The caller's own id of this attempt.
+        Id that the caller gave to this attempt.
     method, target, host : str
-        Of the request line and the host header; the target has the query.
+        From the request line and the ``Host`` header; the target includes the query.
     headers : HTTPHeaders
-        Headers that go on to the endpoint unchanged.
+        Headers that are forwarded to the endpoint unchanged.
     key : str or None
         Bearer key.
     timeout_seconds : float or None
-        Seconds that the caller waits.
+        Time for which the caller waits for the response.
     prompt : Prompt or None
         Set for requests to model engines.
     resume_after : str or None
-        Id of the event after which the caller continues a stream.
+        Id of the event after which the caller resumes a stream.
     """
 
     id: str
@@ -93,20 +94,20 @@
 
 @dataclass(frozen=True)
 class ForwardingInfo:
-    """What the router adds to a request on its way to an endpoint.
+    """Values that the router adds to a request when it forwards it to an endpoint.
 
     Attributes
     ----------
     endpoint : str
-        Id of the endpoint that is meant; any other one must decline.
+        Id of the target endpoint; any other endpoint must decline the request.
     organisation : str or None
         The caller's organisation.
     timeout_seconds : float or None
-        Time left for the answer.
+        Time left for the response.
     resume_after : str or None
-        Id of the last event that reached the caller.
+        Id of the last event that was forwarded to the caller.
     fetch_from : str or None
-        Address of an engine from which to copy parts of the prompt.
+        Address of an engine from which to copy the cached prefix of the prompt.
     """
 
     endpoint: str
@@ -118,20 +119,20 @@
 
 @dataclass(frozen=True)
 class ResponseHead:
-    """The head of an endpoint's answer, decoded.
+    """The decoded head of an endpoint's response.
 
     Attributes
     ----------
     status : int
         HTTP status.
     headers : HTTPHeaders
-        Headers that go on to the caller.
+        Headers that are forwarded to the caller.
     matches_request : bool
-        Whether it answers this request, not another one.
+        Whether it is the response to this request and not to another one.
     declined : bool
-        The endpoint says that it has not run the request and never will.
+        Whether the endpoint declares that it has not run the request and never will.
     authentic : bool
-        False for an answer that can't be the endpoint's own.
+        False if the response can't have been written by the endpoint itself.
     """
 
     status: int
@@ -142,7 +143,7 @@
 
 
 class HeaderCodec(Protocol):
-    """Translates between wire names and the types of this module."""
+    """Translates between headers on the wire and the types of this module."""
 
     def decode_request(
         self, method: str, target: str, headers: HTTPHeaders
@@ -152,12 +153,12 @@
     def endpoint_request_headers(
         self, request: CallerRequest, forwarding: ForwardingInfo
     ) -> list[tuple[str, str]]:
-        """Return all headers for an endpoint but those of the body's length."""
+        """Return all headers for an endpoint except those of the body's length."""
 
     def decode_response_head(
         self, request: CallerRequest, status: int, headers: list[tuple[str, str]]
     ) -> ResponseHead:
-        """Decode the head of an endpoint's answer."""
+        """Decode the head of an endpoint's response."""
 
     def local_reply_headers(self, request: CallerRequest) -> HTTPHeaders:
-        """Return the headers of an answer that the router makes itself."""
+        """Return the headers of a response that the router generates itself."""
--- a/packages/fleet/src/teaselledge_fleet/request/context.py
+++ b/packages/fleet/src/teaselledge_fleet/request/context.py
@@ -1,4 +1,4 @@
-"""What one request has been through, and what decides where it goes."""
+"""State of one request, and the interface that chooses its endpoints."""
 
 from dataclasses import dataclass, field
 from enum import Enum, auto
@@ -18,59 +18,59 @@
     """How an attempt ended."""
 
     WHOLE = auto()
-    """The answer was passed on whole."""
+    """The complete response was forwarded."""
 
     DECLINED = auto()
-    """The endpoint did not run it."""
+    """The endpoint declined the request without running it."""
 
     UNSENT = auto()
-    """No connection came about."""
+    """The request was not sent: connecting failed, or the endpoint started leaving."""
 
     LOST = auto()
-    """It was sent, and no usable answer came: it may have run."""
+    """The request was sent without a usable response: it may have run."""
 
     FAILED = auto()
-    """The endpoint ran it and told of a failure."""
+    """The endpoint ran the request and reported a failure."""
 
     BROKEN = auto()
-    """The answer stopped after a part of it was passed on."""
+    """The response broke off after some of it was forwarded."""
 
     ABANDONED = auto()
-    """The caller left, or its time ran out."""
+    """The caller disconnected, the deadline passed, or the request was rejected."""
 
 
 @dataclass
 class RequestContext:
-    """What one request has been through.
+    """State of one request.
 
     Attributes
     ----------
-    request : Call
-        The request.
+    request : CallerRequest
+        The decoded request.
     body : bytes
-        Its body.
+        Body of the request.
     route : Route
-        Its route.
+        Route of the request.
     service : str
-        The service it goes to.
+        Service chosen from the route's targets.
     organisation : Organisation or None
-        Whose it is.
+        The caller's organisation.
     arrived_at, deadline : float
         Loop times.
     attempted_endpoints : list of str
-        Ids of the endpoints it was sent to, or that could not be reached.
+        Ids of the endpoints that were chosen so far, reachable or not.
     send_count : int
-        How often it was sent.
+        Number of times that the request was sent.
     may_have_run : bool
         Whether any attempt may have run.
     first_event_at : float or None
         Loop time of the first event of a stream.
     longest_event_gap : float
-        Longest time between two parts of a stream, in seconds.
+        Longest gap between events of a stream, in seconds.
     version : int
-        Configuration under which it runs.
+        Version of the configuration under which the request was admitted.
     prefill_seconds : float
-        Time that the engine is expected to read its prompt, in seconds.
+        Expected time that the engine needs for the prompt, in seconds.
     """
 
     request: CallerRequest
@@ -90,22 +90,22 @@
 
     @property
     def organisation_name(self) -> str:
-        """Name of the organisation, empty without one."""
+        """Name of the organisation, or an empty string."""
         return self.organisation.name if self.organisation is not None else ""
 
 
 @dataclass(frozen=True)
 class Placement:
-    """Where an attempt goes.
+    """The endpoint chosen for an attempt.
 
     Attributes
     ----------
     endpoint : Endpoint
-        Runs it.
+        The endpoint.
     fetch_from : str or None
-        Address of an engine that may keep the shared parts of the prompt.
+        Address of an engine that may have cached the prompt's shared prefix.
     log_fields : dict of str to float
-        Figures that decided it, for the log.
+        Values on which the choice was based, for the log.
     """
 
     endpoint: Endpoint
@@ -114,26 +114,27 @@
 
 
 class Placer(Protocol):
-    """Decides where and when a request runs."""
+    """Chooses the endpoint for each attempt of a request."""
 
     def record_demand(
         self, call: CallerRequest, organisation: Organisation | None, weight: int = 1
     ) -> None:
-        """Count a request that an organisation may make, also one that is refused.
+        """Count the demand of a permitted request, even if it is refused later.
 
-        It may stand for several that were refused unread.
+        `weight` is the number of requests that this one represents; the others were
+        refused without being read.
         """
 
     async def place(self, context: RequestContext) -> Result[Placement, Fault]:
         """Return the endpoint for the next attempt, or why there is none."""
 
     def accepts_requests(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is there still and not leaving."""
+        """Whether an endpoint still exists and is not leaving."""
 
     def on_response_started(self, context: RequestContext, endpoint: Endpoint) -> None:
-        """Note the first part of an answer."""
+        """Record that an endpoint began to respond."""
 
     def on_attempt_ended(
         self, context: RequestContext, endpoint: Endpoint, outcome: Outcome
     ) -> None:
-        """Note the end of an attempt."""
+        """Record the outcome of an attempt."""
--- a/packages/fleet/src/teaselledge_fleet/request/defaultcodec.py
+++ b/packages/fleet/src/teaselledge_fleet/request/defaultcodec.py
@@ -1,4 +1,4 @@
-"""The product's own header names."""
+"""The product's own headers."""
 
 import secrets
 
@@ -35,43 +35,43 @@
         FETCH_FROM,
     )
 )
-"""Headers of one connection, and those that the router reads or sets itself."""
+"""Hop-by-hop headers, and those that the router reads or sets itself."""
 
-ID_BYTES = 8
-SUCCESS = range(200, 300)
+REQUEST_ID_BYTES = 8
+SUCCESS_STATUSES = range(200, 300)
 
 
 class DefaultHeaderCodec:
-    """Reads and writes the product's own headers."""
+    """Decodes and encodes the product's own headers."""
 
     def decode_request(
         self, method: str, target: str, headers: HTTPHeaders
     ) -> CallerRequest:
-        """Decode a caller's request; one without an id is given one."""
-        passed = HTTPHeaders()
+        """Decode a caller's request; a request without an id gets a random one."""
+        forwarded = HTTPHeaders()
         for name, value in headers.get_all():
             if name.lower() not in STRIPPED_HEADERS:
-                passed.add(name, value)
-        request_id = headers.get(REQUEST_ID) or secrets.token_hex(ID_BYTES)
-        passed[REQUEST_ID] = request_id
+                forwarded.add(name, value)
+        request_id = headers.get(REQUEST_ID) or secrets.token_hex(REQUEST_ID_BYTES)
+        forwarded[REQUEST_ID] = request_id
         scheme, _, key = headers.get("Authorization", "").partition(" ")
         return CallerRequest(
             id=request_id,
             method=method,
             target=target,
             host=headers.get("Host", "").split(":", 1)[0],
-            headers=passed,
+            headers=forwarded,
             key=key.strip() if scheme.lower() == "bearer" else None,
-            timeout_seconds=_seconds(headers.get(DEADLINE)),
+            timeout_seconds=_parse_seconds(headers.get(DEADLINE)),
             resume_after=headers.get(LAST_EVENT),
         )
 
     def endpoint_request_headers(
         self, request: CallerRequest, forwarding: ForwardingInfo
     ) -> list[tuple[str, str]]:
-        """Return all headers for an endpoint but those of the body's length."""
-        result = [("Host", request.host), *request.headers.get_all()]
-        result.append((ENDPOINT, forwarding.endpoint))
+        """Return all headers for an endpoint except those of the body's length."""
+        encoded = [("Host", request.host), *request.headers.get_all()]
+        encoded.append((ENDPOINT, forwarding.endpoint))
         optional = {
             ORGANISATION: forwarding.organisation,
             DEADLINE: f"{forwarding.timeout_seconds:.3f}"
@@ -80,33 +80,33 @@
             LAST_EVENT: forwarding.resume_after or request.resume_after,
             FETCH_FROM: forwarding.fetch_from,
         }
-        result += [(name, value) for name, value in optional.items() if value]
-        return result
+        encoded += [(name, value) for name, value in optional.items() if value]
+        return encoded
 
     def decode_response_head(
         self, request: CallerRequest, status: int, headers: list[tuple[str, str]]
     ) -> ResponseHead:
-        """Decode the head of an endpoint's answer."""
+        """Decode the head of an endpoint's response."""
         fields = from_pairs(headers)
-        passed = HTTPHeaders()
+        forwarded = HTTPHeaders()
         for name, value in fields.get_all():
             if name.lower() not in STRIPPED_HEADERS or name.lower() == "content-length":
-                passed.add(name, value)
+                forwarded.add(name, value)
         declined = NOT_RUN in fields
         return ResponseHead(
             status=status,
-            headers=passed,
+            headers=forwarded,
             matches_request=fields.get(REQUEST_ID, request.id) == request.id,
             declined=declined,
-            authentic=REQUEST_ID in fields or status not in SUCCESS,
+            authentic=REQUEST_ID in fields or status not in SUCCESS_STATUSES,
         )
 
     def local_reply_headers(self, request: CallerRequest) -> HTTPHeaders:
-        """Return the headers of an answer that the router makes itself."""
+        """Return the headers of a response that the router generates itself."""
         return HTTPHeaders({REQUEST_ID: request.id})
 
 
-def _seconds(text: str | None) -> float | None:
+def _parse_seconds(text: str | None) -> float | None:
     try:
         return float(text) if text is not None else None
     except ValueError:
--- a/packages/fleet/src/teaselledge_fleet/request/events.py
+++ b/packages/fleet/src/teaselledge_fleet/request/events.py
@@ -1,4 +1,4 @@
-"""Split a stream of events at their edges."""
+"""Split a stream of server-sent events at event boundaries."""
 
 import re
 
@@ -9,42 +9,42 @@
 
 
 class EventSplitter:
-    """Holds back the beginning of an event until the rest of it is there.
+    """Buffers a partial event until the rest of it arrives.
 
-    An engine that stops in the middle of an event would leave half of it with the
-    caller, and the event would come twice when another engine continues the
-    stream. So only whole events are passed on.
+    Only complete events are forwarded. An engine may stop in the middle of an event:
+    the caller would get half of it, and then the whole event again from the engine
+    that resumes the stream.
     """
 
     def __init__(self) -> None:
-        self._held = b""
+        self._partial = b""
         self._last_id: str | None = None
 
     @property
     def last_id(self) -> str | None:
-        """Id of the last whole event."""
+        """Id of the last complete event."""
         return self._last_id
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether a part of an event is held."""
-        return bool(self._held.strip())
+        """Whether a partial event is buffered."""
+        return bool(self._partial.strip())
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes and return the whole events."""
-        held = self._held + data
+        """Add bytes and return the events that are now complete."""
+        buffered = self._partial + data
         end = 0
-        for edge in EVENT_BOUNDARY.finditer(held):
-            self._note(held[end : edge.end()])
-            end = edge.end()
-        self._held = held[end:]
-        return held[:end]
+        for boundary in EVENT_BOUNDARY.finditer(buffered):
+            self._record_id(buffered[end : boundary.end()])
+            end = boundary.end()
+        self._partial = buffered[end:]
+        return buffered[:end]
 
     def discard_partial_event(self) -> None:
-        """Forget the event that was not completed."""
-        self._held = b""
+        """Discard the event that was not completed."""
+        self._partial = b""
 
-    def _note(self, event: bytes) -> None:
+    def _record_id(self, event: bytes) -> None:
         for line in event.splitlines():
             if line.startswith(b"id:"):
                 self._last_id = line[3:].strip().decode("latin1")
--- a/packages/fleet/src/teaselledge_fleet/request/headers.py
+++ b/packages/fleet/src/teaselledge_fleet/request/headers.py
@@ -1,4 +1,4 @@
-"""Which headers pass from one side of the router to the other."""
+"""Selection of the headers that the router forwards."""
 
 from collections.abc import Collection, Iterable
 
@@ -20,12 +20,12 @@
         "upgrade",
     }
 )
-"""Headers of one connection (RFC 9110, section 7.6.1), and ``Expect``, which each
-router answers itself."""
+"""Hop-by-hop headers (RFC 9110, section 7.6.1), and ``Expect``, which each router
+answers itself."""
 
 
 def from_pairs(pairs: Iterable[tuple[str, str]]) -> HTTPHeaders:
-    """Return headers given by name and value; a name may come more than once."""
+    """Return headers from names and values; a name may occur more than once."""
     result = HTTPHeaders()
     for name, value in pairs:
         result.add(name, value)
@@ -35,14 +35,14 @@
 def forwardable_headers(
     headers: HTTPHeaders, excluded: Collection[str] = ()
 ) -> HTTPHeaders:
-    """Return the headers without those of one connection and some others.
+    """Return the headers without hop-by-hop headers and those excluded.
 
     Parameters
     ----------
     headers : HTTPHeaders
-        As they came; ``Connection`` may name more that are for one connection.
+        The headers received; ``Connection`` may name more hop-by-hop headers.
     excluded : collection of str
-        Others to be left out, in lower case.
+        Lower-case names of other headers to leave out.
     """
     named = {n.strip().lower() for n in headers.get("Connection", "").split(",")}
     skipped = HOP_BY_HOP | named | frozenset(excluded)
--- a/packages/fleet/src/teaselledge_fleet/request/serving.py
+++ b/packages/fleet/src/teaselledge_fleet/request/serving.py
@@ -152,9 +152,9 @@
         if resolved.is_error():
             return Error(resolved.error)
         route, organisation = resolved.ok
-        timeout = route.timeout
+        time_limit = route.timeout
         if request.timeout_seconds is not None:
-            timeout = min(timeout, request.timeout_seconds)
+            time_limit = min(time_limit, request.timeout_seconds)
         fraction = hash(request.id) % 997 / 997
         return Ok(
             RequestContext(
@@ -164,7 +164,7 @@
                 route.choose_service(fraction),
                 organisation,
                 received.arrived_at,
-                received.arrived_at + timeout,
+                received.arrived_at + time_limit,
                 version=routing.version,
             )
         )
