--- a/packages/fleet/src/teaselledge_fleet/__init__.py
+++ b/packages/fleet/src/teaselledge_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of routers that serve routes and tell one another what they know."""
+"""A fleet of HTTP routers that share their state by gossip."""
--- a/packages/fleet/src/teaselledge_fleet/faults.py
+++ b/packages/fleet/src/teaselledge_fleet/faults.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, and the answer that each one gets."""
+"""The kinds of fault that end a request, and the response to each of them."""
 
 import json
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 
 class FaultKind(Enum):
-    """Every way in which the router ends a request itself."""
+    """Reasons for which the router itself responds with an error."""
 
     BAD_REQUEST = "bad-request"
     UNKNOWN_KEY = "unknown-key"
@@ -36,15 +36,15 @@
 
 @dataclass(frozen=True)
 class FaultResponse:
-    """How an error kind is told to the caller.
+    """Status and title of the response to a kind of fault.
 
     Attributes
     ----------
     status : int
         HTTP status. 429 and 503 promise that the request has not run and never
-        will; 502 and 504 promise nothing.
+        will; 502 and 504 make no promise.
     title : str
-        Short summary.
+        Short summary for the response body.
     """
 
     status: int
@@ -70,14 +70,14 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One occurrence of an error.
+    """One fault of a request.
 
     Attributes
     ----------
     kind : FaultKind
-        What went wrong.
+        Kind of fault.
     retry_after : float or None
-        Seconds after which asking again may help.
+        Seconds after which a retry by the caller may succeed.
     """
 
     kind: FaultKind
@@ -85,14 +85,18 @@
 
 
 def fault_body(fault: Fault) -> bytes:
-    """Return the body of a fault's answer, a problem object (RFC 9457)."""
-    answer = FAULT_RESPONSES[fault.kind]
-    fields = {"title": answer.title, "status": answer.status, "kind": fault.kind.value}
+    """Return the body of a fault's response, a problem object (RFC 9457)."""
+    response = FAULT_RESPONSES[fault.kind]
+    fields = {
+        "title": response.title,
+        "status": response.status,
+        "kind": fault.kind.value,
+    }
     return json.dumps(fields).encode()
 
 
 def fault_headers(fault: Fault, headers: HTTPHeaders, length: int) -> HTTPHeaders:
-    """Return the headers of a fault's answer."""
+    """Return the headers of a fault's response."""
     result = headers.copy()
     result["Content-Type"] = "application/problem+json"
     result["Content-Length"] = str(length)
--- a/packages/fleet/src/teaselledge_fleet/log.py
+++ b/packages/fleet/src/teaselledge_fleet/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, bounded and never waited for."""
+"""Structured logs: one JSON object a line, rate-limited and non-blocking."""
 
 import json
 import os
@@ -11,52 +11,52 @@
 
 __all__ = ["get_log", "start_logging"]
 
-LINES_PER_SECOND = 200
-"""Lines a second that a process writes in the long run.
+MAX_LINES_PER_SECOND = 200
+"""Sustained rate at which a process writes lines.
 
-A router of the sizes planned for serves 10 to 20 requests a second with at most
-three lines each; ten times that stands for a flood of failures.
+A router is planned to serve 10 to 20 requests a second with at most three lines each;
+ten times that is taken for a flood of failures.
 """
 
-BURST_LINES = 400
-PENDING_LINES = 2000
-"""Lines that wait for a reader that does not read; about 600 KB."""
+MAX_BURST_LINES = 400
+MAX_PENDING_LINES = 2000
+"""Lines buffered while the reader does not read, about 600 KB."""
 
 
 def get_log(part: str) -> "loguru.Logger":
-    """Return the log of one part, whose lines carry its name."""
+    """Return a logger that adds the name of a part of the router to its lines."""
     return loguru.logger.bind(part=part)
 
 
 class LineWriter:
-    """Writes lines to a file descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without blocking.
 
-    A log reader that stops reading would stop the router at its next line. The
-    descriptor is set to non-blocking, lines that it does not take are kept up to a
-    bound, and what is beyond it, or beyond the rate, is dropped and counted. The
-    count is told in the next line that goes out.
+    With a blocking descriptor, a log reader that stops reading would stop the router
+    at its next line. Lines that can't be written immediately are buffered up to a
+    limit. Lines beyond this limit or beyond the rate limit are dropped; the next line
+    written reports how many.
     """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._pending: deque[bytes] = deque()
-        self._dropped = 0
-        self._allowance = float(BURST_LINES)
-        self._filled = time.monotonic()
+        self._dropped_count = 0
+        self._available_lines = float(MAX_BURST_LINES)
+        self._refilled_at = time.monotonic()
         os.set_blocking(descriptor, False)
 
     def __call__(self, message: "loguru.Message") -> None:
-        """Take a record of the logger."""
+        """Write a record of the logger, or drop it."""
         record = message.record
         urgent = record["level"].no >= loguru.logger.level("WARNING").no
         if not self._admit(urgent):
-            self._dropped += 1
+            self._dropped_count += 1
             return
-        self._pending.append(_line(record, self._take_dropped()))
+        self._pending.append(_format_line(record, self._reset_dropped_count()))
         self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write buffered lines until the descriptor would block."""
         while self._pending:
             line = self._pending[0]
             try:
@@ -64,7 +64,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # nobody can read it any more, and there is nowhere else to tell it
+                # the reader has closed its end, and there is no other place to log to
                 self._pending.clear()
                 return
             self._pending.popleft()
@@ -73,25 +73,25 @@
                 return
 
     def _admit(self, urgent: bool) -> bool:
-        if len(self._pending) >= PENDING_LINES:
+        if len(self._pending) >= MAX_PENDING_LINES:
             return False
         now = time.monotonic()
-        gained = (now - self._filled) * LINES_PER_SECOND
-        self._allowance = min(BURST_LINES, self._allowance + gained)
-        self._filled = now
-        # failures may use what ordinary lines must leave
-        reserve = 0.0 if urgent else BURST_LINES / 2
-        if self._allowance < reserve + 1:
+        refilled = (now - self._refilled_at) * MAX_LINES_PER_SECOND
+        self._available_lines = min(MAX_BURST_LINES, self._available_lines + refilled)
+        self._refilled_at = now
+        # half of the burst is reserved for warnings and errors
+        reserve = 0.0 if urgent else MAX_BURST_LINES / 2
+        if self._available_lines < reserve + 1:
             return False
-        self._allowance -= 1
+        self._available_lines -= 1
         return True
 
-    def _take_dropped(self) -> int:
-        dropped, self._dropped = self._dropped, 0
+    def _reset_dropped_count(self) -> int:
+        dropped, self._dropped_count = self._dropped_count, 0
         return dropped
 
 
-def _line(record: "loguru.Record", dropped: int) -> bytes:
+def _format_line(record: "loguru.Record", dropped: int) -> bytes:
     extra = dict(record["extra"])
     fields: dict[str, Any] = {
         "at": round(record["time"].timestamp(), 3),
@@ -102,14 +102,14 @@
     }
     if record["exception"] is not None:
         fields["error"] = repr(record["exception"].value)
-        fields["where"] = _where(record["exception"].traceback)
+        fields["where"] = _traceback_lines(record["exception"].traceback)
     if dropped:
         fields["dropped_lines"] = dropped
     return json.dumps(fields, default=str).encode() + b"\n"
 
 
-def _where(traceback: Any) -> list[str]:
-    """Return file and line of each frame, without the values of variables."""
+def _traceback_lines(traceback: Any) -> list[str]:
+    """Return the file and line of each frame, without values of variables."""
     frames = []
     while traceback is not None:
         code = traceback.tb_frame.f_code
@@ -119,7 +119,7 @@
 
 
 def start_logging(level: str = "INFO") -> LineWriter:
-    """Send logs to standard output and return the writer."""
+    """Write logs to standard output, and return the writer."""
     writer = LineWriter(sys.stdout.fileno())
     loguru.logger.remove()
     loguru.logger.add(writer, level=level, diagnose=False, backtrace=False)
--- a/packages/fleet/src/teaselledge_fleet/version/routes.py
+++ b/packages/fleet/src/teaselledge_fleet/version/routes.py
@@ -16,28 +16,28 @@
 
 
 class RetryPolicy(Enum):
-    """What may be done again when an attempt fails."""
+    """Whether and how a request may be retried after an attempt that may have run."""
 
     ANY = "any"
     """Idempotent: may run any number of times."""
 
     NEVER = "never"
-    """Runs at most once."""
+    """May run at most once."""
 
     RESUME = "resume"
-    """A stream that another endpoint can continue after a given event."""
+    """A stream that another endpoint can resume after a given event."""
 
 
 @dataclass(frozen=True)
 class Target:
-    """A service that a route leads to.
+    """A service to which a route sends requests.
 
     Attributes
     ----------
     service : str
         Name of the service.
     weight : float
-        Share of the route's requests, relative to the other targets.
+        Weight relative to the other targets of the route.
     """
 
     service: str
@@ -46,33 +46,33 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Rules for one kind of request.
+    """Matching and handling of one kind of request.
 
     Attributes
     ----------
     name : str
         Unique within a version.
     host, prefix : str
-        Select the route: the longest prefix of the path on that host.
-    retry_policy : Repeat
-        What may be repeated.
+        Host and path prefix of matching requests; the longest prefix wins.
+    retry_policy : RetryPolicy
+        Which retries are allowed.
     stream : bool
-        Whether the answer is a series of events.
+        Whether the response is an event stream.
     carries_prompt : bool
         Whether requests carry a prompt for a model engine.
     timeout, latency_objective : float
-        Longest time to a final answer, and the time aimed at, in seconds. For
-        a stream the objective is the time to its first event.
+        Maximum time to the end of the response, and the latency objective, in
+        seconds. For a stream the objective is the time to its first event.
     event_gap_objective : float
-        Longest pause between events that is still on time, in seconds.
+        Latency objective for the gap between events, in seconds.
     attempts : int
-        Most endpoints that one request is sent to.
+        Maximum number of endpoints to which one request is sent.
     priority : int
         0 is the most urgent.
     public : bool
-        Whether no key is needed.
+        Whether requests need no key.
     targets : tuple of Target
-        Where its requests go.
+        Services to which the requests are sent.
     """
 
     name: str
@@ -90,27 +90,27 @@
     targets: tuple[Target, ...]
 
     def choose_service(self, fraction: float) -> str:
-        """Return the service for a request, given a number from 0 to below 1."""
-        left = fraction * sum(target.weight for target in self.targets)
+        """Return the service for a request, given a number in [0, 1)."""
+        remaining = fraction * sum(target.weight for target in self.targets)
         for target in self.targets:
-            left -= target.weight
-            if left < 0:
+            remaining -= target.weight
+            if remaining < 0:
                 return target.service
         return self.targets[-1].service
 
 
 @dataclass(frozen=True)
 class ServiceConfiguration:
-    """A service and what its endpoints accept.
+    """A service and the limits of its endpoints.
 
     Attributes
     ----------
     name : str
         Unique within a version.
     health_path : str
-        Path that tells whether an endpoint is well.
+        Path of the endpoints' health check.
     max_connections : int
-        Connections that one endpoint accepts from all routers together.
+        Number of connections that one endpoint accepts from all routers together.
     """
 
     name: str
@@ -129,7 +129,7 @@
     keys : tuple of str
         Bearer keys.
     priority : int or None
-        Replaces the rank of the route.
+        Overrides the priority of the route.
     """
 
     name: str
@@ -139,17 +139,17 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What callers may send.
+    """Limits on callers' requests, and the capacity of all engines.
 
     Attributes
     ----------
     header_bytes, body_bytes : int
-        Largest headers and body.
+        Maximum size of the headers and of the body.
     header_seconds, idle_seconds : float
-        Longest time for the headers, and between requests.
+        Timeout for receiving the headers, and for the next request.
     capacity_tokens_per_second : float
-        What all model engines do together, a token read counting one and a
-        token generated two; 0 where it is not told.
+        Capacity of all model engines together, where a prompt token counts as one
+        and a generated token as two; 0 if unknown.
     """
 
     header_bytes: int = 16_384
@@ -161,20 +161,20 @@
 
 @dataclass(frozen=True)
 class RoutingConfiguration:
-    """A whole version.
+    """A complete version of the configuration.
 
     Attributes
     ----------
     version : int
-        Grows from one version to the next.
+        Increases with each new version.
     routes : tuple of Route
         All routes.
-    services : mapping of str to ServiceEntry
+    services : mapping of str to ServiceConfiguration
         Services by name.
     organisations : tuple of Organisation
-        Empty where no keys are used.
+        Organisations; empty if keys are not used.
     limits : CallerLimits
-        What callers may send.
+        Limits on callers' requests.
     """
 
     version: int
@@ -184,24 +184,26 @@
     limits: CallerLimits = field(default_factory=CallerLimits)
 
     def __post_init__(self) -> None:
-        by_host: dict[str, list[Route]] = {}
+        routes_by_host: dict[str, list[Route]] = {}
         for route in self.routes:
-            by_host.setdefault(route.host, []).append(route)
-        for routes in by_host.values():
+            routes_by_host.setdefault(route.host, []).append(route)
+        for routes in routes_by_host.values():
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
-        holders = {key: org for org in self.organisations for key in org.keys}
-        object.__setattr__(self, "_by_host", by_host)
-        object.__setattr__(self, "_holders", holders)
+        organisation_by_key = {
+            key: org for org in self.organisations for key in org.keys
+        }
+        object.__setattr__(self, "_by_host", routes_by_host)
+        object.__setattr__(self, "_holders", organisation_by_key)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of a path, None without one."""
-        by_host: dict[str, list[Route]] = self._by_host  # type: ignore[attr-defined]
-        for route in by_host.get(host, ()):
+        """Return the route with the longest matching prefix, None if none matches."""
+        routes_by_host: dict[str, list[Route]] = self._by_host  # type: ignore[attr-defined]
+        for route in routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def find_organisation(self, key: str) -> Organisation | None:
-        """Return the organisation that holds a key."""
-        holders: dict[str, Organisation] = self._holders  # type: ignore[attr-defined]
-        return holders.get(key)
+        """Return the organisation of a key, None if the key is unknown."""
+        organisation_by_key: dict[str, Organisation] = self._holders  # type: ignore[attr-defined]
+        return organisation_by_key.get(key)
--- a/packages/fleet/tests/test_log.py
+++ b/packages/fleet/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Tests that logging is bounded and never waits."""
+"""Tests that logging is limited and does not block."""
 
 import json
 import os
@@ -6,8 +6,8 @@
 
 import loguru
 from teaselledge_fleet.log import (
-    BURST_LINES,
-    PENDING_LINES,
+    MAX_BURST_LINES,
+    MAX_PENDING_LINES,
     LineWriter,
     get_log,
 )
@@ -15,7 +15,7 @@
 
 @contextmanager
 def pipe():
-    """Give the two ends of a pipe that nobody reads yet."""
+    """Yield the read and write end of a pipe."""
     reader, writer = os.pipe()
     os.set_blocking(reader, False)
     yield reader, writer
@@ -23,63 +23,63 @@
     os.close(writer)
 
 
-def lines_of(reader: int) -> list[dict]:
+def read_lines(reader: int) -> list[dict]:
     data = b""
     while True:
         try:
-            part = os.read(reader, 1 << 20)
+            chunk = os.read(reader, 1 << 20)
         except BlockingIOError:
             break
-        data += part
+        data += chunk
     return [json.loads(line) for line in data.splitlines()]
 
 
-def test_a_reader_that_stops_reading_is_not_waited_for(pipe):
-    """The log's reader hangs, and the router must go on serving."""
+def test_reader_that_stops_reading_does_not_block(pipe):
+    """The reader of the log hangs; the router must not block at its next line."""
     reader, descriptor = pipe
     writer = LineWriter(descriptor)
-    writer._allowance = 1e9
+    writer._available_lines = 1e9
     handler = loguru.logger.add(writer)
     log = get_log("test")
-    for number in range(3 * PENDING_LINES):
-        writer._allowance = 1e9
+    for number in range(3 * MAX_PENDING_LINES):
+        writer._available_lines = 1e9
         log.warning("line", number=number, filler="x" * 500)
-    assert len(writer._pending) <= PENDING_LINES
-    lines_of(reader)
+    assert len(writer._pending) <= MAX_PENDING_LINES
+    read_lines(reader)
     for _ in range(200):
         writer.flush()
-        lines_of(reader)
-    writer._allowance = 1e9
+        read_lines(reader)
+    writer._available_lines = 1e9
     log.warning("line after")
-    (last,) = lines_of(reader)
+    (last,) = read_lines(reader)
     assert last["dropped_lines"] > 0
     loguru.logger.remove(handler)
 
 
-def test_a_flood_keeps_failures_and_counts_the_rest(pipe):
+def test_flood_keeps_warnings_and_counts_dropped_lines(pipe):
     reader, descriptor = pipe
     writer = LineWriter(descriptor)
     handler = loguru.logger.add(writer)
     log = get_log("test")
-    for _ in range(2 * BURST_LINES):
+    for _ in range(2 * MAX_BURST_LINES):
         log.info("ordinary")
     for _ in range(50):
         log.warning("failure")
-    lines = lines_of(reader)
+    lines = read_lines(reader)
     loguru.logger.remove(handler)
     assert sum(line["event"] == "failure" for line in lines) == 50
-    assert sum(line["event"] == "ordinary" for line in lines) <= BURST_LINES
-    assert sum(line.get("dropped_lines", 0) for line in lines) >= BURST_LINES
+    assert sum(line["event"] == "ordinary" for line in lines) <= MAX_BURST_LINES
+    assert sum(line.get("dropped_lines", 0) for line in lines) >= MAX_BURST_LINES
 
 
-def test_an_exception_is_told_without_values(pipe):
+def test_exception_is_logged_without_values_of_variables(pipe):
     reader, descriptor = pipe
     handler = loguru.logger.add(LineWriter(descriptor))
     try:
         raise ValueError("bad")
     except ValueError:
         get_log("test").exception("failed")
-    (line,) = lines_of(reader)
+    (line,) = read_lines(reader)
     loguru.logger.remove(handler)
     assert line["error"] == "ValueError('bad')"
     assert line["where"][0].startswith("test_log.py:")
--- a/packages/fleet/tests/test_metrics.py
+++ b/packages/fleet/tests/test_metrics.py
@@ -1,25 +1,25 @@
-"""Tests of the page of metrics."""
+"""Tests of the metrics page."""
 
 from teaselledge_fleet.process.metrics import METRICS, FleetMetrics
 from teaselledge_fleet.process.metricspage import metrics_page
 
-COLLECTED_BYTES = 4096
-"""What a collector may keep of each page."""
+MAX_COLLECTED_BYTES = 4096
+"""Size to which a collector may truncate the page."""
 
 
-def test_gauges_stand_before_what_grows_with_services():
-    """Of a cut page, on-call needs how busy a router is more than its histograms."""
+def test_gauges_precede_metrics_that_grow_with_services():
+    """From a truncated page, operators need the router's utilisation most."""
     metrics = FleetMetrics()
     for service in range(10):
         metrics.observe("request_seconds", 0.1, service=f"s{service}")
         metrics.count("requests", outcome="whole", fault="", service=f"s{service}")
-    page = metrics_page(metrics)[:COLLECTED_BYTES].decode()
+    page = metrics_page(metrics)[:MAX_COLLECTED_BYTES].decode()
     for name, metric in METRICS.items():
         if metric.kind == "gauge":
             assert f"\nteaselledge_{name} " in page, name
 
 
-def test_page_holds_what_was_counted():
+def test_page_contains_the_counted_values():
     metrics = FleetMetrics()
     metrics.set("store_calls", 7)
     metrics.count("attempts", outcome="whole", service="books")
