--- a/packages/fleet/src/teaselledge_fleet/connection/accepting.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/accepting.py
@@ -1,4 +1,4 @@
-"""Listen for connections, and decide what becomes of each."""
+"""Listen for connections, and serve, relay or refuse each of them."""
 
 import asyncio
 import socket
@@ -32,33 +32,36 @@
 _log = get_log("accepting")
 
 PREFACE_SECONDS = 1.0
-"""A router sends its preface with the connection; callers wait no longer either."""
+"""Timeout for the preface of a relayed connection. The relaying router sends it
+immediately, and callers would not wait longer for a response either."""
 
 REFUSALS_PER_SAMPLE = 8
-"""Of so many connections that are refused for want of time, one is read."""
+"""One of this number of connections refused for overload is read."""
 
-MIN_RETRY_SECONDS, MAX_RETRY_SECONDS, RETRY_STEPS = 0.5, 1.5, 11
-"""Seconds after which callers come back that were refused unread. All of them may come
-back to this router, so they are spread over the time in which its streams end."""
+MIN_RETRY_SECONDS, MAX_RETRY_SECONDS, RETRY_AFTER_STEPS = 0.5, 1.5, 11
+"""Range of the ``Retry-After`` that callers get when they are refused unread. All of
+them may retry at this router, so their retries are spread over the time in which its
+current streams end."""
 
 BACKLOG = 1024
-"""Connections that wait to be accepted; beyond it, opening packets are dropped and
+"""Connections that wait to be accepted. Beyond this number SYN packets are dropped, and
 sent again a second later."""
 
 
 @dataclass(frozen=True)
 class ConnectionOrigin:
-    """How a connection came to this router.
+    """How a connection reached this router.
 
     Attributes
     ----------
     min_version : int or None
-        Configuration in force at the router that passed it on; None where a caller
-        connected here.
+        Version of the configuration in force at the relaying router, None if a caller
+        connected directly.
     sample_weight : int
-        Requests that it is a sample of; the others were refused unread.
+        Number of refused connections that this one represents in statistics; the
+        others were refused without being read.
     overloaded : bool
-        Whether this router has no time for it; it is read all the same.
+        Whether this router is overloaded. The request is then read, and refused.
     """
 
     min_version: int | None = None
@@ -76,33 +79,33 @@
 
 
 class Acceptor:
-    """Accepts connections; each is served here, passed on, or refused.
+    """Accepts connections, and serves, relays or refuses each of them.
 
     Parameters
     ----------
     serve : callable
-        Takes a connection that is served here, and its address.
+        Called with each connection that this router serves, and its address.
     idle_seconds : float
-        Time after which a connection that is passed on is closed if nothing passes.
+        Time after which a relayed connection without any bytes is closed.
 
     Attributes
     ----------
     accepted, relayed : int
-        Connections that callers have opened, and those that other routers took over.
+        Number of connections opened by callers, and of those relayed to other routers.
     sampled : int
-        Connections that were refused and read all the same.
+        Number of refused connections whose request was read.
     choose_relay_target : callable
-        Returns where another router takes over a new connection, None where it is to
-        be served here.
+        Returns the address to which a new connection is relayed, None if this router
+        serves it.
     peers_have_capacity : callable
-        Whether other routers are taken to have room for one more connection.
+        Returns whether other routers are expected to accept one more connection.
     on_relayed, on_relay_refused : callable
-        Called for each connection that is passed on, with where to, and for each of
-        them that the other router refuses.
+        Called for each relayed connection with its target's address, and for each
+        relayed connection that the target refuses.
     version : callable
         Returns the version of the configuration in force.
     has_capacity : callable
-        Whether the router has time for one more connection.
+        Returns whether this router has capacity for one more connection.
     """
 
     def __init__(
@@ -111,7 +114,7 @@
         self._serve = serve
         self.choose_relay_target: Callable[[], str | None] = lambda: None
         self.peers_have_capacity: Callable[[], bool] = lambda: True
-        self.on_relayed: Callable[[str], None] = lambda router: None
+        self.on_relayed: Callable[[str], None] = lambda target: None
         self.on_relay_refused: Callable[[], None] = lambda: None
         self.version: Callable[[], int] = lambda: 0
         self.has_capacity: Callable[[], bool] = lambda: True
@@ -120,7 +123,7 @@
         self.sampled = 0
         self._relays = RelayPool(idle_seconds)
         self._relays.on_relay_refused = lambda: self.on_relay_refused()
-        self._refusals = LoadShedder(_refusals())
+        self._shedder = LoadShedder(_encode_refusals())
         self._origins: WeakKeyDictionary[IOStream, ConnectionOrigin] = (
             WeakKeyDictionary()
         )
@@ -129,71 +132,71 @@
 
     @property
     def refused(self) -> int:
-        """Connections refused for want of time."""
-        return self._refusals.refused + self.sampled
+        """Number of connections refused for overload."""
+        return self._shedder.refused + self.sampled
 
     @property
     def active_relays(self) -> int:
-        """Connections that are being passed on."""
+        """Number of connections being relayed."""
         return self._relays.running
 
     def listen(self, host: str, port: int) -> list[int]:
-        """Listen on an address for callers; return the ports."""
+        """Listen for callers on an address; return the ports."""
         return self._listen(host, port, self._accept)
 
     def listen_for_relays(self, host: str, port: int) -> None:
-        """Listen on an address for connections that other routers pass on."""
-        self._listen(host, port, self._accept_passed_on)
+        """Listen on an address for connections relayed by other routers."""
+        self._listen(host, port, self._accept_relayed)
 
     def origin_of(self, stream: IOStream | None) -> ConnectionOrigin:
-        """Return how a connection came here."""
+        """Return how a connection reached this router."""
         return self._origins.get(stream, DIRECT_ORIGIN) if stream else DIRECT_ORIGIN
 
     def stop(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         for listener in self._listeners:
             listener.stop()
             listener.socket.close()
         self._listeners.clear()
 
     def close(self) -> None:
-        """Break off all connections that are not served here."""
+        """Close all connections that are being relayed or refused."""
         for task in self._tasks:
             task.cancel()
         self._relays.close()
-        self._refusals.close()
+        self._shedder.close()
 
     def _listen(
         self, host: str, port: int, accept: Callable[[socket.socket, Any], None]
     ) -> list[int]:
         sockets = bind_sockets(port, host, backlog=BACKLOG)
-        for sock in sockets:
-            stop = add_accept_handler(sock, accept)
-            self._listeners.append(_Listener(sock, stop))
-        return [sock.getsockname()[1] for sock in sockets]
+        for listening in sockets:
+            stop = add_accept_handler(listening, accept)
+            self._listeners.append(_Listener(listening, stop))
+        return [listening.getsockname()[1] for listening in sockets]
 
     def _accept(self, connection: socket.socket, address: Any) -> None:
         self.accepted += 1
         if not self.has_capacity():
             self._refuse(connection, address)
             return
-        router = None if self._relays.full else self.choose_relay_target()
-        if router is None:
+        target = None if self._relays.full else self.choose_relay_target()
+        if target is None:
             self._serve(IOStream(connection), address)
             return
         if not self.peers_have_capacity():
             self._refuse(connection, address)
             return
-        self.on_relayed(router)
-        self._start(self._pass_on(connection, address, router))
+        self.on_relayed(target)
+        self._start(self._relay(connection, address, target))
 
     def _refuse(self, connection: socket.socket, address: Any) -> None:
-        """Refuse a connection, most of them without reading the request.
+        """Refuse a connection, in most cases without reading the request.
 
-        Some are read, so that it is known whose requests these are.
+        A sample is read to attribute the refused demand to organisations.
         """
         if self.refused % REFUSALS_PER_SAMPLE:
-            self._refusals.refuse(connection)
+            self._shedder.refuse(connection)
             return
         stream = IOStream(connection)
         self._origins[stream] = ConnectionOrigin(
@@ -202,20 +205,20 @@
         self.sampled += 1
         self._serve(stream, address)
 
-    async def _pass_on(
-        self, connection: socket.socket, address: Any, router: str
+    async def _relay(
+        self, connection: socket.socket, address: Any, target: str
     ) -> None:
         connection.setblocking(False)
-        greeting = preface(self.version())
-        if await self._relays.relay(connection, router, greeting):
+        preface_line = preface(self.version())
+        if await self._relays.relay(connection, target, preface_line):
             self.relayed += 1
             return
         self._serve(IOStream(connection), address)
 
-    def _accept_passed_on(self, connection: socket.socket, address: Any) -> None:
-        self._start(self._take_over(IOStream(connection), address))
+    def _accept_relayed(self, connection: socket.socket, address: Any) -> None:
+        self._start(self._serve_relayed(IOStream(connection), address))
 
-    async def _take_over(self, stream: IOStream, address: Any) -> None:
+    async def _serve_relayed(self, stream: IOStream, address: Any) -> None:
         try:
             async with asyncio.timeout(PREFACE_SECONDS):
                 line = await stream.read_until(b"\n", max_bytes=PREFACE_BYTES)
@@ -224,33 +227,38 @@
             return
         version = read_preface(line)
         if version is None:
-            _log.warning("connection without a preface", router=address[0])
+            _log.warning(
+                "relayed connection without a valid preface", router=address[0]
+            )
             stream.close()
             return
-        # the router that passed it on has chosen by what it heard some pulses ago
-        crowded = not self.has_capacity()
+        # the relaying router chose this one by heartbeats that are already old
+        overloaded = not self.has_capacity()
         self._origins[stream] = ConnectionOrigin(
-            min_version=version, overloaded=crowded
+            min_version=version, overloaded=overloaded
         )
         self._serve(stream, address)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _start(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-def _refusals() -> list[bytes]:
-    """Return answers that promise that a request has not run, for several times."""
-    found = []
-    for step in range(RETRY_STEPS):
-        part = step / (RETRY_STEPS - 1)
-        seconds = MIN_RETRY_SECONDS + part * (MAX_RETRY_SECONDS - MIN_RETRY_SECONDS)
+def _encode_refusals() -> list[bytes]:
+    """Return encoded refusals with ``Retry-After`` values over the whole range.
+
+    Their status promises that the request has not run.
+    """
+    encoded = []
+    for step in range(RETRY_AFTER_STEPS):
+        fraction = step / (RETRY_AFTER_STEPS - 1)
+        seconds = MIN_RETRY_SECONDS + fraction * (MAX_RETRY_SECONDS - MIN_RETRY_SECONDS)
         fault = Fault(FaultKind.ROUTER_BUSY, seconds)
         body = fault_body(fault)
         headers = fault_headers(fault, HTTPHeaders({"Connection": "close"}), len(body))
         status = FAULT_RESPONSES[fault.kind].status
         lines = [f"HTTP/1.1 {status} {responses[status]}"]
         lines += [f"{name}: {value}" for name, value in headers.get_all()]
-        found.append("\r\n".join([*lines, "", ""]).encode() + body)
-    return found
+        encoded.append("\r\n".join([*lines, "", ""]).encode() + body)
+    return encoded
--- a/packages/fleet/src/teaselledge_fleet/connection/codec.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/codec.py
@@ -1,4 +1,4 @@
-"""Encode and decode messages between routers, by thrift's compact protocol."""
+"""Encode and decode messages between routers in Thrift's compact protocol."""
 
 import zlib
 from typing import TypeVar
@@ -28,11 +28,11 @@
 ]
 
 PROTOCOL = 2
-"""Version of the messages."""
+"""Version of the message format."""
 
 MAX_STATE_BYTES = 32 << 20
 
-_factory = TCompactProtocol.TCompactProtocolAcceleratedFactory(fallback=True)
+_PROTOCOL_FACTORY = TCompactProtocol.TCompactProtocolAcceleratedFactory(fallback=True)
 
 MessageT = TypeVar("MessageT", PeerMessage, WholeState)
 
@@ -45,9 +45,9 @@
     | PartReply
     | PartNote
 )
-"""What one datagram may hold."""
+"""Payload of a datagram."""
 
-_FIELDS: dict[type, str] = {
+_DATAGRAM_FIELDS: dict[type, str] = {
     Pulse: "pulse",
     WorkReport: "report",
     AdmissionRequest: "request",
@@ -58,67 +58,67 @@
 }
 
 
-def encode_datagram(content: Datagram) -> bytes:
-    """Encode what one datagram holds."""
-    field = _FIELDS[type(content)]
-    return _encode(PeerMessage(protocol=PROTOCOL, **{field: content}))
+def encode_datagram(payload: Datagram) -> bytes:
+    """Encode a datagram with a payload."""
+    field = _DATAGRAM_FIELDS[type(payload)]
+    return _encode(PeerMessage(protocol=PROTOCOL, **{field: payload}))
 
 
 def decode_datagram(data: bytes) -> Result[Datagram, str]:
-    """Decode a datagram."""
+    """Return the payload of a datagram, or why it is invalid."""
     decoded = _decode(PeerMessage(), data)
     if decoded.is_error():
         return Error(decoded.error)
     message = decoded.ok
-    for field in _FIELDS.values():
-        content: Datagram | None = getattr(message, field)
-        if content is not None:
-            return _checked(content)
-    return Error("empty")
+    for field in _DATAGRAM_FIELDS.values():
+        payload: Datagram | None = getattr(message, field)
+        if payload is not None:
+            return _validate(payload)
+    return Error("datagram without a known payload")
 
 
 def encode_state(state: WholeState) -> bytes:
-    """Encode a whole state, compressed."""
+    """Encode and compress a snapshot."""
     return zlib.compress(_encode(state), 1)
 
 
 def decode_state(data: bytes) -> Result[WholeState, str]:
-    """Decode a whole state."""
+    """Decode a compressed snapshot."""
     inflater = zlib.decompressobj()
     try:
-        plain = inflater.decompress(data, MAX_STATE_BYTES)
+        inflated = inflater.decompress(data, MAX_STATE_BYTES)
     except zlib.error as error:
         return Error(str(error))
     if not inflater.eof:
-        return Error("truncated or too large")
-    decoded = _decode(WholeState(), plain)
-    if decoded.is_ok() and not _named(decoded.ok):
+        return Error("snapshot truncated or too large")
+    decoded = _decode(WholeState(), inflated)
+    if decoded.is_ok() and not _has_sender(decoded.ok):
         return Error("no sender")
     return decoded
 
 
-def _checked(content: Datagram) -> Result[Datagram, str]:
-    if isinstance(content, Pulse) and not _named(content):
+def _validate(payload: Datagram) -> Result[Datagram, str]:
+    if isinstance(payload, Pulse) and not _has_sender(payload):
         return Error("no sender")
-    return Ok(content)
+    return Ok(payload)
 
 
-def _named(message: Pulse | WholeState) -> bool:
+def _has_sender(message: Pulse | WholeState) -> bool:
     return message.sender is not None and bool(message.sender.vm)
 
 
 def _encode(message: PeerMessage | WholeState) -> bytes:
     transport = TTransport.TMemoryBuffer()
-    message.write(_factory.getProtocol(transport))
+    message.write(_PROTOCOL_FACTORY.getProtocol(transport))
     return transport.getvalue()
 
 
 def _decode(message: MessageT, data: bytes) -> Result[MessageT, str]:
     try:
-        message.read(_factory.getProtocol(TTransport.TMemoryBuffer(data)))
+        message.read(_PROTOCOL_FACTORY.getProtocol(TTransport.TMemoryBuffer(data)))
     except Exception as error:
-        # the library raises errors of many kinds on malformed bytes
+        # Thrift raises many types of exception for malformed bytes
         return Error(repr(error))
     if message.protocol != PROTOCOL:
-        return Error(f"protocol {message.protocol}")
+        return Error(f"unsupported protocol version {message.protocol}")
     return Ok(message)
--- a/packages/fleet/src/teaselledge_fleet/connection/endpoint.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/endpoint.py
@@ -21,62 +21,61 @@
 ]
 
 CONNECT_SECONDS = 0.5
-"""Time for a connection to be established.
+"""Timeout for establishing a connection.
 
-The farthest endpoint answers in 46 ms (two ways of 20 ms and 3 ms); a lost opening
-packet is sent again after a second, by which time another endpoint is the better
-choice.
+The farthest endpoint accepts within 46 ms (20 ms and 3 ms each way).
+A lost SYN packet is sent again only after a second, so that another endpoint is the
+better choice by then.
 """
 
 TCP_USER_TIMEOUT_MS = 1500
-"""Time after which data that the endpoint's host does not acknowledge ends it.
+"""Time without acknowledgement of sent data after which a connection is closed.
 
-A connection can go silent for good without a reset. Without this limit a request on
-it would wait for its whole deadline. It leaves room for a packet that is lost and
-sent again twice.
+A connection can fail without a reset, and a request on it would then wait until its
+deadline. The limit leaves time for a packet to be lost and retransmitted twice.
 """
 
-PROBE_SECONDS = 1
-PROBES = 2
-"""Probes of a connection on which nothing moves, for the same reason."""
+KEEPALIVE_PROBE_SECONDS = 1
+MAX_KEEPALIVE_PROBES = 2
+"""Keep-alive probes detect an idle connection that failed without a reset."""
 
 READ_BYTES = 64 * 1024
 MAX_QUEUED_CHUNKS = 8
-"""Parts of an answer that wait for a slow caller; then reading stops."""
+"""Chunks of a response that are queued for a slow caller before reading stops."""
 
 MAX_HEAD_BYTES = 64 * 1024
 MAX_SKIPPED_RESPONSES = 2
-"""Answers to other requests that are skipped before a connection is given up."""
+"""Responses to other requests that are skipped before a connection is closed."""
 
 
 class SendFault(Enum):
-    """Why no answer came."""
+    """Why an attempt got no response."""
 
     REFUSED = "refused"
-    """Nothing listens at the address: nothing was sent."""
+    """The connection was refused: nothing was sent."""
 
     UNREACHABLE = "unreachable"
-    """No connection came about: nothing was sent."""
+    """The connection was not established: nothing was sent."""
 
     CLOSED = "closed"
-    """The connection ended after the request was sent, before an answer."""
+    """The connection closed after the request was sent and before a response."""
 
     GARBAGE = "garbage"
-    """What came is not HTTP."""
+    """The received bytes are not HTTP, or belong to too many other requests."""
 
 
 @dataclass(frozen=True)
 class SendFailure:
-    """An attempt that got no answer.
+    """An attempt that got no response.
 
     Attributes
     ----------
     fault : SendFault
-        What happened.
+        Cause of the failure.
     sent : bool
         Whether the endpoint may have received the request.
     reused : bool
-        Whether the connection had served a request before.
+        Whether the connection had been used for an earlier request.
     """
 
     fault: SendFault
@@ -85,158 +84,165 @@
 
 
 class IncompleteResponseError(Exception):
-    """The endpoint stopped in the middle of its answer."""
+    """The response ended before it was complete."""
 
 
 @dataclass(frozen=True)
-class _End:
-    whole: bool
+class _ResponseEnd:
+    complete: bool
     detail: str = ""
 
 
 @dataclass(frozen=True)
-class _Failed:
+class _ResponseFailure:
     fault: SendFault
 
 
-_Part = ResponseHead | bytes | _End | _Failed
+_ResponsePart = ResponseHead | bytes | _ResponseEnd | _ResponseFailure
 
 
 class Exchange:
-    """One request on a connection, and its answer.
+    """One request on a connection, and its response.
 
-    An engine may answer an earlier request twice, and the second answer may come
-    where this one's is expected. It is known by its id and skipped.
+    An engine may answer an earlier request twice, and the second response may arrive
+    where that to this request is expected. It is recognised by its id and skipped.
     """
 
     def __init__(
         self,
         connection: "EndpointConnection",
-        call: CallerRequest,
-        dialect: HeaderCodec,
+        request: CallerRequest,
+        codec: HeaderCodec,
     ) -> None:
         self._connection = connection
-        self._call = call
-        self._dialect = dialect
-        self._parts: asyncio.Queue[_Part] = asyncio.Queue(maxsize=MAX_QUEUED_CHUNKS)
+        self._request = request
+        self._codec = codec
+        self._queue: asyncio.Queue[_ResponsePart] = asyncio.Queue(
+            maxsize=MAX_QUEUED_CHUNKS
+        )
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
-        self._request: tuple[h11.Request, bytes] | None = None
+        self._encoded_request: tuple[h11.Request, bytes] | None = None
         self._skipping = False
         self._skipped = 0
         self._ended = False
-        self._dropped = False
-        self._began = False
+        self._cancelled = False
+        self._head_received = False
 
     def encode_request(self, headers: list[tuple[str, str]], body: bytes) -> bytes:
         """Return the bytes of the request."""
-        call = self._call
+        request = self._request
         encoded = [(n.encode("latin1"), v.encode("latin1")) for n, v in headers]
-        if body or call.method in ("POST", "PUT", "PATCH"):
+        if body or request.method in ("POST", "PUT", "PATCH"):
             encoded.append((b"Content-Length", str(len(body)).encode()))
-        request = h11.Request(
-            method=call.method.encode("latin1"),
-            target=call.target.encode("latin1"),
+        h11_request = h11.Request(
+            method=request.method.encode("latin1"),
+            target=request.target.encode("latin1"),
             headers=encoded,
         )
-        self._request = (request, body)
-        return self._send(self._http)
+        self._encoded_request = (h11_request, body)
+        return self._encode(self._http)
 
     async def head(self) -> Result[ResponseHead, SendFailure]:
-        """Wait for the head of the answer."""
-        part = await self._parts.get()
+        """Wait for the head of the response."""
+        part = await self._queue.get()
         if isinstance(part, ResponseHead):
             return Ok(part)
-        fault = part.fault if isinstance(part, _Failed) else SendFault.CLOSED
+        fault = part.fault if isinstance(part, _ResponseFailure) else SendFault.CLOSED
         return Error(SendFailure(fault, True, self._connection.reused))
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Iterate over the body; `IncompleteResponseError` where it stops short."""
+        """Iterate over the body; raise `IncompleteResponseError` if it is truncated."""
         while True:
-            part = await self._parts.get()
+            part = await self._queue.get()
             if isinstance(part, bytes):
                 yield part
                 continue
-            if isinstance(part, _End) and part.whole:
+            if isinstance(part, _ResponseEnd) and part.complete:
                 return
-            raise IncompleteResponseError(part.detail if isinstance(part, _End) else "")
+            raise IncompleteResponseError(
+                part.detail if isinstance(part, _ResponseEnd) else ""
+            )
 
     def cancel(self) -> None:
-        """Drop the exchange and its connection; the endpoint stops its work."""
-        self._dropped = True
+        """Cancel the exchange; if it has not ended, its connection is closed.
+
+        The endpoint then stops its work on the request.
+        """
+        self._cancelled = True
         if not self._ended:
             self._connection.close()
-        # the reading task must not wait for a reader that has gone, also with the
-        # last part of a whole answer
-        while not self._parts.empty():
-            self._parts.get_nowait()
+        # empties the queue, as nothing else reads from it now and the reading task
+        # would block on a full queue, even with the end of a complete response
+        while not self._queue.empty():
+            self._queue.get_nowait()
 
     async def feed(self, data: bytes) -> None:
-        """Take bytes from the connection; empty at a clean end."""
+        """Process bytes from the connection; no bytes mean a clean close."""
         try:
             self._http.receive_data(data)
-            await self._drain_events()
+            await self._process_events()
         except h11.RemoteProtocolError as error:
             await self._fail(SendFault.GARBAGE if data else SendFault.CLOSED, error)
 
     def fail_unsent(self) -> None:
-        """End it because the connection had closed before."""
+        """Fail the exchange, as the connection closed before the request was sent."""
         self._ended = True
-        self._parts.put_nowait(_Failed(SendFault.CLOSED))
+        self._queue.put_nowait(_ResponseFailure(SendFault.CLOSED))
 
     async def on_connection_reset(self) -> None:
-        """Take the news that the connection broke without a clean end."""
+        """Fail the exchange, as the connection ended without a clean close."""
         await self._fail(SendFault.CLOSED, None)
 
-    async def _put(self, part: _Part) -> None:
-        if not self._dropped:
-            await self._parts.put(part)
+    async def _put(self, part: _ResponsePart) -> None:
+        if not self._cancelled:
+            await self._queue.put(part)
 
-    def _send(self, http: h11.Connection) -> bytes:
-        assert self._request is not None
-        request, body = self._request
-        sent = [http.send(request)]
+    def _encode(self, http: h11.Connection) -> bytes:
+        assert self._encoded_request is not None
+        request, body = self._encoded_request
+        encoded = [http.send(request)]
         if body:
-            sent.append(http.send(h11.Data(data=body)))
-        sent.append(http.send(h11.EndOfMessage()))
-        return b"".join(part or b"" for part in sent)
+            encoded.append(http.send(h11.Data(data=body)))
+        encoded.append(http.send(h11.EndOfMessage()))
+        return b"".join(part or b"" for part in encoded)
 
-    async def _drain_events(self) -> None:
+    async def _process_events(self) -> None:
         while not self._ended:
             event = self._http.next_event()
             if not isinstance(event, h11.Event):
-                # it needs more bytes, or waits for the next request
+                # more bytes are needed, or the response is complete
                 return
             if isinstance(event, h11.ConnectionClosed):
                 await self._fail(SendFault.CLOSED, None)
                 return
-            await self._take(event)
+            await self._process_event(event)
 
-    async def _take(self, event: h11.Event) -> None:
+    async def _process_event(self, event: h11.Event) -> None:
         if isinstance(event, h11.Response):
-            await self._take_head(event)
+            await self._process_head(event)
         elif isinstance(event, h11.Data):
             if not self._skipping:
                 await self._put(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
             if self._skipping:
-                self._restart()
+                self._await_next_response()
                 return
             self._ended = True
-            await self._put(_End(True))
-            self._connection.release(self._reusable())
+            await self._put(_ResponseEnd(True))
+            self._connection.release(self._is_reusable())
 
-    async def _take_head(self, response: h11.Response) -> None:
+    async def _process_head(self, response: h11.Response) -> None:
         headers = [
             (n.decode("latin1"), v.decode("latin1"))
             for n, v in response.headers.raw_items()
         ]
-        head = self._dialect.decode_response_head(
-            self._call, response.status_code, headers
+        head = self._codec.decode_response_head(
+            self._request, response.status_code, headers
         )
         if head.matches_request:
-            self._began = True
+            self._head_received = True
             self._connection.update_keep_alive(headers)
             await self._put(head)
             return
@@ -245,22 +251,22 @@
         if self._skipped > MAX_SKIPPED_RESPONSES:
             await self._fail(SendFault.GARBAGE, None)
 
-    def _restart(self) -> None:
-        """Expect the answer after one that belongs to another request."""
-        rest = self._http.trailing_data[0]
+    def _await_next_response(self) -> None:
+        """Prepare for the next response, after one to another request was skipped."""
+        surplus = self._http.trailing_data[0]
         self._skipping = False
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
-        self._send(self._http)
-        if rest:
-            self._http.receive_data(rest)
+        self._encode(self._http)
+        if surplus:
+            self._http.receive_data(surplus)
 
-    def _reusable(self) -> bool:
+    def _is_reusable(self) -> bool:
         http = self._http
         if http.trailing_data[0] or self._skipped:
-            # bytes beyond a whole answer belong to no request; the next one
-            # would take them for its own
+            # bytes after a complete response belong to no request; the next request
+            # would treat them as its response
             return False
         return http.our_state is h11.DONE and http.their_state is h11.DONE
 
@@ -268,25 +274,25 @@
         if self._ended:
             return
         self._ended = True
-        if self._began:
-            await self._put(_End(False, str(error or fault.value)))
+        if self._head_received:
+            await self._put(_ResponseEnd(False, str(error or fault.value)))
         else:
-            await self._put(_Failed(fault))
+            await self._put(_ResponseFailure(fault))
         self._connection.close()
 
 
 class EndpointConnection:
-    """A connection to one endpoint; one request at a time uses it."""
+    """A connection to an endpoint, used by one request at a time."""
 
     def __init__(self, stream: IOStream, address: str) -> None:
         self._stream = stream
         self._address = address
         self._exchange: Exchange | None = None
-        self._served = 0
+        self._request_count = 0
         self._idle_since = 0.0
-        self._idle_seconds: float | None = None
+        self._keep_alive_seconds: float | None = None
         self._reusable = True
-        self._task = asyncio.create_task(self._read())
+        self._task = asyncio.create_task(self._read_responses())
 
     @property
     def address(self) -> str:
@@ -295,34 +301,34 @@
 
     @property
     def reused(self) -> bool:
-        """Whether it has served a request before the current one."""
-        return self._served > 1
+        """Whether the connection was used before the current request."""
+        return self._request_count > 1
 
     @property
     def closed(self) -> bool:
-        """Whether it can't be used any more."""
+        """Whether the connection is closed."""
         return self._stream.closed()
 
     @property
     def idle(self) -> bool:
-        """Whether no request uses it."""
+        """Whether the connection is open and no request uses it."""
         return self._exchange is None and not self.closed
 
     @property
     def idle_since(self) -> float:
-        """Loop time at which its last request ended."""
+        """Loop time at which the last request ended."""
         return self._idle_since
 
     @property
     def keep_alive_seconds(self) -> float | None:
-        """Time after which the endpoint closes it, where it told."""
-        return self._idle_seconds
+        """Idle time after which the endpoint closes the connection, None if unknown."""
+        return self._keep_alive_seconds
 
     @classmethod
     async def open(cls, address: str) -> "Result[EndpointConnection, SendFailure]":
         """Connect to an endpoint."""
         host, _, port = address.rpartition(":")
-        stream = IOStream(_new_socket())
+        stream = IOStream(_create_socket())
         try:
             async with asyncio.timeout(CONNECT_SECONDS):
                 await stream.connect((host, int(port)))
@@ -339,29 +345,29 @@
 
     def send_request(
         self,
-        call: CallerRequest,
-        dialect: HeaderCodec,
+        request: CallerRequest,
+        codec: HeaderCodec,
         headers: list[tuple[str, str]],
         body: bytes,
     ) -> Exchange:
         """Send a request."""
-        self._served += 1
-        exchange = self._exchange = Exchange(self, call, dialect)
+        self._request_count += 1
+        exchange = self._exchange = Exchange(self, request, codec)
         data = exchange.encode_request(headers, body)
         if self._stream.closed():
             self._exchange = None
             exchange.fail_unsent()
             return exchange
         future = self._stream.write(data)
-        # the reading task tells how the connection ended
+        # consumes the exception of a failed write, which the reading task reports
         future.add_done_callback(lambda done: done.cancelled() or done.exception())
         return exchange
 
     def update_keep_alive(self, headers: list[tuple[str, str]]) -> None:
-        """Learn for how long the endpoint keeps the connection open."""
+        """Set the keep-alive time from a response's ``Keep-Alive`` header."""
         for name, value in headers:
             if name.lower() == "keep-alive":
-                self._idle_seconds = _timeout_of(value)
+                self._keep_alive_seconds = _parse_keep_alive_timeout(value)
 
     def release(self, reusable: bool) -> None:
         """End the current request."""
@@ -371,24 +377,24 @@
             self.close()
 
     def close(self) -> None:
-        """Close it; the endpoint drops the request that runs on it."""
+        """Close the connection; the endpoint then drops the request on it."""
         self._stream.close()
 
-    async def _read(self) -> None:
+    async def _read_responses(self) -> None:
         try:
             while True:
                 data = await self._stream.read_bytes(READ_BYTES, partial=True)
                 if self._exchange is None:
-                    # an answer that nobody waits for; a later request must not
-                    # take it for its own
+                    # a response without a request; the connection is closed so that
+                    # a later request does not treat it as its own
                     return
                 await self._exchange.feed(data)
         except StreamClosedError as error:
-            await self._tell_end(error.real_error is None)
+            await self._end_exchange(error.real_error is None)
         finally:
             self._stream.close()
 
-    async def _tell_end(self, clean: bool) -> None:
+    async def _end_exchange(self, clean: bool) -> None:
         exchange = self._exchange
         if exchange is None:
             return
@@ -398,19 +404,19 @@
             await exchange.on_connection_reset()
 
 
-def _new_socket() -> socket.socket:
-    created = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    created.setblocking(False)
-    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
-    created.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_SECONDS)
-    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_SECONDS)
-    created.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    return created
+def _create_socket() -> socket.socket:
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock.setblocking(False)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_KEEPALIVE_PROBES)
+    return sock
 
 
-def _timeout_of(value: str) -> float | None:
+def _parse_keep_alive_timeout(value: str) -> float | None:
     for item in value.split(","):
         name, _, number = item.strip().partition("=")
         if name.lower() == "timeout" and number.isdigit():
--- a/packages/fleet/src/teaselledge_fleet/connection/front.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/front.py
@@ -1,4 +1,4 @@
-"""The callers' server: reads requests, starts a task for each, writes answers."""
+"""HTTP server for callers, which runs each request in a task."""
 
 import asyncio
 import random
@@ -32,30 +32,31 @@
 _log = get_log("front")
 
 WRITE_TIMEOUT_SECONDS = 5.0
-"""A caller that takes nothing for so long is cut off.
+"""Time without progress of a write after which the caller's connection is closed.
 
-It would hold a slot of an engine that others wait for. Callers give up a stream
-after a gap of 2 to 4 s, so none that still waits is cut.
+A caller that does not read would otherwise occupy an engine's slot that others wait
+for. Callers abandon a stream after a gap of 2 to 4 s, so none that is still waiting
+is disconnected.
 """
 
 
 class ReceivedRequest:
-    """A request that was read in full.
+    """A request with its whole body.
 
     Attributes
     ----------
     method, target : str
-        Of the request line.
+        From the request line.
     headers : HTTPHeaders
         All headers.
     body : bytes
-        The whole body.
+        The complete body.
     arrived_at : float
-        Loop time at which its headers were read.
+        Loop time at which the headers were read.
     remote_ip : str
-        IP number from which it came; another router's where that one passed it on.
-    origin : Origin
-        What is known of its connection.
+        IP address of the peer: the caller, or a router that relays the connection.
+    origin : ConnectionOrigin
+        How the connection reached this router.
     """
 
     def __init__(
@@ -76,14 +77,14 @@
 
 
 class ResponseWriter:
-    """The caller's side of an answer.
+    """Writes the response to a caller.
 
     Attributes
     ----------
     started, finished : bool
         Whether the head and the end have been written.
     reconnect_probability : float
-        Part of the callers that are asked to connect anew, 0 to 1.
+        Probability that the caller is asked to open a new connection, 0 to 1.
     """
 
     def __init__(
@@ -98,9 +99,9 @@
     def disconnected(self) -> bool:
         """Whether the caller has closed its connection.
 
-        A router that is late reads a request and its caller's close at the same time,
-        and learns of the close only some turns of the loop later. What it would send
-        until then is work for nobody. So it looks at the socket itself.
+        Checks the socket directly. If the event loop was blocked, a request and its
+        caller's close are read at the same time, but the close is reported only some
+        iterations later. A request sent before that would run for no caller.
         """
         stream = self._connection.stream
         if stream is None or stream.closed():
@@ -115,36 +116,36 @@
     async def start(
         self, status: int, headers: HTTPHeaders, chunk: bytes | None = None
     ) -> None:
-        """Write the head, and a first part of the body with it."""
+        """Write the head and optionally the first chunk of the body."""
         self.started = True
         if random.random() < self.reconnect_probability:
-            # the caller's next request goes to a router with more room
+            # the caller's next request reaches a router with more capacity
             headers["Connection"] = "close"
         line = ResponseStartLine("HTTP/1.1", status, responses.get(status, "Unknown"))
-        await self._wait(self._connection.write_headers(line, headers, chunk))
+        await self._wait_written(self._connection.write_headers(line, headers, chunk))
 
     async def write(self, chunk: bytes) -> None:
-        """Write a part of the body; waits while the caller is slow."""
-        await self._wait(self._connection.write(chunk))
+        """Write a chunk of the body; waits while the caller is slow."""
+        await self._wait_written(self._connection.write(chunk))
 
     def finish(self) -> None:
-        """Mark the answer as whole."""
+        """Finish the response."""
         self.finished = True
         try:
             self._connection.finish()
         except HTTPOutputError:
-            # shorter than its length says: the connection has been closed, and the
-            # caller sees that a part is missing
-            _log.warning("answer shorter than its announced length")
+            # Tornado has closed the connection, so that the caller notices the
+            # truncated response
+            _log.warning("response shorter than its Content-Length")
 
     def abort(self) -> None:
-        """End the answer visibly broken, by closing the connection."""
+        """Close the connection, so that the caller notices the incomplete response."""
         self.finished = True
         self._connection.close()
 
-    async def _wait(self, written: "asyncio.Future[None]") -> None:
+    async def _wait_written(self, written: "asyncio.Future[None]") -> None:
         if written.done():
-            # as a rule: the socket's buffer had room for an event
+            # the usual case: the event fitted into the socket's buffer
             written.result()
             return
         try:
@@ -155,85 +156,93 @@
             raise StreamClosedError from None
 
 
-Serve = Callable[[ReceivedRequest, ResponseWriter], Awaitable[None]]
+RequestHandler = Callable[[ReceivedRequest, ResponseWriter], Awaitable[None]]
 
 
-class _Reader(HTTPMessageDelegate):
-    """Reads one request and runs it."""
+class _RequestReader(HTTPMessageDelegate):
+    """Reads one request and calls the handler with it."""
 
     def __init__(self, server: "FrontServer", connection: HTTP1Connection) -> None:
         self._server = server
         self._connection = connection
-        self._incoming: ReceivedRequest | None = None
-        self._parts: list[bytes] = []
+        self._received: ReceivedRequest | None = None
+        self._body_chunks: list[bytes] = []
         self._task: asyncio.Task[None] | None = None
 
     def headers_received(self, start_line: Any, headers: HTTPHeaders) -> None:
-        now = asyncio.get_running_loop().time()
-        caller = getattr(self._connection.context, "remote_ip", "")
+        arrived_at = asyncio.get_running_loop().time()
+        remote_ip = getattr(self._connection.context, "remote_ip", "")
         origin = self._server.acceptor.origin_of(self._connection.stream)
-        self._incoming = ReceivedRequest(start_line, headers, now, caller, origin)
+        self._received = ReceivedRequest(
+            start_line, headers, arrived_at, remote_ip, origin
+        )
         self._server.add_running(self)
 
     def data_received(self, chunk: bytes) -> None:
-        self._parts.append(chunk)
+        self._body_chunks.append(chunk)
 
     def finish(self) -> None:
-        assert self._incoming is not None
-        self._incoming.body = b"".join(self._parts)
-        self._parts.clear()
+        assert self._received is not None
+        self._received.body = b"".join(self._body_chunks)
+        self._body_chunks.clear()
         self._connection.set_close_callback(self.on_connection_close)
-        self._task = asyncio.create_task(self._run(self._incoming))
+        self._task = asyncio.create_task(self._run(self._received))
 
     def on_connection_close(self) -> None:
         self._server.discard_running(self)
         if self._task is not None:
             self._task.cancel()
 
-    async def _run(self, incoming: ReceivedRequest) -> None:
-        moving = self._server.reconnect_probability()
-        if incoming.origin.min_version is not None:
-            # each request is passed on by itself, as the versions may change
-            moving = 1.0
-        sink = ResponseWriter(self._connection, moving)
+    async def _run(self, received: ReceivedRequest) -> None:
+        reconnect_probability = self._server.reconnect_probability()
+        if received.origin.min_version is not None:
+            # a relayed connection serves one request only, as either router's
+            # configuration may change before the next one
+            reconnect_probability = 1.0
+        writer = ResponseWriter(self._connection, reconnect_probability)
         try:
-            await self._server.handler(incoming, sink)
+            await self._server.handler(received, writer)
         except StreamClosedError:
-            # the caller left while its answer was written
+            # the caller disconnected while the response was written
             return
         except Exception:
-            _log.exception("request failed by a fault of the router")
-            sink.abort()
+            _log.exception("unexpected error while handling a request")
+            writer.abort()
         finally:
             self._server.discard_running(self)
 
 
 class FrontServer(HTTPServerConnectionDelegate):
-    """Serves callers on one listener.
+    """Serves callers on the addresses it listens on.
 
     Parameters
     ----------
     handler : callable
-        Runs one request; it is cancelled when the caller leaves.
+        Runs one request; it is cancelled when the caller disconnects.
     header_bytes, body_bytes : int
-        Largest headers and body.
+        Maximum size of the headers and of the body.
     idle_seconds : float
-        Time after which a connection without a request is closed.
+        Time after which an idle connection is closed.
 
     Attributes
     ----------
     acceptor : Acceptor
-        Decides what becomes of new connections.
+        Accepts, relays or refuses new connections.
     reconnect_probability : callable
-        Returns the part of the callers that are asked to connect anew, 0 to 1.
+        Returns the probability that a caller is asked to open a new connection, 0 to
+        1.
     """
 
     def __init__(
-        self, handler: Serve, header_bytes: int, body_bytes: int, idle_seconds: float
+        self,
+        handler: RequestHandler,
+        header_bytes: int,
+        body_bytes: int,
+        idle_seconds: float,
     ) -> None:
         self.handler = handler
         self.reconnect_probability: Callable[[], float] = lambda: 0.0
-        self._running: set[_Reader] = set()
+        self._running: set[_RequestReader] = set()
         self._ports: list[int] = []
         self._http = HTTPServer(
             self,
@@ -245,12 +254,12 @@
 
     @property
     def ports(self) -> list[int]:
-        """Ports on which it listens."""
+        """Ports on which the server listens."""
         return self._ports
 
     @property
     def running(self) -> int:
-        """Requests that are being read or answered."""
+        """Number of requests being read or answered, and of relayed connections."""
         return len(self._running) + self.acceptor.active_relays
 
     def listen(self, host: str, port: int) -> None:
@@ -260,25 +269,25 @@
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        """Return the reader of the next request of a connection."""
+        """Return the reader for the next request of a connection."""
         assert isinstance(request_conn, HTTP1Connection)
         request_conn.stream.set_nodelay(True)
-        return _Reader(self, request_conn)
+        return _RequestReader(self, request_conn)
 
-    def add_running(self, reader: _Reader) -> None:
+    def add_running(self, reader: _RequestReader) -> None:
         """Count a request whose headers were read."""
         self._running.add(reader)
 
-    def discard_running(self, reader: _Reader) -> None:
+    def discard_running(self, reader: _RequestReader) -> None:
         """Stop counting a request."""
         self._running.discard(reader)
 
     def disable_keep_alive(self) -> None:
-        """Close each connection after the next answer on it."""
+        """Close each connection after its next response."""
         self._http.conn_params.no_keep_alive = True
 
     def stop(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         self.acceptor.stop()
 
     async def close(self) -> None:
--- a/packages/fleet/src/teaselledge_fleet/connection/pages.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/pages.py
@@ -1,4 +1,4 @@
-"""Small HTTP listeners: readiness, addresses, and what other routers ask."""
+"""HTTP server for readiness, addresses, metrics and requests of other routers."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,12 +9,12 @@
 
 __all__ = ["Page", "PageServer"]
 
-IDLE_SECONDS = 30.0
+IDLE_TIMEOUT_SECONDS = 30.0
 
 
 @dataclass(frozen=True)
 class Page:
-    """An answer.
+    """An HTTP response.
 
     Attributes
     ----------
@@ -23,7 +23,7 @@
     body : bytes
         The content.
     content_type : str
-        Its media type.
+        Media type of the content.
     """
 
     status: int
@@ -32,17 +32,19 @@
 
 
 PageHandler = Callable[[str, dict[str, str]], Page]
-"""Returns the page for a path and the query's arguments."""
+"""Returns the page for a path and query arguments."""
 
-REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
+REASON_PHRASES = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
 
 
 class PageServer:
-    """Answers requests for pages."""
+    """Serves pages over HTTP."""
 
     def __init__(self, handler: PageHandler) -> None:
-        self._answer = handler
-        self._http = HTTPServer(self._serve, idle_connection_timeout=IDLE_SECONDS)
+        self._handler = handler
+        self._http = HTTPServer(
+            self._serve, idle_connection_timeout=IDLE_TIMEOUT_SECONDS
+        )
 
     def listen(self, host: str, port: int) -> None:
         """Listen on an address."""
@@ -58,22 +60,22 @@
             name: values[-1].decode("utf-8", "replace")
             for name, values in request.query_arguments.items()
         }
-        page = self._answer(request.path, arguments)
+        page = self._handler(request.path, arguments)
         headers = HTTPHeaders()
         headers["Content-Type"] = page.content_type
         headers["Content-Length"] = str(len(page.body))
         line = ResponseStartLine(
-            "HTTP/1.1", page.status, REASONS.get(page.status, "Unknown")
+            "HTTP/1.1", page.status, REASON_PHRASES.get(page.status, "Unknown")
         )
         connection = request.connection
         assert connection is not None
         body = None if request.method == "HEAD" else page.body
         written = connection.write_headers(line, headers, body or None)
-        written.add_done_callback(_read_exception)
+        written.add_done_callback(_consume_exception)
         connection.finish()
 
 
-def _read_exception(future: "asyncio.Future[None]") -> None:
-    # a caller that left before its answer; asyncio would log it as never retrieved
+def _consume_exception(future: "asyncio.Future[None]") -> None:
+    # the client disconnected early; asyncio would log the exception as never retrieved
     if not future.cancelled():
         future.exception()
--- a/packages/fleet/src/teaselledge_fleet/connection/peers.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between routers, and whole states over HTTP."""
+"""Communication between routers: datagrams, and snapshots over HTTP."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -21,8 +21,8 @@
 
 _log = get_log("peers")
 
-FETCH_SECONDS = 0.8
-"""A whole state is at most some 100 KB and two regions are 46 ms apart."""
+SNAPSHOT_TIMEOUT_SECONDS = 0.8
+"""A snapshot has at most about 100 KB, and a round trip between regions takes 46 ms."""
 
 STATE_PATH = "/fleet/state"
 
@@ -30,24 +30,24 @@
 class PeerSocket(asyncio.DatagramProtocol):
     """Sends and receives messages over UDP.
 
-    Datagrams need no connection that could go silent for good; a lost one is made
-    up for by the next.
+    Datagrams need no connection, which could fail without notice, and the next message
+    makes up for a lost one.
     """
 
     def __init__(self) -> None:
-        self._takers: dict[type, Callable[[Any, str], None]] = {}
+        self._handlers: dict[type, Callable[[Any, str], None]] = {}
         self._transport: asyncio.DatagramTransport | None = None
-        self._malformed = 0
+        self._malformed_count = 0
         self.sent_bytes = 0
 
     @property
     def malformed_count(self) -> int:
-        """Datagrams that could not be read."""
-        return self._malformed
+        """Number of datagrams that could not be decoded."""
+        return self._malformed_count
 
-    def on(self, kind: type, take: Callable[[Any, str], None]) -> None:
-        """Have messages of a kind taken, with the address of their sender."""
-        self._takers[kind] = take
+    def on(self, kind: type, handler: Callable[[Any, str], None]) -> None:
+        """Set the handler for a type of message, called with the sender's address."""
+        self._handlers[kind] = handler
 
     async def listen(self, host: str, port: int) -> None:
         """Open the socket."""
@@ -55,34 +55,34 @@
         await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        # the loop's own transport has the methods, but not the type
+        """Store the transport."""
+        # the event loop's transport has the methods, but is not a subclass
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take one datagram."""
-        read = decode_datagram(data)
-        if read.is_error():
-            self._malformed += 1
-            if self._malformed == 1:
-                _log.warning("datagram malformed", error=read.error)
+        """Decode a datagram and call the handler of its message type."""
+        decoded = decode_datagram(data)
+        if decoded.is_error():
+            self._malformed_count += 1
+            if self._malformed_count == 1:
+                _log.warning("datagram malformed", error=decoded.error)
             return
-        take = self._takers.get(type(read.ok))
-        if take is not None:
-            take(read.ok, f"{addr[0]}:{addr[1]}")
+        handler = self._handlers.get(type(decoded.ok))
+        if handler is not None:
+            handler(decoded.ok, f"{addr[0]}:{addr[1]}")
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that nothing listens there; silence tells the same."""
+        """Ignore ICMP errors: a router that sends nothing is detected anyway."""
 
-    def send(self, address: str, content: Datagram) -> None:
+    def send(self, address: str, payload: Datagram) -> None:
         """Send a message to an address."""
-        self.send_all([address], content)
+        self.send_all([address], payload)
 
-    def send_all(self, addresses: Iterable[str], content: Datagram) -> None:
-        """Send the same message to some addresses."""
+    def send_all(self, addresses: Iterable[str], payload: Datagram) -> None:
+        """Send the same message to several addresses."""
         data = None
         for address in addresses:
-            data = data or encode_datagram(content)
+            data = data or encode_datagram(payload)
             host, _, port = address.rpartition(":")
             if self._transport is None or not port.isdigit():
                 continue
@@ -96,24 +96,24 @@
 
 
 class StateClient:
-    """Fetches the whole state of another router."""
+    """Fetches snapshots from other routers."""
 
     def __init__(self) -> None:
         self._client = SimpleAsyncHTTPClient(force_instance=True)
 
     async def fetch(self, address: str) -> Result[WholeState, str]:
-        """Ask the router at a peer address."""
+        """Return the snapshot of the router at a peer address, or why it failed."""
         try:
-            answer = await self._client.fetch(
+            response = await self._client.fetch(
                 f"http://{address}{STATE_PATH}",
-                connect_timeout=FETCH_SECONDS,
-                request_timeout=FETCH_SECONDS,
+                connect_timeout=SNAPSHOT_TIMEOUT_SECONDS,
+                request_timeout=SNAPSHOT_TIMEOUT_SECONDS,
             )
         except (HTTPClientError, OSError) as error:
             return Error(repr(error))
-        decoded = decode_state(answer.body)
+        decoded = decode_state(response.body)
         return Ok(decoded.ok) if decoded.is_ok() else Error(decoded.error)
 
     def close(self) -> None:
-        """End all calls."""
+        """Cancel all requests."""
         self._client.close()
--- a/packages/fleet/src/teaselledge_fleet/connection/refusing.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/refusing.py
@@ -1,4 +1,4 @@
-"""Refuse requests without the price of reading them."""
+"""Refusal of connections without parsing their requests."""
 
 import asyncio
 import random
@@ -10,97 +10,99 @@
 
 __all__ = ["LoadShedder"]
 
-LINGER_SECONDS = 1.0
-"""Time for which a refused connection stays open. Closed with bytes unread, it would be
-reset, and the caller might lose the answer."""
+CLOSE_DELAY_SECONDS = 1.0
+"""Time for which a refused connection stays open. Closing it with unread bytes would
+reset it, and the caller might lose the response."""
 
 READ_BYTES = 1 << 16
 
 
 @dataclass(frozen=True)
-class _Refused:
-    at: float
+class _RefusedConnection:
+    refused_at: float
     connection: socket.socket
 
 
 class LoadShedder:
-    """Answers connections without reading what their requests are.
+    """Refuses connections without parsing their requests.
 
     Parameters
     ----------
     responses : sequence of bytes
-        Whole answers, one of which is drawn for each request. They must promise that
-        the request has not run, and end the connection.
+        Complete responses, one of which is chosen at random for each connection. They
+        must promise that the request has not run, and close the connection.
 
     Attributes
     ----------
     refused : int
-        Connections refused so far.
+        Number of connections refused so far.
     """
 
     def __init__(self, responses: Sequence[bytes]) -> None:
-        self._answers = responses
+        self._responses = responses
         self._waiting: set[socket.socket] = set()
-        self._refused: deque[_Refused] = deque()
-        self._sweeping: asyncio.TimerHandle | None = None
+        self._refused: deque[_RefusedConnection] = deque()
+        self._close_timer: asyncio.TimerHandle | None = None
         self.refused = 0
 
     def refuse(self, connection: socket.socket) -> None:
-        """Answer a connection as soon as a request comes, and close it."""
+        """Respond as soon as a request arrives, and close the connection later."""
         self.refused += 1
         connection.setblocking(False)
-        self._keep(connection)
-        if not self._answer(connection):
+        self._schedule_close(connection)
+        if not self._try_respond(connection):
             self._waiting.add(connection)
             loop = asyncio.get_running_loop()
-            loop.add_reader(connection, self._answer_waiting, connection)
+            loop.add_reader(connection, self._on_readable, connection)
 
     def close(self) -> None:
         """Close all connections."""
-        if self._sweeping is not None:
-            self._sweeping.cancel()
+        if self._close_timer is not None:
+            self._close_timer.cancel()
         while self._refused:
-            self._end(self._refused.popleft().connection)
+            self._close(self._refused.popleft().connection)
 
-    def _answer_waiting(self, connection: socket.socket) -> None:
-        if self._answer(connection):
-            self._stop_waiting(connection)
+    def _on_readable(self, connection: socket.socket) -> None:
+        if self._try_respond(connection):
+            self._remove_reader(connection)
 
-    def _answer(self, connection: socket.socket) -> bool:
-        """Return whether the connection needs no more attention."""
+    def _try_respond(self, connection: socket.socket) -> bool:
+        """Send a response if a request has arrived; return False if none has."""
         try:
             connection.recv(READ_BYTES)
-            connection.send(random.choice(self._answers))
+            connection.send(random.choice(self._responses))
             connection.shutdown(socket.SHUT_WR)
         except BlockingIOError:
             return False
         except OSError:
-            # the caller has left
+            # the caller has disconnected
             return True
         return True
 
-    def _keep(self, connection: socket.socket) -> None:
+    def _schedule_close(self, connection: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        self._refused.append(_Refused(loop.time(), connection))
-        if self._sweeping is None:
-            self._sweeping = loop.call_later(LINGER_SECONDS, self._sweep)
+        self._refused.append(_RefusedConnection(loop.time(), connection))
+        if self._close_timer is None:
+            self._close_timer = loop.call_later(
+                CLOSE_DELAY_SECONDS, self._close_expired
+            )
 
-    def _sweep(self) -> None:
+    def _close_expired(self) -> None:
         loop = asyncio.get_running_loop()
-        oldest = loop.time() - LINGER_SECONDS
-        while self._refused and self._refused[0].at <= oldest:
-            self._end(self._refused.popleft().connection)
-        self._sweeping = None
+        refused_before = loop.time() - CLOSE_DELAY_SECONDS
+        while self._refused and self._refused[0].refused_at <= refused_before:
+            self._close(self._refused.popleft().connection)
+        self._close_timer = None
         if self._refused:
-            left = self._refused[0].at - oldest
-            self._sweeping = loop.call_later(left, self._sweep)
+            remaining = self._refused[0].refused_at - refused_before
+            self._close_timer = loop.call_later(remaining, self._close_expired)
 
-    def _stop_waiting(self, connection: socket.socket) -> None:
+    def _remove_reader(self, connection: socket.socket) -> None:
         self._waiting.discard(connection)
         asyncio.get_running_loop().remove_reader(connection)
 
-    def _end(self, connection: socket.socket) -> None:
+    def _close(self, connection: socket.socket) -> None:
         if connection in self._waiting:
-            self._stop_waiting(connection)
+            self._remove_reader(connection)
         with suppress(OSError):
             connection.close()
--- a/packages/fleet/src/teaselledge_fleet/connection/relay.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/relay.py
@@ -1,4 +1,4 @@
-"""Pass callers' connections on to another router, byte by byte."""
+"""Relay of callers' connections to another router, byte by byte."""
 
 import asyncio
 import socket
@@ -8,51 +8,52 @@
 __all__ = ["PREFACE_BYTES", "RelayPool", "preface", "read_preface"]
 
 CONNECT_SECONDS = 0.1
-"""A router of the same zone answers within some milliseconds; after this the connection
-is served here."""
+"""Timeout for connecting to a router of the same zone, which takes some milliseconds.
+After it this router serves the connection itself."""
 
 MAX_RELAYS = 1000
-"""Connections passed on at the same time, each with two descriptors and up to two
+"""Maximum number of concurrent relays, each with two file descriptors and up to two
 buffers."""
 
 NOT_RUN_STATUS_LINES = (b"HTTP/1.1 429", b"HTTP/1.1 503")
-"""Beginnings of answers that promise that a request has not run."""
+"""Beginnings of responses that promise that a request has not run."""
 
 PREFACE = b"relayed %d\n"
 PREFACE_BYTES = 32
 
 
 def preface(version: int) -> bytes:
-    """Return the line that goes before a caller's bytes.
+    """Return the line sent to the other router before the caller's bytes.
 
     Parameters
     ----------
     version : int
-        Configuration in force at the sender. A receiver with an older one must not
-        answer by it: the caller would see the sender fall back.
+        Version of the configuration in force at the relaying router. A router with an
+        older one must not serve the request: to the caller it would look as if the
+        relaying router had returned to an old configuration.
     """
     return PREFACE % version
 
 
 def read_preface(line: bytes) -> int | None:
-    """Return the version that a preface tells; None for any other line."""
-    word, _, number = line.strip().partition(b" ")
-    return int(number) if word == b"relayed" and number.isdigit() else None
+    """Return the version in a preface, None for any other line."""
+    keyword, _, number = line.strip().partition(b" ")
+    return int(number) if keyword == b"relayed" and number.isdigit() else None
 
 
 class RelayPool:
-    """Connections that are passed on.
+    """Relays connections to other routers.
 
     Parameters
     ----------
     idle_seconds : float
-        Time after which a connection without any bytes is closed. Both its ends may
-        have lost power, and nothing else would tell.
+        Time after which a connection without any bytes is closed. If both ends have
+        lost power, nothing else reveals that it is dead.
 
     Attributes
     ----------
     on_relay_refused : callable
-        Called where the other router's answer is a refusal.
+        Called when the other router refuses the request.
     """
 
     def __init__(self, idle_seconds: float) -> None:
@@ -62,32 +63,33 @@
 
     @property
     def running(self) -> int:
-        """Connections that are passed on now."""
+        """Number of connections being relayed."""
         return len(self._relays)
 
     @property
     def full(self) -> bool:
-        """Whether no more connections may be passed on."""
+        """Whether the maximum number of relays is reached."""
         return len(self._relays) >= MAX_RELAYS
 
     async def relay(
         self, connection: socket.socket, address: str, preface_line: bytes
     ) -> bool:
-        """Connect to a router and pass on what either side sends.
+        """Connect to a router, and forward the bytes of either side to the other.
 
         Parameters
         ----------
         connection : socket
-            A caller's connection of which nothing has been read.
+            A caller's connection from which nothing has been read.
         address : str
-            Where the other router takes over connections.
+            Address at which the other router accepts relayed connections.
         preface_line : bytes
             Sent before the caller's bytes.
 
         Returns
         -------
         bool
-            False where the router can't be reached; the connection is as it was.
+            False if the other router can't be reached; nothing has been read from the
+            connection then.
         """
         loop = asyncio.get_running_loop()
         host, _, port = address.rpartition(":")
@@ -101,77 +103,79 @@
         try:
             await loop.connect_accepted_socket(lambda: relay.caller, connection)
         except OSError:
-            # the caller has left meanwhile
+            # the caller has disconnected meanwhile
             relay.abort()
             connection.close()
             return True
-        relay.begin(self._idle_seconds)
+        relay.start(self._idle_seconds)
         return True
 
     def close(self) -> None:
-        """Break off all connections."""
+        """Abort all connections."""
         for relay in list(self._relays):
             relay.abort()
 
 
 class _Relay:
-    """A caller's connection and the one to the router that serves it."""
+    """A caller's connection, and the connection to the router that serves it."""
 
     def __init__(self, relays: "set[_Relay]", on_refused: Callable[[], None]) -> None:
         self._relays = relays
         self._on_refused = on_refused
-        self._answered = False
-        self._watch: asyncio.TimerHandle | None = None
-        self.ended = False
-        self.active = asyncio.get_running_loop().time()
+        self._responded = False
+        self._idle_timer: asyncio.TimerHandle | None = None
+        self.closed = False
+        self.last_active_at = asyncio.get_running_loop().time()
         self.caller = _Side(self)
         self.router = _Side(self)
 
-    def other(self, side: "_Side") -> "_Side":
+    def opposite(self, side: "_Side") -> "_Side":
         """Return the opposite side."""
         return self.router if side is self.caller else self.caller
 
-    def begin(self, idle_seconds: float) -> None:
-        """Count it from now on, unless a side has ended already."""
-        if self.ended:
+    def start(self, idle_seconds: float) -> None:
+        """Add the relay to the pool, unless a side has already closed."""
+        if self.closed:
             return
         self._relays.add(self)
-        self._break_off_idle(idle_seconds)
+        self._close_if_idle(idle_seconds)
 
-    def _break_off_idle(self, idle_seconds: float) -> None:
+    def _close_if_idle(self, idle_seconds: float) -> None:
         loop = asyncio.get_running_loop()
-        left = self.active + idle_seconds - loop.time()
-        if left <= 0:
+        remaining = self.last_active_at + idle_seconds - loop.time()
+        if remaining <= 0:
             self.abort()
             return
-        self._watch = loop.call_later(left, self._break_off_idle, idle_seconds)
+        self._idle_timer = loop.call_later(remaining, self._close_if_idle, idle_seconds)
 
-    def pass_on(self, side: "_Side", data: bytes) -> None:
-        """Pass on what came from a side."""
-        self.active = asyncio.get_running_loop().time()
-        if side is self.router and not self._answered:
-            self._answered = True
+    def forward(self, side: "_Side", data: bytes) -> None:
+        """Forward bytes that were received from a side."""
+        self.last_active_at = asyncio.get_running_loop().time()
+        if side is self.router and not self._responded:
+            self._responded = True
             if data.startswith(NOT_RUN_STATUS_LINES):
                 self._on_refused()
-        self.other(side).write(data)
+        self.opposite(side).write(data)
 
-    def end(self, side: "_Side", broken: bool) -> None:
-        """Note that a side has ended.
+    def on_closed(self, side: "_Side", failed: bool) -> None:
+        """Close the other side.
 
-        A caller that leaves gives up its request. An answer is whole only if the
-        router closed in order, and what it sent goes out first.
+        If the caller disconnects, the request is aborted. If the router closes cleanly,
+        the response is complete and its remaining bytes are sent before closing;
+        otherwise the caller's connection is aborted, so that an incomplete response
+        does not look complete.
         """
-        self.ended = True
+        self.closed = True
         self._relays.discard(self)
-        if self._watch is not None:
-            self._watch.cancel()
-        if broken or side is self.caller:
-            self.other(side).abort()
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        if failed or side is self.caller:
+            self.opposite(side).abort()
         else:
-            self.other(side).close()
+            self.opposite(side).close()
 
     def abort(self) -> None:
-        """Break off both sides."""
+        """Abort both connections."""
         self.caller.abort()
         self.router.abort()
 
@@ -184,31 +188,31 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        # the loop's own transport has the methods, but not the type
+        """Store the transport."""
+        # the event loop's transport has the methods, but is not a subclass
         self._transport = cast(asyncio.Transport, transport)
-        if self._relay.ended:
+        if self._relay.closed:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Pass on what came."""
-        self._relay.pass_on(self, data)
+        """Forward received bytes to the other side."""
+        self._relay.forward(self, data)
 
     def eof_received(self) -> bool:
-        """Close, as the other side has."""
+        """Let the transport close, as the peer has closed its side."""
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the other connection as well."""
-        self._relay.end(self, exc is not None)
+        """Close the other connection as well."""
+        self._relay.on_closed(self, exc is not None)
 
     def pause_writing(self) -> None:
-        """Stop reading from the other side, whose bytes don't go out."""
-        self._relay.other(self).pause()
+        """Stop reading from the other side while the write buffer is full."""
+        self._relay.opposite(self).pause()
 
     def resume_writing(self) -> None:
-        """Go on reading from the other side."""
-        self._relay.other(self).resume()
+        """Resume reading from the other side."""
+        self._relay.opposite(self).resume()
 
     def write(self, data: bytes) -> None:
         """Send bytes."""
@@ -221,16 +225,16 @@
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Go on reading."""
+        """Resume reading."""
         if self._transport is not None:
             self._transport.resume_reading()
 
     def close(self) -> None:
-        """Close once everything has been sent."""
+        """Close after all buffered bytes are sent."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close immediately, discarding buffered bytes."""
         if self._transport is not None:
             self._transport.abort()
--- a/packages/fleet/src/teaselledge_fleet/connection/replies.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/replies.py
@@ -1,4 +1,4 @@
-"""Replies to datagrams that are awaited."""
+"""Replies to datagrams."""
 
 import asyncio
 from typing import Generic, TypeVar
@@ -9,25 +9,25 @@
 
 
 class PendingReplies(Generic[ReplyT]):
-    """Matches replies with their questions by number."""
+    """Matches replies with requests by sequence number."""
 
     def __init__(self) -> None:
-        self._waiting: dict[int, asyncio.Future[ReplyT]] = {}
+        self._pending: dict[int, asyncio.Future[ReplyT]] = {}
 
     async def wait(self, sequence: int, seconds: float) -> ReplyT | None:
-        """Return the reply to a question, None where it does not come in time."""
+        """Return the reply to a request, None if it does not arrive in time."""
         future: asyncio.Future[ReplyT] = asyncio.get_running_loop().create_future()
-        self._waiting[sequence] = future
+        self._pending[sequence] = future
         try:
             async with asyncio.timeout(seconds):
                 return await future
         except TimeoutError:
             return None
         finally:
-            del self._waiting[sequence]
+            del self._pending[sequence]
 
     def resolve(self, sequence: int, reply: ReplyT) -> None:
-        """Hand a reply to whoever waits; one that came too late is dropped."""
-        future = self._waiting.get(sequence)
+        """Pass a reply to the waiting task; a late reply is dropped."""
+        future = self._pending.get(sequence)
         if future is not None and not future.done():
             future.set_result(reply)
--- a/packages/fleet/tests/test_refusing.py
+++ b/packages/fleet/tests/test_refusing.py
@@ -1,4 +1,4 @@
-"""Tests of requests that a router refuses without reading them."""
+"""Tests of refusing connections without parsing their requests."""
 
 import asyncio
 import json
@@ -8,8 +8,8 @@
 from teaselledge_standins.routes import HOST, ask, make_route, serving
 from teaselledge_standins.scripted import Received, ScriptedEndpoint, answer_bytes
 
-LARGE = b"x" * 300_000
-"""More than arrives before the answer goes out."""
+LARGE_BODY = b"x" * 300_000
+"""Size that is not received completely before the response is sent."""
 
 
 async def echo(request: Received, writer: asyncio.StreamWriter) -> None:
@@ -17,35 +17,35 @@
     writer.write(answer_bytes(200, headers, b"fine"))
 
 
-async def test_caller_gets_a_whole_promise_with_a_time_to_return():
-    """The router has no time; its answer must be understood like any other refusal."""
+async def test_refusal_is_complete_and_has_a_retry_after():
+    """A refusal by an overloaded router must look to callers like any other."""
     async with (
         ScriptedEndpoint(echo) as endpoint,
         serving(make_route(RetryPolicy.NEVER), endpoint.address) as served,
     ):
         served.front.acceptor.has_capacity = lambda: False
         for _ in range(2 * REFUSALS_PER_SAMPLE):
-            answered = await ask(served.port, "POST", body=b"order")
-            assert answered.whole
-            assert answered.status == 503
-            assert json.loads(answered.body)["kind"] == "router-busy"
-            assert answered.headers["connection"] == "close"
-            assert 0.1 <= float(answered.headers["retry-after"]) <= 1.5
+            response = await ask(served.port, "POST", body=b"order")
+            assert response.whole
+            assert response.status == 503
+            assert json.loads(response.body)["kind"] == "router-busy"
+            assert response.headers["connection"] == "close"
+            assert 0.1 <= float(response.headers["retry-after"]) <= 1.5
         assert not endpoint.received
         assert served.front.acceptor.refused == 2 * REFUSALS_PER_SAMPLE
         assert served.front.acceptor.sampled == 2
 
 
-async def test_caller_with_a_large_body_gets_the_answer():
-    """A connection closed with bytes unread is reset, and the answer may be lost."""
+async def test_caller_that_sends_a_large_body_gets_the_response():
+    """Closing a connection with unread bytes resets it and may lose the response."""
     async with serving(make_route(RetryPolicy.NEVER)) as served:
         served.front.acceptor.has_capacity = lambda: False
         served.front.acceptor.sampled = 1
-        answered = await ask(served.port, "POST", body=LARGE)
-        assert (answered.status, answered.whole) == (503, True)
+        response = await ask(served.port, "POST", body=LARGE_BODY)
+        assert (response.status, response.whole) == (503, True)
 
 
-async def test_request_that_comes_later_is_answered_as_well():
+async def test_request_sent_after_accepting_gets_the_response():
     async with serving(make_route(RetryPolicy.NEVER)) as served:
         served.front.acceptor.has_capacity = lambda: False
         served.front.acceptor.sampled = 1
