--- a/packages/fleet/src/teaselledge_fleet/request/context.py
+++ b/packages/fleet/src/teaselledge_fleet/request/context.py
@@ -21,7 +21,7 @@
     """The complete response was forwarded."""
 
     DECLINED = auto()
-    """The endpoint declined the request without running it."""
+    """The endpoint did not run the request, or no endpoint could be chosen."""
 
     UNSENT = auto()
     """The request was not sent: connecting failed, or the endpoint started leaving."""
