--- a/bench/membership.py
+++ b/bench/membership.py
@@ -57,7 +57,7 @@
 async def _until_nobody_knows(fleet: MemberFleet, vm: str) -> float:
     loop = asyncio.get_running_loop()
     started = loop.time()
-    while fleet.knowing(vm):
+    while fleet.count_aware(vm):
         await asyncio.sleep(0.1)
     return loop.time() - started
 
@@ -65,7 +65,7 @@
 async def _until_no_new_work(fleet: MemberFleet, vm: str) -> float:
     loop = asyncio.get_running_loop()
     started = loop.time()
-    while fleet.staying(vm):
+    while fleet.count_not_leaving(vm):
         await asyncio.sleep(0.01)
     return loop.time() - started
 
@@ -78,7 +78,7 @@
         joined = asyncio.get_running_loop().time()
         await asyncio.sleep(25.0)
         idle = await _traffic(fleet)
-        fleet.members["vm-001"].leave()
+        fleet.members["vm-001"].announce_leaving()
         leaving = await _until_no_new_work(fleet, "vm-001")
         fleet.vms.mark_leaving("vm-002")
         listed = await _until_no_new_work(fleet, "vm-002") - 2.0
--- a/packages/fleet/src/teaselledge_fleet/connection/figures.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/figures.py
@@ -4,12 +4,12 @@
 
 from teaselledge_fleet.process.members import (
     SILENT_SECONDS,
+    MemberReport,
     MemberState,
-    Report,
-    Status,
+    MemberStatus,
 )
-from teaselledge_fleet.process.shares import Use
-from teaselledge_fleet.process.work import Work, key_of
+from teaselledge_fleet.process.shares import TokenUsage
+from teaselledge_fleet.process.work import EndpointLoad, name_hash
 
 __all__ = [
     "pack_member_ages",
@@ -44,65 +44,66 @@
 """Figures beyond this are left out, the smallest first, so that a datagram is whole."""
 
 
-def pack_work(work: dict[int, Work]) -> bytes:
+def pack_work(work: dict[int, EndpointLoad]) -> bytes:
     """Return the work at endpoints as bytes."""
-    rows = sorted(work.items(), key=lambda item: -item[1].running)
+    rows = sorted(work.items(), key=lambda item: -item[1].in_flight)
     rows = rows[: MAX_PACKED_BYTES // WORK.size]
     return b"".join(
         WORK.pack(
             key,
-            _cut(each.running, MAX_UINT16),
-            _cut(each.reading * MILLISECONDS, MAX_UINT16),
+            _cut(each.in_flight, MAX_UINT16),
+            _cut(each.prefill_seconds * MILLISECONDS, MAX_UINT16),
         )
         for key, each in rows
     )
 
 
-def unpack_work(data: bytes) -> dict[int, Work]:
+def unpack_work(data: bytes) -> dict[int, EndpointLoad]:
     """Return the work that bytes tell of; what does not fit is ignored."""
     whole = data[: len(data) - len(data) % WORK.size]
     return {
-        key: Work(running, reading / MILLISECONDS)
+        key: EndpointLoad(running, reading / MILLISECONDS)
         for key, running, reading in WORK.iter_unpack(whole)
     }
 
 
-def pack_usage(uses: dict[int, Use]) -> bytes:
+def pack_usage(uses: dict[int, TokenUsage]) -> bytes:
     """Return the use of organisations as bytes."""
-    rows = sorted(uses.items(), key=lambda item: -item[1].asked)
+    rows = sorted(uses.items(), key=lambda item: -item[1].requested)
     rows = rows[: MAX_PACKED_BYTES // USE.size]
     return b"".join(
-        USE.pack(key, _cut(use.asked, MAX_UINT32), _cut(use.received, MAX_UINT32))
+        USE.pack(key, _cut(use.requested, MAX_UINT32), _cut(use.allocated, MAX_UINT32))
         for key, use in rows
     )
 
 
-def unpack_usage(data: bytes) -> dict[int, Use]:
+def unpack_usage(data: bytes) -> dict[int, TokenUsage]:
     """Return the use that bytes tell of; what does not fit is ignored."""
     whole = data[: len(data) - len(data) % USE.size]
     return {
-        key: Use(asked, received) for key, asked, received in USE.iter_unpack(whole)
+        key: TokenUsage(asked, received)
+        for key, asked, received in USE.iter_unpack(whole)
     }
 
 
-def pack_member_statuses(reports: list[Report]) -> bytes:
+def pack_member_statuses(reports: list[MemberReport]) -> bytes:
     """Return which routers answer, as bytes."""
     return b"".join(
         ALIVE.pack(
-            key_of(report.member.vm),
+            name_hash(report.member.vm),
             int(report.member.state),
-            _cut(report.member.busy * PERCENT, PERCENT),
+            _cut(report.member.utilisation * PERCENT, PERCENT),
         )
         for report in reports[: MAX_PACKED_BYTES // ALIVE.size]
     )
 
 
-def pack_member_ages(reports: list[Report]) -> bytes:
+def pack_member_ages(reports: list[MemberReport]) -> bytes:
     """Return how long ago these routers were heard, as bytes in the same order."""
     return bytes(
         MAX_AGE
-        if report.silent is None
-        else _cut(report.silent / AGE_UNIT_SECONDS, MAX_AGE)
+        if report.silent_seconds is None
+        else _cut(report.silent_seconds / AGE_UNIT_SECONDS, MAX_AGE)
         for report in reports[: MAX_PACKED_BYTES // ALIVE.size]
     )
 
@@ -119,7 +120,7 @@
     return dict(zip(keys, marks, strict=False))
 
 
-def unpack_member_statuses(data: bytes, ages: bytes) -> dict[int, Status]:
+def unpack_member_statuses(data: bytes, ages: bytes) -> dict[int, MemberStatus]:
     """Return what bytes tell of routers, by key.
 
     A sender of an earlier release tells no ages; it names a router for as long as one
@@ -133,7 +134,7 @@
         silent = SILENT_SECONDS
         if place < len(ages):
             silent = ages[place] * AGE_UNIT_SECONDS
-        found[key] = Status(MemberState(state), busy / PERCENT, silent)
+        found[key] = MemberStatus(MemberState(state), busy / PERCENT, silent)
     return found
 
 
--- a/packages/fleet/src/teaselledge_fleet/process/spreading.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -27,27 +27,27 @@
 )
 from teaselledge_fleet.connection.peers import StateClient
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.admission import Admission
+from teaselledge_fleet.process.admission import AdmissionController
+from teaselledge_fleet.process.admissionrpc import PeerTransport
 from teaselledge_fleet.process.advertised import AdvertisedLog
-from teaselledge_fleet.process.asking import Socket
-from teaselledge_fleet.process.belief import Belief
 from teaselledge_fleet.process.coordinators import Coordinators
-from teaselledge_fleet.process.endpoints import Endpoint, Entry, Statement
-from teaselledge_fleet.process.members import Member, Members, Report
-from teaselledge_fleet.process.relaying import (
+from teaselledge_fleet.process.endpoints import AnnouncementId, Endpoint, EndpointEntry
+from teaselledge_fleet.process.forwarding import (
     Delivery,
     SeenMessages,
-    deliveries,
+    plan_deliveries,
 )
+from teaselledge_fleet.process.members import Member, MemberReport, Members
 from teaselledge_fleet.process.revision import Revision
-from teaselledge_fleet.process.sent import NO_MARK, Figures
+from teaselledge_fleet.process.sent import NO_MARK, LoadStats
 from teaselledge_fleet.process.shares import OrganisationShares
 from teaselledge_fleet.process.stalls import StallDetector
-from teaselledge_fleet.process.sums import Sums
+from teaselledge_fleet.process.storecache import StoreCache
+from teaselledge_fleet.process.sums import LoadTotals
 from teaselledge_fleet.process.topology import Scope, Topology
-from teaselledge_fleet.process.work import FleetWork, key_of
+from teaselledge_fleet.process.work import FleetLoad, name_hash
 
-__all__ = ["Spreading"]
+__all__ = ["Gossip"]
 
 _log = get_log("peers")
 
@@ -104,18 +104,18 @@
 """Least time between two fetches of a whole state."""
 
 
-class Spreading:
+class Gossip:
     """Sends pulses to the other routers and takes theirs."""
 
     def __init__(
         self,
         members: Members,
-        belief: Belief,
+        belief: StoreCache,
         seeds: Iterable[str],
-        work: FleetWork,
-        admission: Admission,
+        work: FleetLoad,
+        admission: AdmissionController,
         shares: OrganisationShares,
-        socket: Socket,
+        socket: PeerTransport,
         coordinators: Coordinators,
         stalls: StallDetector | None = None,
     ) -> None:
@@ -123,7 +123,7 @@
         self._belief = belief
         self._seeds = tuple(seeds)
         self._work = work
-        self._sums = Sums(work, shares, admission)
+        self._sums = LoadTotals(work, shares, admission)
         self._coordinators = coordinators
         self._advertised_log = AdvertisedLog(members)
         self._topology = Topology(members)
@@ -133,7 +133,7 @@
         self._sequence = 0
         self._turn = 0
         self._started = asyncio.get_running_loop().time()
-        self._told: list[tuple[Entry, int]] = []
+        self._told: list[tuple[EndpointEntry, int]] = []
         self._next_fetch = 0.0
         self._noted_unheard_at = -math.inf
         self._stalls = stalls or StallDetector()
@@ -142,18 +142,18 @@
         self._summed_at = -math.inf
         self._fetching: asyncio.Task[None] | None = None
         self._soon = asyncio.Event()
-        self.on_members: Callable[[], None] = lambda: None
+        self.on_membership_change: Callable[[], None] = lambda: None
         self._repeats = 0
         belief.on_change.append(self._repeat_soon)
 
-    def use_seeds(self, seeds: Iterable[str]) -> None:
+    def set_seeds(self, seeds: Iterable[str]) -> None:
         """Take other seeds."""
         self._seeds = tuple(seeds)
 
     async def run(self) -> None:
         """Send pulses for ever, and at once after a change."""
         while True:
-            self.pulse()
+            self.send_heartbeats()
             self._soon.clear()
             await asyncio.sleep(SOONEST_SECONDS)
             try:
@@ -164,7 +164,7 @@
 
     def _next_pause(self) -> float:
         """Return the time until the next pulse, unless there is news."""
-        if self._topology.flat:
+        if self._topology.is_full_mesh:
             return PULSE_SECONDS * random.uniform(0.9, 1.1)
         if self._repeats:
             self._repeats -= 1
@@ -176,7 +176,7 @@
         self._repeats = REPEATED - 1
         self._soon.set()
 
-    def pulse(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a pulse to each router that is to be told."""
         self._stalls.tick()
         self._advertised_log.update()
@@ -184,17 +184,17 @@
         changes = self._next_changes()
         self._turn += 1
         sums_due = self._sums_due()
-        for audience in self._topology.audiences():
+        for audience in self._topology.recipient_groups():
             scope = audience.scope
             if scope in (Scope.FLEET, Scope.ZONE) and not sums_due:
                 scope = Scope.NEWS
-            self._deliver(self._make(scope, changes), audience.copies)
-        told = {member.peers for member in self._members.others}
-        seeds = set(self._seeds) - told - {self._members.own.peers}
+            self._deliver(self._make(scope, changes), audience.deliveries)
+        told = {member.peer_address for member in self._members.peers}
+        seeds = set(self._seeds) - told - {self._members.own.peer_address}
         if seeds:
             self._socket.send_all(sorted(seeds), self._make(Scope.OWN, changes))
 
-    def state(self) -> WholeState:
+    def snapshot(self) -> WholeState:
         """Return everything this router knows."""
         belief = self._belief
         return WholeState(
@@ -209,7 +209,7 @@
             belief.era,
         )
 
-    async def learn_from(self, address: str) -> bool:
+    async def fetch_snapshot(self, address: str) -> bool:
         """Fetch everything that a router knows; False where that failed."""
         fetched = await self._client.fetch(address)
         if fetched.is_error():
@@ -234,19 +234,19 @@
             return
         self._noted_unheard_at = now
         members = self._members
-        others, answering = members.others, members.answering
-        if not self._topology.flat:
+        others, answering = members.peers, members.alive
+        if not self._topology.is_full_mesh:
             zone = members.own.zone
             others = [m for m in others if m.zone == zone]
             answering = [m for m in answering if m.zone == zone]
         known, heard = len(others) + 1, len(answering) + 1
         starting = now - self._started < STARTING_SECONDS
         missing = starting or 2 * heard < known
-        self._work.unheard = known / heard if missing else 1.0
+        self._work.extrapolation_factor = known / heard if missing else 1.0
 
     def _next_changes(self) -> list[EndpointState]:
         """Return the changes to be told now."""
-        self._told += [(entry, REPEATED) for entry in self._belief.take_changes()]
+        self._told += [(entry, REPEATED) for entry in self._belief.pop_changes()]
         now, later = self._told[:CHANGES_A_PULSE], self._told[CHANGES_A_PULSE:]
         self._told = later + [(entry, left - 1) for entry, left in now if left > 1]
         if later:
@@ -277,7 +277,7 @@
             belief.version,
             belief.view.digest,
             _milliseconds(belief.age),
-            belief.follower,
+            belief.poller,
             changes,
             int(scope),
             others=self._reports(self._to_report()),
@@ -289,36 +289,40 @@
         if alive:
             marks = [self._sums.mark(peer.vm) for peer in alive]
             pulse.alive_marks = pack_pulse_marks(marks)
-        figures = self._sums.of_scope(scope, zone_peers)
+        figures = self._sums.for_scope(scope, zone_peers)
         if figures is None:
             return pulse
         if scope is Scope.OWN:
-            self._sums.note_sent(self._sequence, figures)
+            self._sums.record_sent(self._sequence, figures)
         pulse.work = pack_work(figures.work)
         pulse.uses = pack_usage(figures.uses)
         return pulse
 
     def _deliver(self, pulse: Pulse, copies: Iterable[Delivery]) -> None:
         """Send a pulse to the first routers that get it."""
-        direct = [delivery.member.peers for delivery in copies if not delivery.pass_to]
+        direct = [
+            delivery.recipient.peer_address
+            for delivery in copies
+            if not delivery.forward_to
+        ]
         self._socket.send_all(direct, pulse)
         for delivery in copies:
-            if delivery.pass_to:
+            if delivery.forward_to:
                 passed = copy.copy(pulse)
-                passed.pass_to = delivery.pass_to
-                if delivery.introduce and pulse.scope == Scope.ZONE:
-                    passed.others = self._reports(delivery.introduce)
-                self._socket.send(delivery.member.peers, passed)
+                passed.pass_to = delivery.forward_to
+                if delivery.unknown_members and pulse.scope == Scope.ZONE:
+                    passed.others = self._reports(delivery.unknown_members)
+                self._socket.send(delivery.recipient.peer_address, passed)
 
     def _admitting(self, scope: Scope) -> list[Member]:
         """Return the routers that admit in one zone, a different one each time."""
         own = self._members.own.zone
         if scope is Scope.ZONE:
-            return self._coordinators.of_zone(own)
-        zones = sorted(self._topology.zones_elsewhere)
+            return self._coordinators.for_zone(own)
+        zones = sorted(self._topology.other_zones)
         if scope is not Scope.FLEET or not zones:
             return []
-        return self._coordinators.of_zone(zones[self._sums_told % len(zones)])
+        return self._coordinators.for_zone(zones[self._sums_told % len(zones)])
 
     def _reports(self, members: Iterable[Member]) -> list[RouterInfo]:
         return [self._members.report(member).to_wire() for member in members]
@@ -328,8 +332,8 @@
         if self._turn % REPORT_EVERY:
             return []
         members = self._members
-        known = members.answering
-        if not self._topology.flat and self._topology.aggregates:
+        known = members.alive
+        if not self._topology.is_full_mesh and self._topology.is_aggregator:
             # the zone's own routers are told with their ages already
             known = [m for m in members.ready if m.zone != members.own.zone]
         return random.sample(known, min(REPORTS, len(known)))
@@ -340,18 +344,18 @@
             return
         relayed = bool(pulse.hops)
         passes_on = relayed or bool(pulse.pass_to) or pulse.scope == Scope.ZONE
-        if passes_on and self._stalls.stale:
+        if passes_on and self._stalls.recently_stalled:
             # what waited while this VM was frozen is no news
             return
         for info in pulse.others or ():
-            if self._members.learn(Report.from_wire(info)):
-                self.on_members()
+            if self._members.merge_report(MemberReport.from_wire(info)):
+                self.on_membership_change()
         if passes_on and not self._pass_on(sender, pulse):
             return
         self._note_unheard()
-        if not self._members.knows(sender.vm):
+        if not self._members.is_known(sender.vm):
             self._introduce(sender)
-        if self._members.hear(sender, relayed):
+        if self._members.update_from_heartbeat(sender, relayed):
             _log.info(
                 "router heard",
                 vm=sender.vm,
@@ -359,15 +363,19 @@
                 state=sender.state.name.lower(),
                 relayed=relayed,
             )
-            self.on_members()
-        self._coordinators.hear([Member.from_wire(m) for m in pulse.admitting or ()])
+            self.on_membership_change()
+        self._coordinators.set_zone_coordinators(
+            [Member.from_wire(m) for m in pulse.admitting or ()]
+        )
         belief = self._belief
         known_at = belief.as_of
         current = self._note_era(pulse.era, sender.vm)
         if pulse.changes:
-            belief.take_news(map(_from_wire, pulse.changes), sender.vm)
+            belief.merge_entries(map(_from_wire, pulse.changes), sender.vm)
         if current and pulse.store_age is not None and pulse.store_age >= 0:
-            belief.confirm(pulse.digest, pulse.store_age / 1000, pulse.follower or "")
+            belief.update_age(
+                pulse.digest, pulse.store_age / 1000, pulse.follower or ""
+            )
         self._take_alive(sender, pulse)
         if pulse.work is not None or pulse.uses is not None:
             self._hear_figures(sender, pulse)
@@ -382,7 +390,7 @@
 
     def _note_era(self, era: int | None, source: str) -> bool:
         """Whether a router tells of the store as it is, not before it went back."""
-        return era is None or self._belief.note_era(era, source)
+        return era is None or self._belief.update_era(era, source)
 
     def _pass_on(self, sender: Member, pulse: Pulse) -> bool:
         """Pass a pulse on to those for whom it is; False where it came before."""
@@ -395,7 +403,7 @@
         if passed.hops < MOST_HOPS:
             keys = [*(pulse.pass_to or ()), *self._meant_for(sender, pulse)]
             region = members.own.region
-            self._deliver(passed, deliveries(keys, region, members.find))
+            self._deliver(passed, plan_deliveries(keys, region, members.find_by_hash))
         return True
 
     def _meant_for(self, sender: Member, pulse: Pulse) -> list[int]:
@@ -406,17 +414,17 @@
         """
         aggregator = self._topology.aggregator
         near = sender.zone == aggregator.zone
-        if pulse.scope != Scope.ZONE or near or self._topology.aggregates:
+        if pulse.scope != Scope.ZONE or near or self._topology.is_aggregator:
             return []
-        return [key_of(aggregator.vm)]
+        return [name_hash(aggregator.vm)]
 
     def _take_alive(self, sender: Member, pulse: Pulse) -> None:
         """Take which routers of this zone its aggregator hears."""
         near = sender.zone == self._members.own.zone
-        if not pulse.alive or not near or self._topology.aggregates:
+        if not pulse.alive or not near or self._topology.is_aggregator:
             return
         alive = unpack_member_statuses(pulse.alive, pulse.alive_ages or b"")
-        self._members.take_statuses(alive)
+        self._members.update_from_aggregator(alive)
 
     def _introduce(self, newcomer: Member) -> None:
         """Answer a router that is not known, and name routers of its zone.
@@ -424,34 +432,34 @@
         It may know nobody but seeds, which tell their own zones only. Unheard in its
         zone it would take no callers, and names none but itself to those who ask.
         """
-        zone_peers = [m for m in self._members.others if m.zone == newcomer.zone]
+        zone_peers = [m for m in self._members.peers if m.zone == newcomer.zone]
         pulse = self._make(Scope.OWN, [])
         named = random.sample(zone_peers, min(INTRODUCED, len(zone_peers)))
         pulse.others = self._reports(named)
-        self._socket.send(newcomer.peers, pulse)
+        self._socket.send(newcomer.peer_address, pulse)
 
     def _hear_figures(self, sender: Member, pulse: Pulse) -> None:
         scope = pulse.scope or Scope.OWN
         near = sender.zone == self._members.own.zone
-        aggregates = self._topology.aggregates
+        aggregates = self._topology.is_aggregator
         work = unpack_work(pulse.work or b"")
-        figures = Figures(work, unpack_usage(pulse.uses or b""))
+        figures = LoadStats(work, unpack_usage(pulse.uses or b""))
         if scope == Scope.ZONE:
             if not near and aggregates:
-                self._topology.note_aggregator(sender)
-                self._sums.hear_zone(sender.zone, figures)
-                self._sums.take_over(self._topology.zones_elsewhere)
+                self._topology.record_aggregator(sender)
+                self._sums.update_zone(sender.zone, figures)
+                self._sums.discard_previous_total(self._topology.other_zones)
         elif scope == Scope.FLEET:
             if near and not aggregates:
                 marks = unpack_pulse_marks(pulse.alive or b"", pulse.alive_marks or b"")
-                mark = marks.get(key_of(self._members.own.vm), NO_MARK)
-                self._sums.hear_fleet(figures, mark)
+                mark = marks.get(name_hash(self._members.own.vm), NO_MARK)
+                self._sums.update_fleet(figures, mark)
         elif scope == Scope.OTHERS:
             if near and not aggregates:
-                self._sums.hear_others(figures)
-        elif self._topology.flat or (near and aggregates):
+                self._sums.update_others(figures)
+        elif self._topology.is_full_mesh or (near and aggregates):
             # else the aggregator tells of its work, and it must not count twice
-            self._sums.hear_router(sender.vm, pulse.sequence or 0, figures)
+            self._sums.update_router(sender.vm, pulse.sequence or 0, figures)
 
     def _behind(self, pulse: Pulse) -> bool:
         """Whether the sender of a pulse knows what this router doesn't."""
@@ -470,10 +478,10 @@
         if now < self._next_fetch:
             return
         self._next_fetch = now + FETCH_PAUSE
-        self._fetching = asyncio.create_task(self._fetch_from(sender.peers))
+        self._fetching = asyncio.create_task(self._fetch_from(sender.peer_address))
 
     async def _fetch_from(self, address: str) -> None:
-        if not await self.learn_from(address):
+        if not await self.fetch_snapshot(address):
             # another sender's next pulse starts the next fetch
             self._next_fetch = 0.0
 
@@ -482,27 +490,31 @@
         vm = state.sender.vm
         current = self._note_era(state.era, vm)
         if state.configuration and (state.version or 0) > belief.version:
-            belief.take_configuration(state.configuration, vm)
-        belief.take_news(map(_from_wire, state.endpoints or ()), vm)
+            belief.update_configuration(state.configuration, vm)
+        belief.merge_entries(map(_from_wire, state.endpoints or ()), vm)
         if current and state.store_age is not None and state.store_age >= 0:
-            belief.confirm(state.digest, state.store_age / 1000, vm)
-        self._members.learn(Report(Member.from_wire(state.sender), 0.0))
+            belief.update_age(state.digest, state.store_age / 1000, vm)
+        self._members.merge_report(MemberReport(Member.from_wire(state.sender), 0.0))
         for info in state.routers or ():
-            self._members.learn(Report.from_wire(info))
-        self.on_members()
+            self._members.merge_report(MemberReport.from_wire(info))
+        self.on_membership_change()
 
 
 def _milliseconds(seconds: float | None) -> int:
     return -1 if seconds is None else min(int(seconds * 1000), 1 << 30)
 
 
-def _to_wire(entry: Entry) -> EndpointState:
-    endpoint, revision, statement = entry.endpoint, entry.revision, entry.statement
+def _to_wire(entry: EndpointEntry) -> EndpointState:
+    endpoint, revision, statement = (
+        entry.endpoint,
+        entry.revision,
+        entry.announcement_id,
+    )
     state = EndpointState(
         entry.id,
         revision.number,
         endpoint is None,
-        born=statement.born,
+        born=statement.started_ms,
         era=revision.era,
         sequence=statement.sequence,
     )
@@ -515,11 +527,11 @@
     return state
 
 
-def _from_wire(state: EndpointState) -> Entry:
+def _from_wire(state: EndpointState) -> EndpointEntry:
     revision = Revision(state.era or 0, state.revision)
-    statement = Statement(state.born or 0, state.sequence or 0)
+    statement = AnnouncementId(state.born or 0, state.sequence or 0)
     if state.gone:
-        return Entry(state.id, revision, None, statement)
+        return EndpointEntry(state.id, revision, None, statement)
     endpoint = Endpoint(
         state.id,
         state.service_name or "",
@@ -527,7 +539,7 @@
         state.zone or "",
         state.slots or 1,
         bool(state.leaving),
-        born=statement.born,
+        started_ms=statement.started_ms,
         sequence=statement.sequence,
     )
-    return Entry(state.id, revision, endpoint, statement)
+    return EndpointEntry(state.id, revision, endpoint, statement)
--- a/packages/fleet/src/teaselledge_fleet/process/registration.py
+++ b/packages/fleet/src/teaselledge_fleet/process/registration.py
@@ -7,9 +7,9 @@
 from thrift.TSerialization import deserialize, serialize
 
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.belief import Belief
-from teaselledge_fleet.process.members import Member, Members, Report
+from teaselledge_fleet.process.members import Member, MemberReport, Members
 from teaselledge_fleet.process.store import StateStore
+from teaselledge_fleet.process.storecache import StoreCache
 from teaselledge_fleet.process.topology import rank
 
 __all__ = ["Registration"]
@@ -40,7 +40,7 @@
     may be lost when the store goes back to an older copy, and is written again then.
     """
 
-    def __init__(self, store: StateStore, members: Members, belief: Belief) -> None:
+    def __init__(self, store: StateStore, members: Members, belief: StoreCache) -> None:
         self._store = store
         self._members = members
         self._belief = belief
@@ -50,11 +50,11 @@
     async def run(self) -> None:
         """Keep the row, and read all rows while this router is alone."""
         await asyncio.sleep(GREETING_SECONDS)
-        if not self._members.answering:
+        if not self._members.alive:
             await self._find_others()
         while True:
             await asyncio.sleep(LONELY_SECONDS)
-            if not self._members.answering:
+            if not self._members.alive:
                 await self._find_others()
             elif self._represents_zone():
                 await self._keep_row()
@@ -84,13 +84,13 @@
         own = self._members.own
         return sum(rank(m) < rank(own) for m in self._members.zone_peers) < ROWS
 
-    async def withdraw(self) -> None:
+    async def deregister(self) -> None:
         """Remove the row."""
         if self._written_in is None:
             return
         try:
             async with asyncio.timeout(WITHDRAW_SECONDS):
-                await self._store.drop_router(self._members.own.vm)
+                await self._store.delete_router(self._members.own.vm)
         except TimeoutError:
             _log.info("row not removed", vm=self._members.own.vm)
 
@@ -115,4 +115,4 @@
                 _log.warning("row of a router malformed", vm=vm, error=repr(error))
                 continue
             # a row tells nothing of when its router was alive
-            self._members.learn(Report(member, None))
+            self._members.merge_report(MemberReport(member, None))
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -13,30 +13,30 @@
 from teaselledge_fleet.connection.pool import ConnectionPool
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.addresses import addresses_for
-from teaselledge_fleet.process.admission import Admission
-from teaselledge_fleet.process.asking import Asking
-from teaselledge_fleet.process.belief import Belief, Decode
-from teaselledge_fleet.process.budget import RepeatBudget, RepeatLimits
-from teaselledge_fleet.process.busyness import Busyness
+from teaselledge_fleet.process.admission import AdmissionController
+from teaselledge_fleet.process.admissionrpc import AdmissionRpc
+from teaselledge_fleet.process.budget import RetryBudget, RetryLimits
+from teaselledge_fleet.process.busyness import EventLoopMonitor
 from teaselledge_fleet.process.connectionlimit import ConnectionLimit
 from teaselledge_fleet.process.coordinators import Coordinators
-from teaselledge_fleet.process.following import StoreFollower
-from teaselledge_fleet.process.leaving import Leaving
-from teaselledge_fleet.process.locating import PartLocator
+from teaselledge_fleet.process.gossip import Gossip
+from teaselledge_fleet.process.leaving import GracefulShutdown
+from teaselledge_fleet.process.locating import PrefixLocator
 from teaselledge_fleet.process.members import Member, Members, MemberState
 from teaselledge_fleet.process.metrics import FleetMetrics
-from teaselledge_fleet.process.offloading import Offloading
-from teaselledge_fleet.process.passingrate import PassingRate
+from teaselledge_fleet.process.offloading import ConnectionOffloader
+from teaselledge_fleet.process.passingrate import OffloadLimiter
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.registration import Registration
 from teaselledge_fleet.process.settings import FleetSettings
-from teaselledge_fleet.process.spreading import Spreading
 from teaselledge_fleet.process.store import StateStore
+from teaselledge_fleet.process.storecache import Decode, StoreCache
+from teaselledge_fleet.process.storepoller import StorePoller
 from teaselledge_fleet.request.call import HeaderCodec
 from teaselledge_fleet.request.serving import RequestProxy
 from teaselledge_fleet.version.routes import CallerLimits
 
-__all__ = ["FleetRouter", "Pages"]
+__all__ = ["FleetRouter", "PageFormats"]
 
 _log = get_log("router")
 
@@ -58,15 +58,15 @@
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
-class Pages(Protocol):
+class PageFormats(Protocol):
     """Formats of what callers and the platform ask a router."""
 
     addresses_path: str
 
-    def place_asked(self, arguments: dict[str, str]) -> tuple[str, str]:
+    def caller_location(self, arguments: dict[str, str]) -> tuple[str, str]:
         """Return the zone and region of a caller that asks for addresses."""
 
-    def addresses(self, addresses: list[str], seconds: float) -> Page:
+    def addresses_page(self, addresses: list[str], seconds: float) -> Page:
         """Return the page that names routers."""
 
 
@@ -81,7 +81,7 @@
         What lasts.
     dialect : Dialect
         Names of headers.
-    pages : Pages
+    pages : PageFormats
         Formats of the small pages.
     decode : callable
         Reads a configuration; None where it can't.
@@ -92,7 +92,7 @@
         settings: FleetSettings,
         store: StateStore,
         dialect: HeaderCodec,
-        pages: Pages,
+        pages: PageFormats,
         decode: Decode,
     ) -> None:
         self._settings = settings
@@ -109,19 +109,19 @@
             relay_port=_port(settings.listeners.relays),
         )
         self._members = Members(own)
-        self._busyness = Busyness(settings.cores)
+        self._busyness = EventLoopMonitor(settings.cores)
         self._busyness.on_tick = self._note_load
-        self._belief = Belief(place.vm, decode)
+        self._belief = StoreCache(place.vm, decode)
         self._pool = ConnectionPool()
-        self._budget = RepeatBudget(_limits(settings))
+        self._budget = RetryBudget(_limits(settings))
         self._placer = FleetPlacer(self._belief.view, place.zone, settings.zones)
-        self._placer.learn_if(lambda at: self._busyness.prompt_since(at))
+        self._placer.set_sample_filter(lambda at: self._busyness.responsive_since(at))
         self._metrics = FleetMetrics()
         self._server = RequestProxy(
             dialect, self._pool, self._placer, self._budget, self._metrics
         )
         self._server.is_overloaded = lambda: (
-            self._busyness.late or self._busyness.overloaded
+            self._busyness.recently_blocked or self._busyness.overloaded
         )
         limits = CallerLimits()
         self._front = FrontServer(
@@ -130,46 +130,50 @@
             limits.body_bytes,
             limits.idle_seconds,
         )
-        self._front.reconnect_probability = lambda: self._busyness.crowded
+        self._front.reconnect_probability = lambda: self._busyness.rebalance_fraction
         acceptor = self._front.acceptor
         acceptor.version = lambda: self._belief.version
-        self._offloading = Offloading(self._members)
+        self._offloading = ConnectionOffloader(self._members)
         acceptor.choose_relay_target = self._choose_router
-        self._passing = PassingRate()
-        acceptor.peers_have_capacity = lambda: self._passing.allows
+        self._passing = OffloadLimiter()
+        acceptor.peers_have_capacity = lambda: self._passing.allowed
         acceptor.on_relayed = self._note_passed_on
-        acceptor.on_relay_refused = self._passing.note_refused
+        acceptor.on_relay_refused = self._passing.record_refusal
         self._limit = ConnectionLimit()
         acceptor.has_capacity = lambda: self._limit.allows(self._front.running)
-        asks_seeds = bool(settings.seeds) and own.peers not in settings.seeds
-        self._follower = StoreFollower(place.vm, store, self._belief, asks_seeds)
+        asks_seeds = bool(settings.seeds) and own.peer_address not in settings.seeds
+        self._follower = StorePoller(place.vm, store, self._belief, asks_seeds)
         self._registration = Registration(store, self._members, self._belief)
         self._socket = PeerSocket()
-        admission = Admission()
+        admission = AdmissionController()
         coordinators = Coordinators(self._members)
-        self._placer.work.kept = admission.total
-        self._asking = Asking(
+        self._placer.load.coordinated_load = admission.total_load
+        self._asking = AdmissionRpc(
             self._members,
             self._belief.view,
-            self._placer.work,
+            self._placer.load,
             admission,
             self._socket,
             coordinators,
         )
-        self._placer.ask_with(self._asking.ask)
-        self._placer.locate_with(PartLocator(self._members, self._socket, coordinators))
-        self._spreading = Spreading(
+        self._placer.set_admission_check(self._asking.request_admission)
+        self._placer.set_locator(
+            PrefixLocator(self._members, self._socket, coordinators)
+        )
+        self._spreading = Gossip(
             self._members,
             self._belief,
             settings.seeds,
-            self._placer.work,
+            self._placer.load,
             admission,
             self._placer.shares,
             self._socket,
             coordinators,
         )
-        self._spreading.on_members = self._note_members
-        self._leaving = Leaving(settings.grace_seconds, self._front, self._server)
+        self._spreading.on_membership_change = self._note_members
+        self._leaving = GracefulShutdown(
+            settings.grace_seconds, self._front, self._server
+        )
         self._page_servers: list[PageServer] = []
         self._tasks: list[asyncio.Task[None]] = []
         self._belief.on_change.append(self._take_belief)
@@ -196,23 +200,23 @@
         ]
         _log.info("router started", vm=self._settings.place.vm)
 
-    def use(self, settings: FleetSettings) -> None:
+    def apply_settings(self, settings: FleetSettings) -> None:
         """Take what may change in the settings while the process runs."""
-        self._spreading.use_seeds(settings.seeds)
-        self._budget.use(_limits(settings))
+        self._spreading.set_seeds(settings.seeds)
+        self._budget.set_limits(_limits(settings))
         _log.info("settings taken", seeds=list(settings.seeds))
 
-    def stop(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin to leave."""
         _log.info("router stops", running=self._front.running)
         self._members.set_state(MemberState.LEAVING)
-        self._spreading.pulse()
-        self._leaving.begin()
+        self._spreading.send_heartbeats()
+        self._leaving.start()
 
-    async def wait_left(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until nothing is left to be done."""
         await self._leaving.wait()
-        await self._registration.withdraw()
+        await self._registration.deregister()
         await self.close()
         _log.info("router stopped", running=self._front.running)
 
@@ -230,11 +234,14 @@
 
     def _note_load(self) -> None:
         """Tell how busy this router is, and limit its connections by its time."""
-        self._members.set_busy(self._busyness.busy)
-        self._passing.tick()
-        longest, used = self._busyness.take_longest_turn(), self._busyness.loop_used
+        self._members.set_utilisation(self._busyness.utilisation)
+        self._passing.start_tick()
+        longest, used = (
+            self._busyness.pop_longest_iteration(),
+            self._busyness.loop_utilisation,
+        )
         limited = math.isfinite(self._limit.limit)
-        self._limit.note(longest, used, self._front.running)
+        self._limit.update(longest, used, self._front.running)
         if limited == math.isfinite(self._limit.limit):
             return
         # a warning, as ordinary lines give way on a crowded router
@@ -253,8 +260,8 @@
         return self._offloading.choose(self._busyness)
 
     def _note_passed_on(self, router: str) -> None:
-        self._passing.note_passed()
-        self._offloading.note_passed_on(router)
+        self._passing.record_offload()
+        self._offloading.record_offload(router)
 
     def _listen(self, address: str, answer: "object") -> None:
         server = PageServer(answer)  # type: ignore[arg-type]
@@ -265,15 +272,15 @@
         routing = self._belief.routing
         if routing is not None and routing is not self._server.routing:
             self._server.routing = routing
-            self._placer.use(routing)
-        self._placer.keep()
+            self._placer.apply_routing(routing)
+        self._placer.retain_endpoints()
         self._share_connections()
         if self._members.own.state is MemberState.STARTING and self._belief.version:
             _log.info("router ready", version=self._belief.version)
             self._members.set_state(MemberState.READY)
 
     def _note_members(self) -> None:
-        self._budget.note_routers(len(self._members.others) + 1)
+        self._budget.update_router_count(len(self._members.peers) + 1)
         self._share_connections()
 
     def _share_connections(self) -> None:
@@ -281,7 +288,7 @@
         routing = self._belief.routing
         if routing is None:
             return
-        routers = len(self._members.others) + 1
+        routers = len(self._members.peers) + 1
         caps = {}
         for endpoint in self._belief.view.endpoints:
             service = routing.services.get(endpoint.service)
@@ -297,18 +304,18 @@
     def _answer_addresses(self, path: str, arguments: dict[str, str]) -> Page:
         if path != self._pages.addresses_path:
             return Page(404)
-        if self._busyness.late:
+        if self._busyness.recently_blocked:
             # it can't tell who is silent; another router answers better
             return Page(503)
-        zone, region = self._pages.place_asked(arguments)
+        zone, region = self._pages.caller_location(arguments)
         found = addresses_for(self._members.ready, self._settings.zones, zone, region)
         if not found:
             return Page(503)
-        return self._pages.addresses(found, ADDRESS_SECONDS)
+        return self._pages.addresses_page(found, ADDRESS_SECONDS)
 
     def _answer_peers(self, path: str, arguments: dict[str, str]) -> Page:
         if path == STATE_PATH:
-            body = encode_state(self._spreading.state())
+            body = encode_state(self._spreading.snapshot())
             return Page(200, body, "application/octet-stream")
         return Page(404)
 
@@ -318,27 +325,27 @@
         metrics = self._metrics
         age = self._belief.age
         metrics.set("running", self._front.running)
-        metrics.set("busy", self._busyness.busy)
+        metrics.set("busy", self._busyness.utilisation)
         metrics.set("caller_connections", self._front.acceptor.accepted)
         metrics.set("connections_passed_on", self._front.acceptor.relayed)
         metrics.set("connections_refused", self._front.acceptor.refused)
         metrics.set("version", self._belief.version)
         metrics.set("store_age_seconds", -1.0 if age is None else age)
         metrics.set("store_era", self._belief.era or 0)
-        metrics.set("routers_answering", len(self._members.answering))
+        metrics.set("routers_answering", len(self._members.alive))
         metrics.set("routers_advertised", len(self._members.ready))
         metrics.set("store_calls", self._follower.calls)
         metrics.set("endpoint_connections", self._pool.opened)
-        metrics.set("admissions_asked", self._asking.asked)
-        metrics.set("admissions_unanswered", self._asking.unanswered)
+        metrics.set("admissions_asked", self._asking.queries_sent)
+        metrics.set("admissions_unanswered", self._asking.queries_timed_out)
         metrics.set("peer_sent_bytes", self._socket.sent_bytes)
         metrics.set("peer_malformed", self._socket.malformed_count)
         page = import_module(METRICS_PAGE).metrics_page(metrics)
         return Page(200, page, METRICS_TYPE)
 
 
-def _limits(settings: FleetSettings) -> RepeatLimits:
-    return RepeatLimits(
+def _limits(settings: FleetSettings) -> RetryLimits:
+    return RetryLimits(
         settings.repeat_ratio, settings.repeat_extra, settings.repeat_window
     )
 
--- a/packages/fleet/src/teaselledge_fleet/request/serving.py
+++ b/packages/fleet/src/teaselledge_fleet/request/serving.py
@@ -20,7 +20,7 @@
     fault_headers,
 )
 from teaselledge_fleet.log import get_log
-from teaselledge_fleet.process.budget import RepeatBudget
+from teaselledge_fleet.process.budget import RetryBudget
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.metrics import FleetMetrics
 from teaselledge_fleet.request.call import (
@@ -86,7 +86,7 @@
         Connections to endpoints.
     placer : Placer
         Chooses the endpoint of each attempt.
-    budget : RepeatBudget
+    budget : RetryBudget
         Limits retries.
     metrics : FleetMetrics, optional
         Counts requests and attempts.
@@ -108,7 +108,7 @@
         codec: HeaderCodec,
         pool: ConnectionPool,
         placer: Placer,
-        budget: RepeatBudget,
+        budget: RetryBudget,
         metrics: FleetMetrics | None = None,
     ) -> None:
         self._codec = codec
@@ -176,7 +176,7 @@
         organisation = None
         if self.routing is not None and request.key:
             organisation = self.routing.find_organisation(request.key)
-        self._metrics.count("requests", outcome="refused", fault=kind, service="")
+        self._metrics.increment("requests", outcome="refused", fault=kind, service="")
         _log.info(
             "request refused",
             id=request.id,
@@ -242,7 +242,7 @@
                 outcome = await self._run_attempt(placed.ok)
             finally:
                 self._proxy._placer.on_attempt_ended(context, endpoint, outcome)
-                self._proxy._metrics.count(
+                self._proxy._metrics.increment(
                     "attempts", outcome=outcome.name.lower(), service=context.service
                 )
             if outcome in (Outcome.WHOLE, Outcome.ABANDONED):
@@ -270,7 +270,7 @@
             await self._fail(rejection)
             return Outcome.ABANDONED
         if context.send_count == 0:
-            proxy._budget.note_first(context.service)
+            proxy._budget.record_first_attempt(context.service)
         context.send_count += 1
         _log.info(
             "attempt sent",
@@ -428,7 +428,7 @@
             return False
         if outcome is Outcome.UNSENT:
             return True
-        return self._proxy._budget.allow(self._context.service)
+        return self._proxy._budget.try_acquire(self._context.service)
 
     def _may_retry(self, outcome: Outcome) -> bool:
         context = self._context
@@ -477,7 +477,7 @@
         context, metrics = self._context, self._proxy._metrics
         service = context.service
         fault = self._fault.kind.value if self._fault is not None else ""
-        metrics.count(
+        metrics.increment(
             "requests", outcome=outcome.name.lower(), fault=fault, service=service
         )
         metrics.observe("request_seconds", now - context.arrived_at, service=service)
--- a/packages/fleet/tests/test_large_fleet.py
+++ b/packages/fleet/tests/test_large_fleet.py
@@ -34,7 +34,7 @@
     return next(
         router
         for router in fleet.routers
-        if router.members.own.zone == zone and router.spreading._topology.aggregates
+        if router.members.own.zone == zone and router.spreading._topology.is_aggregator
     )
 
 
@@ -71,7 +71,7 @@
         living = fleet.routers[3:]
         for router in living:
             assert router.belief.version
-            assert len(router.members.answering) == len(living) - 1
+            assert len(router.members.alive) == len(living) - 1
 
 
 async def test_change_is_known_soon_though_datagrams_are_lost():
@@ -100,7 +100,7 @@
     async with spread_fleet(new_store(), 40, decode_number, 3) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
-            router.work.add("e1", 2, 0.0)
+            router.work.add_local("e1", 2, 0.0)
         await asyncio.sleep(2)
         dead = aggregator(fleet, "z2")
         dead.kill()
@@ -109,7 +109,7 @@
         living = [router for router in fleet.routers if not router.frozen]
         while loop.time() < died + 6:
             await asyncio.sleep(0.05)
-            if any(r.work.total("e1").running < 2 * len(living) for r in living):
+            if any(r.work.total("e1").in_flight < 2 * len(living) for r in living):
                 last = loop.time()
     assert last - died <= STALE_SECONDS, f"{last - died:.2f} s"
 
@@ -120,8 +120,8 @@
         await asyncio.sleep(5)
         shares = [router.placer.shares for router in fleet.routers]
         for step in range(1, 40):
-            shares[7].receive("north", 1000)
+            shares[7].record_allocation("north", 1000)
             await asyncio.sleep(0.05)
-            told = shares[7].from_sources()
-            others = sum(use.received for use in told.values())
+            told = shares[7].sum_of_sources()
+            others = sum(use.allocated for use in told.values())
             assert others == 0, f"step {step}: {others}"
--- a/packages/fleet/tests/test_one_router_flooded.py
+++ b/packages/fleet/tests/test_one_router_flooded.py
@@ -17,11 +17,11 @@
 
 from teaselledge_fleet.connection.front import ReceivedRequest
 from teaselledge_fleet.connection.pool import ConnectionPool
-from teaselledge_fleet.process.budget import RepeatBudget
+from teaselledge_fleet.process.budget import RetryBudget
 from teaselledge_fleet.process.endpoints import Endpoint, EndpointView
 from teaselledge_fleet.process.placing import FleetPlacer
-from teaselledge_fleet.process.shares import Use
-from teaselledge_fleet.process.work import key_of
+from teaselledge_fleet.process.shares import TokenUsage
+from teaselledge_fleet.process.work import name_hash
 from teaselledge_fleet.request.call import CallerRequest, Prompt
 from teaselledge_fleet.request.defaultcodec import DefaultHeaderCodec
 from teaselledge_fleet.request.serving import RequestProxy
@@ -90,7 +90,7 @@
     Its share is then divided among the others, and nobody is over theirs.
     """
     placer = FleetPlacer(EndpointView(), "north-a", {"north-a": "north"})
-    server = RequestProxy(PromptDialect(), ConnectionPool(), placer, RepeatBudget())
+    server = RequestProxy(PromptDialect(), ConnectionPool(), placer, RetryBudget())
     server.routing = make_routing(
         make_route(RetryPolicy.ANY, carries_prompt=True, public=False)
     )
@@ -101,4 +101,4 @@
     answers = Refusals()
     await server.handle(incoming, answers)
     assert answers.status == 503
-    assert placer.shares.own() == {key_of("cellar"): Use(1200, 0)}
+    assert placer.shares.local() == {name_hash("cellar"): TokenUsage(1200, 0)}
--- a/packages/fleet/tests/test_relay.py
+++ b/packages/fleet/tests/test_relay.py
@@ -7,7 +7,7 @@
 
 from teaselledge_fleet.connection.relay import RelayPool, preface, read_preface
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_fleet.process.passingrate import PassingRate
+from teaselledge_fleet.process.passingrate import OffloadLimiter
 from teaselledge_fleet.version.routes import RetryPolicy
 from teaselledge_standins.fleetrouters import RunningRouter, running_routers
 from teaselledge_standins.routes import HOST, ask, make_route, make_routing
@@ -57,7 +57,7 @@
 
 
 def relay_address(running: RunningRouter) -> tuple[str, int]:
-    host, _, port = running.router._members.own.relays.rpartition(":")
+    host, _, port = running.router._members.own.relay_address.rpartition(":")
     return host, int(port)
 
 
@@ -134,11 +134,11 @@
     """Otherwise two routers work on a request that neither serves, and callers wait."""
     pair.neighbour.router._limit._limit = 0
     overloaded = pair.overloaded.router
-    # the test calls tick itself
-    relay_rate, overloaded._passing.tick = overloaded._passing, lambda: None
+    # the test calls start_tick itself
+    relay_rate, overloaded._passing.start_tick = overloaded._passing, lambda: None
     for _ in range(REFUSED_REQUESTS):
         assert (await ask(pair.overloaded.port)).status == 503
-    PassingRate.tick(relay_rate)
+    OffloadLimiter.start_tick(relay_rate)
     relayed = overloaded._front.acceptor.relayed
     for _ in range(REFUSED_REQUESTS):
         assert (await ask(pair.overloaded.port)).status == 503
--- a/packages/router/src/teaselledge/process/latency.py
+++ b/packages/router/src/teaselledge/process/latency.py
@@ -1,4 +1,4 @@
-"""Ways to keep interactive requests fast beside long ones."""
+"""Policies that keep the latency of interactive requests low."""
 
 from enum import Enum
 from typing import Protocol
@@ -7,22 +7,22 @@
     "LATENCY_POLICIES",
     "LatencyPolicy",
     "LatencyPolicyNotFoundError",
-    "Room",
+    "Admission",
     "get_latency_policy_by_name",
 ]
 
-RESERVE_PART = 8
-"""One slot in so many is kept for interactive requests."""
+SLOTS_PER_RESERVED_SLOT = 8
+"""Slots for each slot that is reserved for interactive requests."""
 
-BURST_PART = 2
-"""One slot in so many is added for interactive requests."""
+SLOTS_PER_BURST_REQUEST = 2
+"""Slots for each interactive request that may run above the slots."""
 
-PREEMPT_PART = 8
-"""One stream in so many may be asked to end at a time."""
+SLOTS_PER_PREEMPTION = 8
+"""Slots for each stream that may be preempted at a time."""
 
 
-class Room(Enum):
-    """What may start now."""
+class Admission(Enum):
+    """Kinds of requests that may start now."""
 
     ANY = "any"
     """Any request."""
@@ -34,17 +34,17 @@
     """Interactive requests above the nominal slots."""
 
     PREEMPT = "preempt"
-    """Nothing; an interactive request may end a long stream."""
+    """Nothing; a long stream may be preempted for an interactive request."""
 
     NONE = "none"
     """Nothing."""
 
 
 class LatencyPolicy(Protocol):
-    """Decides what may start."""
+    """Decides which requests may start."""
 
-    def room(self, free: int, slots: int, above: int) -> Room:
-        """Return what may start.
+    def admission(self, free: int, slots: int, over_limit: int) -> Admission:
+        """Return which requests may start.
 
         Parameters
         ----------
@@ -52,9 +52,9 @@
             Free slots of the shard.
         slots : int
             Slots of the shard.
-        above : int
-            Requests that were started above the slots, or streams that were
-            asked to end and did not yet.
+        over_limit : int
+            Number of requests above the slots and of preempted streams that
+            have not ended yet.
         """
 
 
@@ -62,46 +62,58 @@
     """There is no latency policy of that name."""
 
 
-def _part(slots: int, part: int) -> int:
-    return max(1, slots // part)
+def _quota(slots: int, slots_per_request: int) -> int:
+    return max(1, slots // slots_per_request)
 
 
 class PlainPolicy:
-    """Interactive requests are first in line and have no slots of their own."""
+    """Reserves no slots; interactive requests only go first in the queue."""
 
-    def room(self, free: int, slots: int, above: int) -> Room:
-        """Return what may start."""
-        return Room.ANY if free > 0 else Room.NONE
+    def admission(self, free: int, slots: int, over_limit: int) -> Admission:
+        """Return which requests may start."""
+        return Admission.ANY if free > 0 else Admission.NONE
 
 
 class ReservePolicy:
-    """Keeps some slots for interactive requests; they idle without any."""
+    """Reserves slots for interactive requests; without any they are idle."""
 
-    def room(self, free: int, slots: int, above: int) -> Room:
-        """Return what may start."""
+    def admission(self, free: int, slots: int, over_limit: int) -> Admission:
+        """Return which requests may start."""
         if free <= 0:
-            return Room.NONE
-        return Room.ANY if free > _part(slots, RESERVE_PART) else Room.INTERACTIVE
+            return Admission.NONE
+        return (
+            Admission.ANY
+            if free > _quota(slots, SLOTS_PER_RESERVED_SLOT)
+            else Admission.INTERACTIVE
+        )
 
 
 class BurstPolicy:
-    """Starts interactive requests above the slots; the batch slows a little."""
+    """Starts interactive requests above the slots, which slows the batch slightly."""
 
-    def room(self, free: int, slots: int, above: int) -> Room:
-        """Return what may start."""
+    def admission(self, free: int, slots: int, over_limit: int) -> Admission:
+        """Return which requests may start."""
         if free > 0:
-            return Room.ANY
-        return Room.ABOVE if above < _part(slots, BURST_PART) else Room.NONE
+            return Admission.ANY
+        return (
+            Admission.ABOVE
+            if over_limit < _quota(slots, SLOTS_PER_BURST_REQUEST)
+            else Admission.NONE
+        )
 
 
 class PreemptPolicy:
-    """Ends a long stream, which is resumed later, for an interactive request."""
+    """Preempts a long stream, which is resumed later, for an interactive request."""
 
-    def room(self, free: int, slots: int, above: int) -> Room:
-        """Return what may start."""
+    def admission(self, free: int, slots: int, over_limit: int) -> Admission:
+        """Return which requests may start."""
         if free > 0:
-            return Room.ANY
-        return Room.PREEMPT if above < _part(slots, PREEMPT_PART) else Room.NONE
+            return Admission.ANY
+        return (
+            Admission.PREEMPT
+            if over_limit < _quota(slots, SLOTS_PER_PREEMPTION)
+            else Admission.NONE
+        )
 
 
 LATENCY_POLICIES: dict[str, type[LatencyPolicy]] = {
--- a/packages/router/tests/test_drain.py
+++ b/packages/router/tests/test_drain.py
@@ -68,7 +68,7 @@
     assert late.fault.kind is ErrorKind.LEAVING
     assert drain.phase is Phase.REFUSING
     outcomes = [await task for task in calls]
-    assert sum(outcome.right for outcome in outcomes) == 12 - len(refused)
+    assert sum(outcome.is_correct for outcome in outcomes) == 12 - len(refused)
     assert await ended is DrainExit.WHOLE
     # "not run" is true: nothing of what was refused reached the endpoint
     ran = {run.name for e in three.endpoints.values() for run in e.runs}
@@ -83,7 +83,7 @@
     drain.start()
     ended = asyncio.create_task(drain.wait())
     for _ in range(9):
-        assert (await call(three, "v1", "x", 0.1)).right
+        assert (await call(three, "v1", "x", 0.1)).is_correct
         await asyncio.sleep(0.9)
     await ended
 
@@ -92,7 +92,7 @@
     three.nodes["v1"].drain.start()
     await asyncio.sleep(0.5)
     for node in three.nodes.values():
-        listed = node.addresses.answer().as_json()["addresses"]
+        listed = node.addresses.resolve().as_json()["addresses"]
         assert [a["address"] for a in listed if a["address"] == "v1:2"] == []
         assert len(listed) == 2
 
@@ -135,7 +135,7 @@
     refusal that says "not run" would make the caller send it under a new key.
     """
     first = await call(three, "v2", "o", 0.1, "order", "k1")
-    assert first.right
+    assert first.is_correct
     drain = three.nodes["v1"].drain
     drain.start()
     ended = asyncio.create_task(drain.wait())
@@ -164,20 +164,20 @@
         drain = three.nodes[vm].drain
         drain.start()
     outcomes = [await task for task in (*before, *waiting)]
-    assert all(outcome.right for outcome in outcomes)
+    assert all(outcome.is_correct for outcome in outcomes)
     await three.kill("v1")
-    assert (await call(three, "v2", "after", 1.0)).right
+    assert (await call(three, "v2", "after", 1.0)).is_correct
 
 
 async def test_address_answers_spread_the_callers(three):
     """A fixed order would send every caller of a zone to the same router."""
     book = three.nodes["v1"].addresses
-    firsts = [book.answer("a").members[0].vm for _ in range(200)]
+    firsts = [book.resolve("a").members[0].vm for _ in range(200)]
     assert set(firsts) == {"v1", "v3"}
     assert 60 < firsts.count("v1") < 140
     # a caller of the other zone gets its own zone's router first
-    assert {book.answer("b").members[0].vm for _ in range(20)} == {"v2"}
-    assert {book.answer("nowhere").members[0].vm for _ in range(50)} == {"v1", "v3"}
+    assert {book.resolve("b").members[0].vm for _ in range(20)} == {"v2"}
+    assert {book.resolve("nowhere").members[0].vm for _ in range(50)} == {"v1", "v3"}
 
 
 async def test_loaded_router_is_named_first_less_often(three):
@@ -186,5 +186,5 @@
         replace(m, load=9.0 if m.vm == "v3" else 0.0) for m in node.membership.live()
     ]
     node.addresses._members = lambda: busy
-    firsts = [node.addresses.answer("a").members[0].vm for _ in range(200)]
+    firsts = [node.addresses.resolve("a").members[0].vm for _ in range(200)]
     assert firsts.count("v3") < 50
--- a/packages/router/tests/test_ingress.py
+++ b/packages/router/tests/test_ingress.py
@@ -3,11 +3,16 @@
 import asyncio
 
 from teaselledge.errors import ErrorKind, Ran
-from teaselledge.process.holding import digest_of
-from teaselledge.process.ingress import SUSPECT_SECONDS, Ingress, IngressLimits, Ticket
+from teaselledge.process.holding import digest_of_requests
+from teaselledge.process.ingress import (
+    REPLY_TIMEOUT_SECONDS,
+    Ingress,
+    IngressLimits,
+    SlotRequest,
+)
 from teaselledge.process.member import Member
-from teaselledge.process.mesh import Origin, message
-from teaselledge.process.placement import Shard, dispatcher_of
+from teaselledge.process.mesh import Origin, make_message
+from teaselledge.process.placement import Shard, select_dispatcher
 from teaselledge.version.document import (
     Document,
     Endpoint,
@@ -53,17 +58,17 @@
     def ask(self, organisation="amber", seconds=60.0, **options):
         """Ask for a slot and return the task that waits for it."""
         deadline = asyncio.get_running_loop().time() + seconds
-        ticket = Ticket(organisation, "service", "work", 10.0, deadline, **options)
+        ticket = SlotRequest(organisation, "service", "work", 10.0, deadline, **options)
         return asyncio.create_task(self.ingress.acquire(ticket))
 
     def grant(self, request, number=1, origin=OTHER, incarnation=11, zone="here"):
         """Deliver a grant."""
         body = Grant(request, number, "e-0", 10.0, incarnation)
-        self.mesh.deliver(origin, message("grant", body, "service", zone))
+        self.mesh.deliver(origin, make_message("grant", body, "service", zone))
 
     def requests(self):
         """Return the numbers of the requests that were registered since."""
-        return [s.body.request for s in self.mesh.take("registration")]
+        return [s.body.request for s in self.mesh.pop_sent("registration")]
 
 
 async def test_second_grant_is_declined():
@@ -78,8 +83,8 @@
     bench.grant(number, 7, Origin("vm-3", 33), zone="there")
     granted = (await task).ok
     assert (granted.grant, granted.dispatcher) == (1, OTHER)
-    assert [s.body.grant for s in bench.mesh.take("accept")] == [1]
-    declined = bench.mesh.take("decline")
+    assert [s.body.grant for s in bench.mesh.pop_sent("accept")] == [1]
+    declined = bench.mesh.pop_sent("decline")
     assert [(s.vm, s.body.grant) for s in declined] == [("vm-3", 7)]
 
 
@@ -90,7 +95,7 @@
     (number,) = bench.requests()
     bench.grant(number, 7, Origin("vm-3", 33), zone="there")
     await task
-    withdrawn = bench.mesh.take("withdraw")
+    withdrawn = bench.mesh.pop_sent("withdraw")
     assert [(s.vm, s.body.request) for s in withdrawn] == [("vm-2", number)]
 
 
@@ -104,7 +109,7 @@
     await asyncio.sleep(0)
     (number,) = bench.requests()
     bench.grant(number, incarnation=10)
-    assert len(bench.mesh.take("decline")) == 1
+    assert len(bench.mesh.pop_sent("decline")) == 1
     assert (await task).error.kind is ErrorKind.QUEUE_TIMEOUT
 
 
@@ -115,9 +120,9 @@
     (number,) = bench.requests()
     fault = (await task).error
     assert (fault.kind, fault.ran) == (ErrorKind.QUEUE_TIMEOUT, Ran.NO)
-    assert [s.body.request for s in bench.mesh.take("withdraw")] == [number]
+    assert [s.body.request for s in bench.mesh.pop_sent("withdraw")] == [number]
     bench.grant(number)
-    assert len(bench.mesh.take("decline")) == 1
+    assert len(bench.mesh.pop_sent("decline")) == 1
     assert (bench.ingress.waiting, bench.ingress.running) == (0, 0)
 
 
@@ -133,7 +138,7 @@
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assert bench.ingress.running == 0
-    assert len(bench.mesh.take("decline")) == 1
+    assert len(bench.mesh.pop_sent("decline")) == 1
 
 
 async def test_flood_of_one_organisation_is_refused_at_once():
@@ -188,14 +193,14 @@
     granted = (await tasks[0]).ok
     bench.members = [Member("vm-4", "here", "region", incarnation=44)]
     await asyncio.sleep(0.25)
-    (moved,) = [s for s in bench.mesh.take("snapshot") if s.body.full]
+    (moved,) = [s for s in bench.mesh.pop_sent("snapshot") if s.body.full]
     assert moved.vm == "vm-4"
     assert [w.request for w in moved.body.waiting] == [second]
     assert [r.request for r in moved.body.running] == [first]
-    (done,) = bench.mesh.take("done")
+    (done,) = bench.mesh.pop_sent("done")
     assert (done.vm, done.body.moved) == ("vm-2", True)
     bench.ingress.release(granted, 12.0, False)
-    (done,) = bench.mesh.take("done")
+    (done,) = bench.mesh.pop_sent("done")
     assert (done.vm, done.body.cost, done.body.moved) == ("vm-4", 12.0, None)
     runner.cancel()
     tasks[1].cancel()
@@ -209,19 +214,19 @@
     both = [*bench.members, Member("vm-4", "here", "region", incarnation=44)]
     bench.members = both
     shard = Shard("service", "here")
-    deaf = dispatcher_of(DOCUMENT, shard, both).vm
+    deaf = select_dispatcher(DOCUMENT, shard, both).vm
     runner = asyncio.create_task(bench.ingress.run())
     task = bench.ask()
-    await asyncio.sleep(SUSPECT_SECONDS + 1.5)
-    full = [s for s in bench.mesh.take("snapshot") if s.body.full]
+    await asyncio.sleep(REPLY_TIMEOUT_SECONDS + 1.5)
+    full = [s for s in bench.mesh.pop_sent("snapshot") if s.body.full]
     assert [s.vm for s in full] == [({"vm-2", "vm-4"} - {deaf}).pop()]
     # the deaf one is probed, and used again when it answers
     await asyncio.sleep(1.1)
-    assert deaf in {s.vm for s in bench.mesh.take("snapshot")}
-    reply = message("snapshot_reply", SnapshotReply(False), "service", "here")
+    assert deaf in {s.vm for s in bench.mesh.pop_sent("snapshot")}
+    reply = make_message("snapshot_reply", SnapshotReply(False), "service", "here")
     bench.mesh.deliver(Origin(deaf, 1), reply)
     await asyncio.sleep(0.25)
-    full = [s for s in bench.mesh.take("snapshot") if s.body.full]
+    full = [s for s in bench.mesh.pop_sent("snapshot") if s.body.full]
     assert [s.vm for s in full] == [deaf]
     runner.cancel()
     task.cancel()
@@ -234,9 +239,9 @@
     first, second = bench.requests()
     bench.grant(first)
     await tasks[0]
-    bench.ingress.compare()
-    (sent,) = bench.mesh.take("snapshot")
-    digest = digest_of([first, second])
+    bench.ingress.send_digests()
+    (sent,) = bench.mesh.pop_sent("snapshot")
+    digest = digest_of_requests([first, second])
     assert (sent.body.count, sent.body.digest) == (2, digest.value)
     assert (sent.body.waiting, sent.body.running) == ([], [])
     tasks[1].cancel()
@@ -249,8 +254,14 @@
     bench.grant(bench.requests()[0])
     granted = (await task).ok
     for cost in range(0, 200, 5):
-        bench.ingress.progress(granted, float(cost))
-    assert [s.body.cost for s in bench.mesh.take("progress")] == [20, 35, 55, 85, 130]
+        bench.ingress.report_cost(granted, float(cost))
+    assert [s.body.cost for s in bench.mesh.pop_sent("progress")] == [
+        20,
+        35,
+        55,
+        85,
+        130,
+    ]
 
 
 async def test_preemption_reaches_the_stream():
@@ -259,7 +270,7 @@
     await asyncio.sleep(0)
     bench.grant(bench.requests()[0], 9)
     granted = (await task).ok
-    bench.mesh.deliver(OTHER, message("preempt", Preempt(8), "service", "here"))
+    bench.mesh.deliver(OTHER, make_message("preempt", Preempt(8), "service", "here"))
     assert not granted.preempted.is_set()
-    bench.mesh.deliver(OTHER, message("preempt", Preempt(9), "service", "here"))
+    bench.mesh.deliver(OTHER, make_message("preempt", Preempt(9), "service", "here"))
     assert granted.preempted.is_set()
--- a/packages/standins/src/teaselledge_standins/exploredorders.py
+++ b/packages/standins/src/teaselledge_standins/exploredorders.py
@@ -5,19 +5,23 @@
 from typing import cast
 
 from expression import Error, Ok, Result
-from teaselledge.connection.endpoint import EndpointAnswer, Outbound, SendFailure
+from teaselledge.connection.endpoint import (
+    EndpointResponse,
+    OutboundRequest,
+    SendFailure,
+)
 from teaselledge.errors import ErrorKind, Fault, Ran
 from teaselledge.metrics import NullMetrics
-from teaselledge.process.ingress import Granted, Ingress, Ticket
+from teaselledge.process.ingress import Ingress, SlotGrant, SlotRequest
 from teaselledge.process.mesh import Origin
 from teaselledge.process.placement import Shard
 from teaselledge.request.context import CallerRequest
 from teaselledge.request.journal import Journal
-from teaselledge.request.order import OrderDesk
+from teaselledge.request.order import OrderExecutor
 from teaselledge.version.document import Document, Endpoint, Kind, Service, Version
 from tornado.httputil import HTTPHeaders
 
-from teaselledge_standins.explore import Outcome, World
+from teaselledge_standins.explore import CallChoice, ExploredSystem
 from teaselledge_standins.objects import MemoryObjects
 from teaselledge_standins.virtual.fleet import MemorySink
 
@@ -45,20 +49,22 @@
 class _FreeIngress:
     """Grants each first wish at once, and no second one."""
 
-    async def acquire(self, ticket: Ticket) -> Result[Granted, Fault]:
+    async def acquire(self, ticket: SlotRequest) -> Result[SlotGrant, Fault]:
         if ticket.excluded:
             await asyncio.sleep(ticket.deadline - asyncio.get_running_loop().time())
             return Error(Fault(ErrorKind.QUEUE_TIMEOUT))
-        return Ok(Granted("ledger-0", Origin("d", 1), Shard("ledger", "z"), 1, 1, 0.0))
+        return Ok(
+            SlotGrant("ledger-0", Origin("d", 1), Shard("ledger", "z"), 1, 1, 0.0)
+        )
 
-    def release(self, granted: Granted, cost: float, failed: bool) -> None:
+    def release(self, granted: SlotGrant, cost: float, failed: bool) -> None:
         pass
 
 
 class _FullIngress(_FreeIngress):
     """Refuses each wish."""
 
-    async def acquire(self, ticket: Ticket) -> Result[Granted, Fault]:
+    async def acquire(self, ticket: SlotRequest) -> Result[SlotGrant, Fault]:
         return Error(Fault(ErrorKind.QUEUE_TIMEOUT))
 
 
@@ -80,25 +86,25 @@
 class _Client:
     """Runs each order that gets through, and notes it in the world's log."""
 
-    def __init__(self, world: World, actor: str) -> None:
+    def __init__(self, world: ExploredSystem, actor: str) -> None:
         self._world = world
         self._actor = actor
 
     async def send(
-        self, address: str, request: Outbound
-    ) -> Result[EndpointAnswer, SendFailure]:
-        def run() -> Result[EndpointAnswer, SendFailure]:
+        self, address: str, request: OutboundRequest
+    ) -> Result[EndpointResponse, SendFailure]:
+        def run() -> Result[EndpointResponse, SendFailure]:
             self._world.log.append(("ran", request.body))
             return Ok(_Answer())
 
-        def drop() -> Result[EndpointAnswer, SendFailure]:
+        def drop() -> Result[EndpointResponse, SendFailure]:
             run()
             return Error(SendFailure(True, "dropped"))
 
         outcomes = [
-            Outcome("run", run),
-            Outcome("drop", drop, DROP),
-            Outcome("refused", lambda: Error(SendFailure(False, "refused")), DOWN),
+            CallChoice("run", run),
+            CallChoice("drop", drop, DROP),
+            CallChoice("refused", lambda: Error(SendFailure(False, "refused")), DOWN),
         ]
         return await self._world.call(self._actor, "send", outcomes)
 
@@ -119,32 +125,34 @@
     )
 
 
-async def _place(world: World, desk: OrderDesk, actor: str, seconds: float) -> None:
+async def _place(
+    world: ExploredSystem, desk: OrderExecutor, actor: str, seconds: float
+) -> None:
     sink = MemorySink()
     result = await desk.run(_request(seconds), sink)
     told = "answer" if result.is_ok() else result.error.ran.value
     world.log.append(("told", actor, told))
     # the records that the journal still has to get belong to the attempt
-    await desk.drained()
+    await desk.wait_until_drained()
 
 
 def order_attempts(
     names: Sequence[str],
     journal_class: type[Journal] = Journal,
     full: Sequence[str] = (),
-) -> Callable[[World], None]:
+) -> Callable[[ExploredSystem], None]:
     """Return a set-up with one attempt of the same order on each router.
 
     Routers that are ``full`` find no slot.
     """
 
-    def setup(world: World) -> None:
+    def setup(world: ExploredSystem) -> None:
         for i, name in enumerate(names):
             tables = world.tables_of(name)
             journal = journal_class(
                 tables, MemoryObjects(), NullMetrics(), lambda: world.clock
             )
-            desk = OrderDesk(
+            desk = OrderExecutor(
                 cast(Ingress, _FullIngress() if name in full else _FreeIngress()),
                 _Client(world, name),
                 journal,
@@ -157,7 +165,7 @@
     return setup
 
 
-def check_order(world: World) -> None:
+def check_order(world: ExploredSystem) -> None:
     """Check what callers were told against what the endpoint ran."""
     log = cast(list[tuple[str, ...]], world.log)
     runs = sum(1 for entry in log if entry[0] == "ran")
--- a/packages/standins/src/teaselledge_standins/spreadfleet.py
+++ b/packages/standins/src/teaselledge_standins/spreadfleet.py
@@ -14,18 +14,18 @@
     encode_datagram,
     encode_state,
 )
-from teaselledge_fleet.process.admission import Admission
-from teaselledge_fleet.process.asking import Asking
-from teaselledge_fleet.process.belief import Belief, Decode
+from teaselledge_fleet.process.admission import AdmissionController
+from teaselledge_fleet.process.admissionrpc import AdmissionRpc
 from teaselledge_fleet.process.coordinators import Coordinators
-from teaselledge_fleet.process.following import StoreFollower
-from teaselledge_fleet.process.locating import PartLocator
+from teaselledge_fleet.process.gossip import Gossip
+from teaselledge_fleet.process.locating import PrefixLocator
 from teaselledge_fleet.process.members import Member, Members, MemberState
 from teaselledge_fleet.process.placing import FleetPlacer
 from teaselledge_fleet.process.registration import Registration
-from teaselledge_fleet.process.spreading import Spreading
 from teaselledge_fleet.process.stalls import StallDetector
-from teaselledge_fleet.process.work import FleetWork
+from teaselledge_fleet.process.storecache import Decode, StoreCache
+from teaselledge_fleet.process.storepoller import StorePoller
+from teaselledge_fleet.process.work import FleetLoad
 from teaselledge_wire.gen.fleet.ttypes import WholeState
 
 from teaselledge_standins.statestore import MemoryStateStore, StoreClient
@@ -39,13 +39,13 @@
 
     vm: str
     members: Members
-    belief: Belief
-    follower: StoreFollower
+    belief: StoreCache
+    follower: StorePoller
     registration: Registration
-    spreading: Spreading
-    asking: Asking
+    spreading: Gossip
+    asking: AdmissionRpc
     placer: FleetPlacer
-    work: FleetWork
+    work: FleetLoad
     link: "_Link"
     tasks: list["asyncio.Task[None]"] = field(default_factory=list)
     frozen: bool = False
@@ -106,7 +106,7 @@
         router = self._fleet.by_address.get(address)
         if router is None or router.frozen or self._fleet.cut(self._vm, router.vm):
             return Error("unreachable")
-        data = encode_state(router.spreading.state())
+        data = encode_state(router.spreading.snapshot())
         return Ok(decode_state(data).ok)
 
     def close(self) -> None:
@@ -149,14 +149,14 @@
         own = Member(vm, self.chance.getrandbits(60), zone, zone, f"{vm}:2", address)
         members = Members(own)
         members.set_state(MemberState.READY)
-        belief = Belief(vm, decode)
+        belief = StoreCache(vm, decode)
         placer = FleetPlacer(belief.view, zone, {})
-        work, admission = placer.work, Admission()
-        work.kept = admission.total
+        work, admission = placer.load, AdmissionController()
+        work.coordinated_load = admission.total_load
         coordinators = Coordinators(members)
         link = _Link(self, vm)
         clock = asyncio.get_running_loop().time
-        spreading = Spreading(
+        spreading = Gossip(
             members,
             belief,
             seeds,
@@ -168,11 +168,11 @@
             StallDetector(clock),
         )
         spreading._client = link  # type: ignore[assignment]
-        asking = Asking(members, belief.view, work, admission, link, coordinators)
+        asking = AdmissionRpc(members, belief.view, work, admission, link, coordinators)
         client = StoreClient(self.store, vm)
-        follower = StoreFollower(vm, client, belief, address not in seeds)
-        placer.ask_with(asking.ask)
-        placer.locate_with(PartLocator(members, link, coordinators))
+        follower = StorePoller(vm, client, belief, address not in seeds)
+        placer.set_admission_check(asking.request_admission)
+        placer.set_locator(PrefixLocator(members, link, coordinators))
         registration = Registration(client, members, belief)
         router = SpreadRouter(
             vm,
--- a/packages/standins/src/teaselledge_standins/virtual/fleet.py
+++ b/packages/standins/src/teaselledge_standins/virtual/fleet.py
@@ -24,7 +24,7 @@
 from teaselledge.process.node import Node, PlatformClients
 from teaselledge.process.settings import Platform, Settings
 from teaselledge.request.context import CallerRequest
-from teaselledge.version.store import plain_writes
+from teaselledge.version.store import unchecked_writes
 from tornado.httputil import HTTPHeaders
 
 from teaselledge_standins.objects import MemoryObjects
@@ -44,7 +44,7 @@
 
 __all__ = [
     "MemorySink",
-    "Outcome",
+    "CallResult",
     "VirtualFleet",
     "VirtualPlan",
     "VirtualService",
@@ -120,7 +120,7 @@
     def __init__(self) -> None:
         self.status = 0
         self.body = b""
-        self.whole = False
+        self.complete = False
         self.aborted = False
 
     @property
@@ -138,7 +138,7 @@
 
     async def finish(self) -> None:
         """Note that the answer is whole."""
-        self.whole = True
+        self.complete = True
 
     def abort(self) -> None:
         """Note that the answer is visibly broken."""
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class CallResult:
     """What a caller of the virtual fleet got.
 
     Attributes
@@ -155,7 +155,7 @@
         The refusal, if any.
     sink : MemorySink
         What reached the caller.
-    right : bool
+    is_correct : bool
         Whether the answer is the whole answer to this request.
     seconds : float
         Time from call to end.
@@ -163,7 +163,7 @@
 
     fault: Fault | None
     sink: MemorySink
-    right: bool
+    is_correct: bool
     seconds: float
 
 
@@ -205,13 +205,13 @@
         """Wait for one way; return whether the network let it pass."""
         network = self._network
         way = (self._vm, "tables") if there else ("tables", self._vm)
-        await network.awake(self._vm)
-        if not network.passes(*way):
+        await network.wait_until_resumed(self._vm)
+        if not network.is_connected(*way):
             await asyncio.sleep(STORE_CALL_SECONDS)
-            await network.awake(self._vm)
+            await network.wait_until_resumed(self._vm)
             return False
         await asyncio.sleep(network.delay(self._vm, "tables"))
-        await network.awake(self._vm)
+        await network.wait_until_resumed(self._vm)
         return True
 
 
@@ -276,7 +276,7 @@
 
     def publish(self, number: int, document: dict[str, Any] | None = None) -> None:
         """Put a document into the table service, past all checks."""
-        self.tables.apply(plain_writes(document or self.document(), number))
+        self.tables.apply(unchecked_writes(document or self.document(), number))
 
     async def start(self, vm: str) -> Node:
         """Start a router, with nothing kept from an earlier life."""
@@ -331,7 +331,7 @@
         cost: float,
         key: str | None = None,
         padding: int = 0,
-    ) -> Outcome:
+    ) -> CallResult:
         """Send a request to a router, as a caller would.
 
         Raises
@@ -348,7 +348,7 @@
         loop = asyncio.get_running_loop()
         started = loop.time()
         sink = MemorySink()
-        task = asyncio.ensure_future(node.forwarder.run(request, sink))
+        task = asyncio.ensure_future(node.request_runner.run(request, sink))
         calls = self._calls.setdefault(vm, set())
         calls.add(task)
         try:
@@ -362,8 +362,8 @@
         tokens = cost if self.plan.services[service].cost == "tokens" else 0
         expected = b"".join(answer_text(name, part, tokens) for part in range(CHUNKS))
         fault = result.error if result.is_error() else None
-        right = sink.whole and sink.body == expected
-        return Outcome(fault, sink, right, loop.time() - started)
+        right = sink.complete and sink.body == expected
+        return CallResult(fault, sink, right, loop.time() - started)
 
     async def stop(self) -> None:
         """Stop everything."""
--- a/tools/spread_cost.py
+++ b/tools/spread_cost.py
@@ -78,13 +78,13 @@
     """Give each router use of organisations to tell of."""
     for router in fleet.routers:
         for number in random.sample(range(ORGANISATIONS), ORGANISATIONS // 2):
-            router.placer.shares.ask(f"organisation-{number}", 20_000)
+            router.placer.shares.record_request(f"organisation-{number}", 20_000)
 
 
 async def call(router: SpreadRouter, endpoints: int) -> None:
     """Ask for a place for requests for ever, and count them until they end."""
     loop = asyncio.get_running_loop()
-    add = router.work.add
+    add = router.work.add_local
     while True:
         await asyncio.sleep(random.expovariate(REQUESTS_A_SECOND))
         name = f"i-{random.randrange(endpoints):010x}"
@@ -94,7 +94,9 @@
         add(name, 1, READING_SECONDS)
         loop.call_later(FIRST_SECONDS, add, name, 0, -READING_SECONDS)
         loop.call_later(RUN_SECONDS, add, name, -1, 0.0)
-        await router.asking.ask(endpoint, READING_SECONDS, MOST_WAIT_SECONDS)
+        await router.asking.request_admission(
+            endpoint, READING_SECONDS, MOST_WAIT_SECONDS
+        )
 
 
 async def measure(
