--- a/packages/fleet/src/teaselledge_fleet/connection/figures.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/figures.py
@@ -16,11 +16,11 @@
     "pack_member_statuses",
     "pack_pulse_marks",
     "pack_usage",
-    "pack_work",
+    "pack_loads",
     "unpack_member_statuses",
     "unpack_pulse_marks",
     "unpack_usage",
-    "unpack_work",
+    "unpack_loads",
 ]
 
 WORK = struct.Struct("!IHH")
@@ -44,7 +44,7 @@
 """Figures beyond this are left out, the smallest first, so that a datagram is whole."""
 
 
-def pack_work(work: dict[int, EndpointLoad]) -> bytes:
+def pack_loads(work: dict[int, EndpointLoad]) -> bytes:
     """Return the work at endpoints as bytes."""
     rows = sorted(work.items(), key=lambda item: -item[1].in_flight)
     rows = rows[: MAX_PACKED_BYTES // WORK.size]
@@ -58,7 +58,7 @@
     )
 
 
-def unpack_work(data: bytes) -> dict[int, EndpointLoad]:
+def unpack_loads(data: bytes) -> dict[int, EndpointLoad]:
     """Return the work that bytes tell of; what does not fit is ignored."""
     whole = data[: len(data) - len(data) % WORK.size]
     return {
--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -13,7 +13,7 @@
 )
 
 from teaselledge_fleet.connection.codec import Datagram
-from teaselledge_fleet.connection.figures import pack_work, unpack_work
+from teaselledge_fleet.connection.figures import pack_loads, unpack_loads
 from teaselledge_fleet.connection.replies import PendingReplies
 from teaselledge_fleet.process.admission import (
     AdmissionController,
@@ -191,7 +191,7 @@
             if vm == self._members.own.vm:
                 self._admission.record_load(self._number, self._sequence, work)
                 continue
-            report = WorkReport(self._number, self._sequence, pack_work(work))
+            report = WorkReport(self._number, self._sequence, pack_loads(work))
             self._socket.send(addresses[vm], report)
 
     def _is_news(self, name: str) -> bool:
@@ -225,7 +225,7 @@
         )
 
     def _take_report(self, report: WorkReport, sender: str) -> None:
-        work = unpack_work(report.work or b"")
+        work = unpack_loads(report.work or b"")
         self._admission.record_load(report.sender or 0, report.sequence or 0, work)
 
     def _take_request(self, request: AdmissionRequest, sender: str) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/gossip.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -15,15 +15,15 @@
 
 from teaselledge_fleet.connection.codec import PROTOCOL
 from teaselledge_fleet.connection.figures import (
+    pack_loads,
     pack_member_ages,
     pack_member_statuses,
     pack_pulse_marks,
     pack_usage,
-    pack_work,
+    unpack_loads,
     unpack_member_statuses,
     unpack_pulse_marks,
     unpack_usage,
-    unpack_work,
 )
 from teaselledge_fleet.connection.peers import StateClient
 from teaselledge_fleet.log import get_log
@@ -294,7 +294,7 @@
             return pulse
         if scope is Scope.OWN:
             self._sums.record_sent(self._sequence, figures)
-        pulse.work = pack_work(figures.work)
+        pulse.work = pack_loads(figures.work)
         pulse.uses = pack_usage(figures.uses)
         return pulse
 
@@ -442,7 +442,7 @@
         scope = pulse.scope or Scope.OWN
         near = sender.zone == self._members.own.zone
         aggregates = self._topology.is_aggregator
-        work = unpack_work(pulse.work or b"")
+        work = unpack_loads(pulse.work or b"")
         figures = LoadStats(work, unpack_usage(pulse.uses or b""))
         if scope == Scope.ZONE:
             if not near and aggregates:
--- a/packages/fleet/src/teaselledge_fleet/process/prefixes.py
+++ b/packages/fleet/src/teaselledge_fleet/process/prefixes.py
@@ -17,14 +17,14 @@
     The last part is the request's own; the one before it stands for the chain, as
     a part is kept only together with all parts before it.
     """
-    if len(prompt.parts) < 2:  # noqa: PLR2004
+    if len(prompt.segments) < 2:  # noqa: PLR2004
         return None
-    return prompt.parts[-2].id
+    return prompt.segments[-2].id
 
 
 def shared_prefix_tokens(prompt: Prompt) -> int:
     """Return the length of that chain; 0 where there is none."""
-    return sum(part.tokens for part in prompt.parts[:-1])
+    return sum(part.tokens for part in prompt.segments[:-1])
 
 
 def rendezvous_order(part: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
--- a/packages/fleet/src/teaselledge_fleet/request/call.py
+++ b/packages/fleet/src/teaselledge_fleet/request/call.py
@@ -11,12 +11,12 @@
     "ResponseHead",
     "ForwardingInfo",
     "Prompt",
-    "PromptPart",
+    "PromptSegment",
 ]
 
 
 @dataclass(frozen=True)
-class PromptPart:
+class PromptSegment:
     """A segment of a prompt, which other prompts may begin with as well.
 
     Attributes
@@ -41,7 +41,7 @@
         Length of the prompt.
     max_output_tokens : int
         Maximum number of tokens to generate.
-    parts : tuple of PromptPart
+    segments : tuple of PromptSegment
         The prompt's segments in order; the last one is specific to the request.
     expected_output_tokens : int or None
         The caller's estimate of the number of generated tokens, correct at the
@@ -50,7 +50,7 @@
 
     input_tokens: int
     max_output_tokens: int
-    parts: tuple[PromptPart, ...] = ()
+    segments: tuple[PromptSegment, ...] = ()
     expected_output_tokens: int | None = None
 
 
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -10,7 +10,7 @@
 )
 from teaselledge_fleet.process.waiting import WAIT_FRACTION
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
-from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptPart
+from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptSegment
 from teaselledge_fleet.request.context import Outcome, RequestContext
 from teaselledge_fleet.version.routes import Organisation, RetryPolicy
 from teaselledge_standins.routes import make_route
@@ -27,7 +27,7 @@
 
 def make_context(number: int) -> RequestContext:
     """Return a prompt that an engine reads in 45 ms."""
-    parts = (PromptPart("p1", 13_000), PromptPart(f"own{number}", 3_700))
+    parts = (PromptSegment("p1", 13_000), PromptSegment(f"own{number}", 3_700))
     prompt = Prompt(16_700, 120, parts)
     call = CallerRequest(
         f"q{number}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -11,7 +11,7 @@
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.shares import TokenUsage
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
-from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptPart
+from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptSegment
 from teaselledge_fleet.request.context import Outcome, RequestContext
 from teaselledge_fleet.version.routes import Organisation, RetryPolicy
 from teaselledge_standins.routes import make_route
@@ -39,7 +39,7 @@
     def context(self, part: str = "p1", shared: int = 13_000, own: int = 3_700, **more):
         """Return a request with a prompt."""
         self.asked += 1
-        parts = (PromptPart(part, shared), PromptPart(f"own{self.asked}", own))
+        parts = (PromptSegment(part, shared), PromptSegment(f"own{self.asked}", own))
         prompt = Prompt(shared + own, 120, parts)
         call = CallerRequest(
             f"q{self.asked}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt
