--- a/packages/fleet/src/teaselledge_fleet/connection/figures.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/figures.py
@@ -1,4 +1,4 @@
-"""Work and use as packed figures, so that those of a large fleet fit a datagram."""
+"""Pack loads, token usage and member statuses, so that they fit into a datagram."""
 
 import struct
 
@@ -23,120 +23,139 @@
     "unpack_loads",
 ]
 
-WORK = struct.Struct("!IHH")
-"""Endpoint, requests, and reading in milliseconds."""
+LOAD_FORMAT = struct.Struct("!IHH")
+"""Hash of an endpoint's name, requests in flight, and prefill in milliseconds."""
 
-USE = struct.Struct("!III")
-"""Organisation, and tokens asked for and received."""
+USAGE_FORMAT = struct.Struct("!III")
+"""Hash of an organisation's name, and tokens requested and allocated."""
 
-ALIVE = struct.Struct("!IBB")
-"""Router, its state, and the part of its cores in use in percent."""
+STATUS_FORMAT = struct.Struct("!IBB")
+"""Hash of a router's name, its state, and its CPU utilisation in percent."""
 
 AGE_UNIT_SECONDS = 0.01
 MAX_AGE = 255
-"""Unit of an age, and the largest that a byte holds: 2.55 s, more than counts."""
+"""Maximum age that fits into a byte, 2.55 s; greater ages make no difference."""
 
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 PERCENT = 100
 MAX_UINT16 = 0xFFFF
 MAX_UINT32 = 0xFFFFFFFF
 MAX_PACKED_BYTES = 1000
-"""Figures beyond this are left out, the smallest first, so that a datagram is whole."""
+"""Limit that keeps a message within one datagram; the smallest rows are left out."""
 
 
-def pack_loads(work: dict[int, EndpointLoad]) -> bytes:
-    """Return the work at endpoints as bytes."""
-    rows = sorted(work.items(), key=lambda item: -item[1].in_flight)
-    rows = rows[: MAX_PACKED_BYTES // WORK.size]
+def pack_loads(loads: dict[int, EndpointLoad]) -> bytes:
+    """Return loads by hash of the endpoint's name as bytes, the largest first."""
+    rows = sorted(loads.items(), key=lambda item: -item[1].in_flight)
+    rows = rows[: MAX_PACKED_BYTES // LOAD_FORMAT.size]
     return b"".join(
-        WORK.pack(
-            key,
-            _cut(each.in_flight, MAX_UINT16),
-            _cut(each.prefill_seconds * MILLISECONDS, MAX_UINT16),
+        LOAD_FORMAT.pack(
+            hashed_name,
+            _clamp(load.in_flight, MAX_UINT16),
+            _clamp(load.prefill_seconds * MS_PER_SECOND, MAX_UINT16),
         )
-        for key, each in rows
+        for hashed_name, load in rows
     )
 
 
 def unpack_loads(data: bytes) -> dict[int, EndpointLoad]:
-    """Return the work that bytes tell of; what does not fit is ignored."""
-    whole = data[: len(data) - len(data) % WORK.size]
+    """Return loads by hash of the endpoint's name; an incomplete row is ignored."""
+    complete_rows = data[: len(data) - len(data) % LOAD_FORMAT.size]
     return {
-        key: EndpointLoad(running, reading / MILLISECONDS)
-        for key, running, reading in WORK.iter_unpack(whole)
+        hashed_name: EndpointLoad(in_flight, prefill_ms / MS_PER_SECOND)
+        for hashed_name, in_flight, prefill_ms in LOAD_FORMAT.iter_unpack(complete_rows)
     }
 
 
-def pack_usage(uses: dict[int, TokenUsage]) -> bytes:
-    """Return the use of organisations as bytes."""
-    rows = sorted(uses.items(), key=lambda item: -item[1].requested)
-    rows = rows[: MAX_PACKED_BYTES // USE.size]
+def pack_usage(usages: dict[int, TokenUsage]) -> bytes:
+    """Return token usage by hash of the organisation's name as bytes, largest first."""
+    rows = sorted(usages.items(), key=lambda item: -item[1].requested)
+    rows = rows[: MAX_PACKED_BYTES // USAGE_FORMAT.size]
     return b"".join(
-        USE.pack(key, _cut(use.requested, MAX_UINT32), _cut(use.allocated, MAX_UINT32))
-        for key, use in rows
+        USAGE_FORMAT.pack(
+            hashed_name,
+            _clamp(usage.requested, MAX_UINT32),
+            _clamp(usage.allocated, MAX_UINT32),
+        )
+        for hashed_name, usage in rows
     )
 
 
 def unpack_usage(data: bytes) -> dict[int, TokenUsage]:
-    """Return the use that bytes tell of; what does not fit is ignored."""
-    whole = data[: len(data) - len(data) % USE.size]
+    """Return token usage by hash of the organisation's name.
+
+    An incomplete row is ignored.
+    """
+    complete_rows = data[: len(data) - len(data) % USAGE_FORMAT.size]
     return {
-        key: TokenUsage(asked, received)
-        for key, asked, received in USE.iter_unpack(whole)
+        hashed_name: TokenUsage(requested, allocated)
+        for hashed_name, requested, allocated in USAGE_FORMAT.iter_unpack(complete_rows)
     }
 
 
 def pack_member_statuses(reports: list[MemberReport]) -> bytes:
-    """Return which routers answer, as bytes."""
+    """Return the state and utilisation of routers as bytes."""
     return b"".join(
-        ALIVE.pack(
+        STATUS_FORMAT.pack(
             name_hash(report.member.vm),
             int(report.member.state),
-            _cut(report.member.utilisation * PERCENT, PERCENT),
+            _clamp(report.member.utilisation * PERCENT, PERCENT),
         )
-        for report in reports[: MAX_PACKED_BYTES // ALIVE.size]
+        for report in reports[: MAX_PACKED_BYTES // STATUS_FORMAT.size]
     )
 
 
 def pack_member_ages(reports: list[MemberReport]) -> bytes:
-    """Return how long ago these routers were heard, as bytes in the same order."""
+    """Return the time since each router's last heartbeat as bytes.
+
+    The order is that of the member statuses.
+    """
     return bytes(
         MAX_AGE
         if report.silent_seconds is None
-        else _cut(report.silent_seconds / AGE_UNIT_SECONDS, MAX_AGE)
-        for report in reports[: MAX_PACKED_BYTES // ALIVE.size]
+        else _clamp(report.silent_seconds / AGE_UNIT_SECONDS, MAX_AGE)
+        for report in reports[: MAX_PACKED_BYTES // STATUS_FORMAT.size]
     )
 
 
 def pack_pulse_marks(marks: list[int]) -> bytes:
-    """Return the marks of what routers told, in the order in which they are told."""
-    return bytes(marks[: MAX_PACKED_BYTES // ALIVE.size])
+    """Return the marks of the heartbeats that are included in the totals, as bytes.
+
+    The order is that of the member statuses.
+    """
+    return bytes(marks[: MAX_PACKED_BYTES // STATUS_FORMAT.size])
 
 
 def unpack_pulse_marks(data: bytes, marks: bytes) -> dict[int, int]:
-    """Return the marks by the routers' keys."""
-    whole = data[: len(data) - len(data) % ALIVE.size]
-    keys = [key for key, _, _ in ALIVE.iter_unpack(whole)]
-    return dict(zip(keys, marks, strict=False))
+    """Return the marks by hash of the router's name."""
+    complete_rows = data[: len(data) - len(data) % STATUS_FORMAT.size]
+    name_hashes = [
+        hashed_name for hashed_name, _, _ in STATUS_FORMAT.iter_unpack(complete_rows)
+    ]
+    return dict(zip(name_hashes, marks, strict=False))
 
 
 def unpack_member_statuses(data: bytes, ages: bytes) -> dict[int, MemberStatus]:
-    """Return what bytes tell of routers, by key.
+    """Return member statuses by hash of the router's name.
 
-    A sender of an earlier release tells no ages; it names a router for as long as one
-    counts as answering.
+    A sender of an earlier release sends no ages. It lists routers only while they count
+    as alive, so that `SILENT_SECONDS` is assumed.
     """
-    whole = data[: len(data) - len(data) % ALIVE.size]
-    found = {}
-    for place, (key, state, busy) in enumerate(ALIVE.iter_unpack(whole)):
+    complete_rows = data[: len(data) - len(data) % STATUS_FORMAT.size]
+    statuses = {}
+    for position, (hashed_name, state, utilisation_percent) in enumerate(
+        STATUS_FORMAT.iter_unpack(complete_rows)
+    ):
         if state not in MemberState.__members__.values():
             continue
-        silent = SILENT_SECONDS
-        if place < len(ages):
-            silent = ages[place] * AGE_UNIT_SECONDS
-        found[key] = MemberStatus(MemberState(state), busy / PERCENT, silent)
-    return found
+        silent_seconds = SILENT_SECONDS
+        if position < len(ages):
+            silent_seconds = ages[position] * AGE_UNIT_SECONDS
+        statuses[hashed_name] = MemberStatus(
+            MemberState(state), utilisation_percent / PERCENT, silent_seconds
+        )
+    return statuses
 
 
-def _cut(number: float, most: int) -> int:
-    return max(0, min(int(number), most))
+def _clamp(number: float, maximum: int) -> int:
+    return max(0, min(int(number), maximum))
