--- a/packages/fleet/src/teaselledge_fleet/connection/accepting.py
+++ b/packages/fleet/src/teaselledge_fleet/connection/accepting.py
@@ -36,7 +36,7 @@
 immediately, and callers would not wait longer for a response either."""
 
 REFUSALS_PER_SAMPLE = 8
-"""One of this number of connections refused for overload is read."""
+"""One in this number of connections refused for overload is read."""
 
 MIN_RETRY_SECONDS, MAX_RETRY_SECONDS, RETRY_AFTER_STEPS = 0.5, 1.5, 11
 """Range of the ``Retry-After`` that callers get when they are refused unread. All of
