--- a/packages/router/src/teaselledge/request/record.py
+++ b/packages/router/src/teaselledge/request/record.py
@@ -138,7 +138,7 @@
 
 
 def request_digest(request: CallerRequest) -> str:
-    """Return a digest that is equal only for identical requests.
+    """Return a digest of a request's service, method, path and body.
 
     Each field is preceded by its length: otherwise, moving bytes from one
     field to the next would give the same digest.
