--- a/bench/membership.py
+++ b/bench/membership.py
@@ -73,7 +73,7 @@
 async def _measure(size: int, seed: int) -> Case:
     zones, regions = SIZES[size]
     async with running_members(
-        size, zones, regions, seed=seed, acquainted=size > JOIN_LIMIT
+        size, zones, regions, seed=seed, prefilled=size > JOIN_LIMIT
     ) as fleet:
         joined = asyncio.get_running_loop().time()
         await asyncio.sleep(25.0)
--- a/packages/ctl/tests/test_explain.py
+++ b/packages/ctl/tests/test_explain.py
@@ -12,8 +12,8 @@
 from teaselledge_fleet.faults import Fault, FaultKind
 from teaselledge_fleet.log import LineWriter
 from teaselledge_fleet.version.routes import RetryPolicy
-from teaselledge_standins.routes import ask, make_route, serving
-from teaselledge_standins.scripted import ScriptedEndpoint, answer_bytes, reset
+from teaselledge_standins.routes import make_route, running_route, send_request
+from teaselledge_standins.scripted import ScriptedEndpoint, reset, response_bytes
 
 OWN_ID = {"X-Request-Id": "q1"}
 
@@ -45,13 +45,13 @@
 
 
 async def test_a_refused_request_tells_why(logs):
-    async with serving(make_route(RetryPolicy.NEVER)) as served:
+    async with running_route(make_route(RetryPolicy.NEVER)) as served:
 
         async def full(context):
             return Error(Fault(FaultKind.OVER_CAPACITY, 0.5))
 
         served.placer.place = full
-        answered = await ask(served.port, "POST", body=b"order")
+        answered = await send_request(served.port, "POST", body=b"order")
     assert answered.status == 503
     story = read_story("q1", logs.texts())
     assert story.lines[-1].fields["fault"] == "over-capacity"
@@ -62,15 +62,15 @@
     """An engine crashes in the middle of a stream."""
 
     async def crash(request, writer):
-        head = answer_bytes(200, OWN_ID, b"", length=False)
+        head = response_bytes(200, OWN_ID, b"", length=False)
         writer.write(head + b"id: 1\ndata: 1\n\n")
         await asyncio.sleep(0.02)
         reset(writer)
 
     async with ScriptedEndpoint(crash) as endpoint:
         route = make_route(RetryPolicy.NEVER, stream=True)
-        async with serving(route, endpoint.address) as served:
-            await ask(served.port, "POST", body=b"prompt")
+        async with running_route(route, endpoint.address) as served:
+            await send_request(served.port, "POST", body=b"prompt")
             await asyncio.sleep(0.05)
     story = read_story("q1", logs.texts())
     assert events(story)[0] == "attempt sent"
@@ -80,9 +80,9 @@
 
 
 async def test_a_router_without_configuration_tells_so(logs):
-    async with serving(make_route(RetryPolicy.ANY)) as served:
+    async with running_route(make_route(RetryPolicy.ANY)) as served:
         served.server.routing = None
-        await ask(served.port)
+        await send_request(served.port)
     (line,) = read_story("q1", logs.texts()).lines
     assert (line.fields["fault"], line.fields["version"]) == ("not-configured", 0)
 
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -14,8 +14,8 @@
 from teaselledge_fleet.request.context import Outcome, RequestContext
 from teaselledge_fleet.version.routes import Organisation, RetryPolicy
 from teaselledge_standins.routes import make_route
-from teaselledge_standins.spreadfleet import SpreadFleet, spread_fleet
-from teaselledge_standins.statestore import decode_number, store_of
+from teaselledge_standins.spreadfleet import GossipFleet, running_gossip_fleet
+from teaselledge_standins.statestore import decode_empty_routing, make_store
 from tornado.httputil import HTTPHeaders
 
 VIRTUAL_CLOCK = True
@@ -52,7 +52,7 @@
     )
 
 
-async def burst(fleet: SpreadFleet, each: int) -> int:
+async def burst(fleet: GossipFleet, each: int) -> int:
     """Let each router place so many prompts at the same moment; count the sent."""
     total = len(fleet.routers) * each
     placed = await asyncio.gather(
@@ -115,16 +115,18 @@
     Told as -1 it was taken for one that may wait for ever, and sent to an engine that
     is a second behind: it came late, and so did those after it.
     """
-    async with spread_fleet(store_of(ENGINES[:1]), SMALL, decode_number) as fleet:
+    async with running_gossip_fleet(
+        make_store(ENGINES[:1]), SMALL, decode_empty_routing
+    ) as fleet:
         await asyncio.sleep(5)
         engine = ENGINES[0]
-        name = fleet.routers[0].asking._coordinators.for_endpoint(engine).vm
+        name = fleet.routers[0].admission_rpc._coordinators.for_endpoint(engine).vm
         coordinator = next(r for r in fleet.routers if r.vm == name)
-        coordinator.work.add_local(engine.id, 5, 1.0)
-        coordinator.asking.report_load([engine.id])
+        coordinator.load.add_local(engine.id, 5, 1.0)
+        coordinator.admission_rpc.report_load([engine.id])
         asker = next(r for r in fleet.routers if r.vm != name)
         for left in (-0.0015, -0.001, 0.0):
-            answer = await asker.asking.request_admission(engine, 0.05, left)
+            answer = await asker.admission_rpc.request_admission(engine, 0.05, left)
             assert not answer.admitted
 
 
@@ -154,7 +156,9 @@
     sent can be read within the bound, and the others are told to come back.
     """
     for alone in (True, False):
-        async with spread_fleet(store_of(ENGINES[:1]), LARGE, decode_number) as fleet:
+        async with running_gossip_fleet(
+            make_store(ENGINES[:1]), LARGE, decode_empty_routing
+        ) as fleet:
             await asyncio.sleep(6)
             if alone:
                 for router in fleet.routers:
@@ -165,7 +169,7 @@
             sent = await burst(fleet, 2)
             await asyncio.sleep(0.2)
             reading = sum(
-                router.work.local("e0").prefill_seconds for router in fleet.routers
+                router.load.local("e0").prefill_seconds for router in fleet.routers
             )
             if alone:
                 assert sent == 2 * LARGE
@@ -187,16 +191,18 @@
 
     Those that ask it wait in vain twice at most; then all of them agree on another.
     """
-    async with spread_fleet(store_of(ENGINES[:1]), SMALL, decode_number) as fleet:
+    async with running_gossip_fleet(
+        make_store(ENGINES[:1]), SMALL, decode_empty_routing
+    ) as fleet:
         await asyncio.sleep(5)
         engine = ENGINES[0]
         coordinators = {
-            r.asking._coordinators.for_endpoint(engine).vm for r in fleet.routers
+            r.admission_rpc._coordinators.for_endpoint(engine).vm for r in fleet.routers
         }
         assert len(coordinators) == 1
         first = coordinators.pop()
         next(r for r in fleet.routers if r.vm == first).kill()
-        living = [r for r in fleet.routers if not r.frozen]
+        living = [r for r in fleet.routers if not r.killed]
         loop = asyncio.get_running_loop()
         started = loop.time()
         for number in range(3):
@@ -205,14 +211,18 @@
         # two waits in vain, and three times the answers of two routers 40 ms away
         assert loop.time() - started < 2 * 0.1 + 3 * 2 * 0.05
         await asyncio.sleep(1.5)
-        coordinators = {r.asking._coordinators.for_endpoint(engine).vm for r in living}
+        coordinators = {
+            r.admission_rpc._coordinators.for_endpoint(engine).vm for r in living
+        }
         assert len(coordinators) == 1
         assert first not in coordinators
 
 
 async def test_a_cut_router_decides_alone():
     """Nothing passes to or from a router; its callers must be served all the same."""
-    async with spread_fleet(store_of(ENGINES), SMALL, decode_number) as fleet:
+    async with running_gossip_fleet(
+        make_store(ENGINES), SMALL, decode_empty_routing
+    ) as fleet:
         await asyncio.sleep(5)
         lonely = fleet.routers[4]
         fleet.cut = lambda sender, receiver: lonely.vm in (sender, receiver)
@@ -230,7 +240,9 @@
 
 async def test_a_caller_that_leaves_while_asking_leaves_nothing_behind():
     """The caller closes its connection before the answer to the question comes."""
-    async with spread_fleet(store_of(ENGINES), SMALL, decode_number) as fleet:
+    async with running_gossip_fleet(
+        make_store(ENGINES), SMALL, decode_empty_routing
+    ) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
             context = make_context(1)
@@ -244,11 +256,11 @@
         await asyncio.sleep(1.0)
         for engine in ENGINES:
             assert all(
-                r.work.local(engine.id) == EndpointLoad()
+                r.load.local(engine.id) == EndpointLoad()
                 for r in fleet.routers
-                if r.work
+                if r.load
             )
             key = name_hash(engine.id)
             assert all(
-                r.work.coordinated_load(key).in_flight == 0 for r in fleet.routers
+                r.load.coordinated_load(key).in_flight == 0 for r in fleet.routers
             )
--- a/packages/fleet/tests/test_directory.py
+++ b/packages/fleet/tests/test_directory.py
@@ -11,15 +11,15 @@
 from teaselledge_fleet.process.endpoints import Endpoint
 from teaselledge_fleet.process.locating import PrefixLocator
 from teaselledge_fleet.process.work import name_hash
-from teaselledge_standins.spreadfleet import SpreadFleet, spread_fleet
-from teaselledge_standins.statestore import decode_number, store_of
+from teaselledge_standins.spreadfleet import GossipFleet, running_gossip_fleet
+from teaselledge_standins.statestore import decode_empty_routing, make_store
 
 VIRTUAL_CLOCK = True
 ENGINES = [Endpoint(f"e{n}", "books", f"10.0.0.{n}:1", f"z{n}", 48) for n in (0, 1, 2)]
 SETTLED_SECONDS = 4.0
 
 
-def locator_of(fleet: SpreadFleet, number: int) -> PrefixLocator:
+def locator_of(fleet: GossipFleet, number: int) -> PrefixLocator:
     return fleet.routers[number].placer._locator
 
 
@@ -66,7 +66,9 @@
 
 async def test_routers_learn_from_one_another_where_a_part_is():
     """One router has sent a part somewhere; another one must find it there."""
-    async with spread_fleet(store_of(ENGINES), 6, decode_number) as fleet:
+    async with running_gossip_fleet(
+        make_store(ENGINES), 6, decode_empty_routing
+    ) as fleet:
         await asyncio.sleep(SETTLED_SECONDS)
         locator_of(fleet, 0).report_use("p1", ENGINES[0], ENGINES[2])
         await asyncio.sleep(0.1)
@@ -80,7 +82,9 @@
 
     After two questions without an answer another router is asked.
     """
-    async with spread_fleet(store_of(ENGINES), 6, decode_number) as fleet:
+    async with running_gossip_fleet(
+        make_store(ENGINES), 6, decode_empty_routing
+    ) as fleet:
         await asyncio.sleep(SETTLED_SECONDS)
         asker = fleet.routers[0]
         locator = locator_of(fleet, 0)
--- a/packages/fleet/tests/test_forwarding.py
+++ b/packages/fleet/tests/test_forwarding.py
@@ -16,8 +16,8 @@
 from teaselledge_fleet.process.stalls import StallDetector
 from teaselledge_fleet.process.topology import Scope
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
-from teaselledge_standins.spreadfleet import spread_fleet
-from teaselledge_standins.statestore import decode_number, store_of
+from teaselledge_standins.spreadfleet import running_gossip_fleet
+from teaselledge_standins.statestore import decode_empty_routing, make_store
 from teaselledge_wire.gen.fleet.ttypes import Pulse
 
 VIRTUAL_CLOCK = True
@@ -112,13 +112,13 @@
 
 async def test_pulse_with_fields_left_out_does_no_harm():
     """Other releases leave out what they do not know."""
-    async with spread_fleet(store_of([]), 20, decode_number) as fleet:
+    async with running_gossip_fleet(make_store([]), 20, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         first, second = fleet.routers[:2]
         for scope in (*Scope, 9):
             sender = second.members.own.to_wire()
             pulse = Pulse(PROTOCOL, sender, scope=int(scope), work=b"x", pass_to=[7])
-            first.take(encode_datagram(pulse), second.members.own.peer_address)
+            first.receive(encode_datagram(pulse), second.members.own.peer_address)
         await asyncio.sleep(1)
         assert len(first.members.peers) == 19
 
@@ -143,9 +143,9 @@
 
     Passed on, they would name that router to callers again.
     """
-    async with spread_fleet(store_of([]), 40, decode_number) as fleet:
+    async with running_gossip_fleet(make_store([]), 40, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
-        dead = next(r for r in fleet.routers if r.spreading._topology.is_aggregator)
+        dead = next(r for r in fleet.routers if r.gossip._topology.is_aggregator)
         zone = dead.members.own.zone
         zone_peers = [
             r for r in fleet.routers if r.members.own.zone == zone and r != dead
--- a/packages/fleet/tests/test_gossip.py
+++ b/packages/fleet/tests/test_gossip.py
@@ -3,8 +3,12 @@
 import asyncio
 
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_standins.spreadfleet import SpreadFleet, spread_fleet
-from teaselledge_standins.statestore import MemoryStateStore, decode_number, store_of
+from teaselledge_standins.spreadfleet import GossipFleet, running_gossip_fleet
+from teaselledge_standins.statestore import (
+    MemoryStateStore,
+    decode_empty_routing,
+    make_store,
+)
 
 VIRTUAL_CLOCK = True
 ROUTERS = 9
@@ -17,14 +21,14 @@
 
 
 def new_store() -> MemoryStateStore:
-    return store_of(endpoint(f"e{number}") for number in range(8))
+    return make_store(endpoint(f"e{number}") for number in range(8))
 
 
-def alive(fleet: SpreadFleet) -> list:
-    return [router for router in fleet.routers if not router.frozen]
+def alive(fleet: GossipFleet) -> list:
+    return [router for router in fleet.routers if not router.killed]
 
 
-async def wait_for(fleet: SpreadFleet, holds) -> float:
+async def wait_for(fleet: GossipFleet, holds) -> float:
     """Return the seconds until something holds at all living routers."""
     loop = asyncio.get_running_loop()
     started = loop.time()
@@ -39,11 +43,11 @@
     calls = {}
     for count in (3, 9, 20):
         store = new_store()
-        async with spread_fleet(store, count, decode_number) as fleet:
+        async with running_gossip_fleet(store, count, decode_empty_routing) as fleet:
             await asyncio.sleep(5)
             store.calls = 0
             await asyncio.sleep(30)
-        assert len({router.belief.view.digest for router in fleet.routers}) == 1
+        assert len({router.store_cache.view.digest for router in fleet.routers}) == 1
         calls[count] = store.calls
     assert calls[20] <= calls[3] * 1.2
     assert calls[9] <= 100
@@ -51,12 +55,14 @@
 
 async def test_changes_reach_all_routers_in_time():
     store = new_store()
-    async with spread_fleet(store, ROUTERS, decode_number) as fleet:
+    async with running_gossip_fleet(store, ROUTERS, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         store.configure(b"2")
         store.put(endpoint("e1", leaving=True))
-        assert await wait_for(fleet, lambda r: r.belief.version == 2) < DRAIN_SECONDS
-        await wait_for(fleet, lambda r: r.belief.view.get("e1").leaving)
+        assert (
+            await wait_for(fleet, lambda r: r.store_cache.version == 2) < DRAIN_SECONDS
+        )
+        await wait_for(fleet, lambda r: r.store_cache.view.get("e1").leaving)
 
 
 async def test_another_router_follows_when_the_follower_dies():
@@ -66,28 +72,30 @@
     """
     for moment in range(5):
         store = new_store()
-        async with spread_fleet(store, ROUTERS, decode_number) as fleet:
+        async with running_gossip_fleet(store, ROUTERS, decode_empty_routing) as fleet:
             await asyncio.sleep(5 + 0.15 * moment)
-            name = fleet.routers[0].belief.poller
+            name = fleet.routers[0].store_cache.poller
             next(r for r in fleet.routers if r.vm == name).kill()
             store.put(endpoint("e1", leaving=True))
             store.configure(b"2")
-            seconds = await wait_for(fleet, lambda r: r.belief.view.get("e1").leaving)
+            seconds = await wait_for(
+                fleet, lambda r: r.store_cache.view.get("e1").leaving
+            )
             assert seconds < DRAIN_SECONDS
-            assert await wait_for(fleet, lambda r: r.belief.version == 2) < 0.5
+            assert await wait_for(fleet, lambda r: r.store_cache.version == 2) < 0.5
 
 
 async def test_a_router_that_the_store_turns_away_learns_from_the_others():
     store = new_store()
-    async with spread_fleet(store, ROUTERS, decode_number) as fleet:
+    async with running_gossip_fleet(store, ROUTERS, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
-        store.away = {"r000", "r001", "r002"}
+        store.unreachable_vms = {"r000", "r001", "r002"}
         await asyncio.sleep(3)
         store.put(endpoint("e1", leaving=True))
         store.configure(b"2")
-        seconds = await wait_for(fleet, lambda r: r.belief.view.get("e1").leaving)
+        seconds = await wait_for(fleet, lambda r: r.store_cache.view.get("e1").leaving)
         assert seconds < DRAIN_SECONDS
-        assert await wait_for(fleet, lambda r: r.belief.version == 2) < 0.5
+        assert await wait_for(fleet, lambda r: r.store_cache.version == 2) < 0.5
 
 
 async def test_a_restarted_router_learns_from_a_neighbour_while_the_store_is_away():
@@ -96,36 +104,38 @@
     It must not refuse everything until the store is back.
     """
     store = new_store()
-    async with spread_fleet(store, ROUTERS, decode_number) as fleet:
+    async with running_gossip_fleet(store, ROUTERS, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
-        store.away = {"*"}
+        store.unreachable_vms = {"*"}
         fleet.routers[4].kill()
         vm = fleet.routers[4].vm
-        fleet.start(vm, "z1", decode_number, ["r000:1"])
-        assert await wait_for(fleet, lambda r: r.belief.version == 1) < 1.0
-        await wait_for(fleet, lambda r: len(r.belief.view.of_service("books")) == 8)
+        fleet.start(vm, "z1", decode_empty_routing, ["r000:1"])
+        assert await wait_for(fleet, lambda r: r.store_cache.version == 1) < 1.0
+        await wait_for(
+            fleet, lambda r: len(r.store_cache.view.of_service("books")) == 8
+        )
 
 
 async def test_lost_datagrams_do_not_make_the_views_differ():
     store = new_store()
-    async with spread_fleet(store, ROUTERS, decode_number) as fleet:
+    async with running_gossip_fleet(store, ROUTERS, decode_empty_routing) as fleet:
         fleet.loss = 0.2
         await asyncio.sleep(5)
         for number in range(30):
             store.put(endpoint(f"e{number % 8}", leaving=number % 2 == 0))
             await asyncio.sleep(0.2)
         await asyncio.sleep(3)
-        digests = {router.belief.view.digest for router in fleet.routers}
+        digests = {router.store_cache.view.digest for router in fleet.routers}
         assert len(digests) == 1
 
 
 async def test_a_fleet_in_two_parts_goes_on_in_both():
     store = new_store()
-    async with spread_fleet(store, ROUTERS, decode_number) as fleet:
+    async with running_gossip_fleet(store, ROUTERS, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         fleet.cut = lambda one, other: (one < "r004") != (other < "r004")
         store.put(endpoint("e1", leaving=True))
-        seconds = await wait_for(fleet, lambda r: r.belief.view.get("e1").leaving)
+        seconds = await wait_for(fleet, lambda r: r.store_cache.view.get("e1").leaving)
         assert seconds < DRAIN_SECONDS
 
 
@@ -139,18 +149,18 @@
     What they have under way must count once everywhere, or engines look idle.
     """
     store = new_store()
-    async with spread_fleet(store, MANY, decode_number) as fleet:
+    async with running_gossip_fleet(store, MANY, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
-            router.work.add_local("e1", 2, 0.0)
+            router.load.add_local("e1", 2, 0.0)
         await asyncio.sleep(2)
-        totals = {router.work.total("e1").in_flight for router in fleet.routers}
+        totals = {router.load.total("e1").in_flight for router in fleet.routers}
         assert totals == {2 * MANY}
 
 
 async def test_the_bytes_of_a_router_stay_small_in_a_large_fleet():
     store = new_store()
-    async with spread_fleet(store, MANY, decode_number) as fleet:
+    async with running_gossip_fleet(store, MANY, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         before = sum(router.link.sent_bytes for router in fleet.routers)
         await asyncio.sleep(10)
@@ -161,31 +171,31 @@
 async def test_changes_reach_a_large_fleet_when_an_aggregator_dies():
     """The aggregator of a zone is killed just as an engine leaves."""
     store = new_store()
-    async with spread_fleet(store, MANY, decode_number) as fleet:
+    async with running_gossip_fleet(store, MANY, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
-        aggregators = [r for r in fleet.routers if r.spreading._topology.is_aggregator]
+        aggregators = [r for r in fleet.routers if r.gossip._topology.is_aggregator]
         assert len(aggregators) == 3
         aggregators[0].kill()
         store.put(endpoint("e1", leaving=True))
         store.configure(b"2")
-        seconds = await wait_for(fleet, lambda r: r.belief.view.get("e1").leaving)
-        seconds += await wait_for(fleet, lambda r: r.belief.version == 2)
+        seconds = await wait_for(fleet, lambda r: r.store_cache.view.get("e1").leaving)
+        seconds += await wait_for(fleet, lambda r: r.store_cache.version == 2)
         assert seconds < DRAIN_SECONDS
         await asyncio.sleep(2)
         for router in alive(fleet):
-            router.work.add_local("e2", 1, 0.0)
+            router.load.add_local("e2", 1, 0.0)
         await asyncio.sleep(2.5)
-        totals = {router.work.total("e2").in_flight for router in alive(fleet)}
+        totals = {router.load.total("e2").in_flight for router in alive(fleet)}
         assert totals == {MANY - 1}
 
 
 async def test_calls_to_the_store_stay_few_in_a_large_fleet():
     store = new_store()
-    async with spread_fleet(store, MANY, decode_number) as fleet:
+    async with running_gossip_fleet(store, MANY, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         store.calls = 0
         await asyncio.sleep(10)
-        assert len({router.belief.view.digest for router in fleet.routers}) == 1
+        assert len({router.store_cache.view.digest for router in fleet.routers}) == 1
     assert store.calls <= 40
 
 
@@ -196,15 +206,15 @@
     engines many times what they can read, and every caller would be late.
     """
     store = new_store()
-    async with spread_fleet(store, ROUTERS, decode_number) as fleet:
+    async with running_gossip_fleet(store, ROUTERS, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         router = fleet.routers[0]
-        router.work.add_local("e1", 2, 0.0)
-        assert router.work.total("e1").in_flight == 2
+        router.load.add_local("e1", 2, 0.0)
+        assert router.load.total("e1").in_flight == 2
         for other in fleet.routers[1:]:
             other.kill()
         await asyncio.sleep(3)
-        assert router.work.total("e1").in_flight == 2 * ROUTERS
+        assert router.load.total("e1").in_flight == 2 * ROUTERS
 
 
 async def test_routers_of_a_zone_find_one_another_through_seeds_of_other_zones():
@@ -213,7 +223,9 @@
     Seeds send to their own zones. A router that nobody hears gets no callers, and
     sends those that ask it to itself alone.
     """
-    async with spread_fleet(new_store(), MANY, decode_number, zones=6) as fleet:
+    async with running_gossip_fleet(
+        new_store(), MANY, decode_empty_routing, zones=6
+    ) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
             own = router.members.own.zone
--- a/packages/fleet/tests/test_large_fleet.py
+++ b/packages/fleet/tests/test_large_fleet.py
@@ -5,8 +5,16 @@
 from statistics import quantiles
 
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_standins.spreadfleet import SpreadFleet, SpreadRouter, spread_fleet
-from teaselledge_standins.statestore import MemoryStateStore, decode_number, store_of
+from teaselledge_standins.spreadfleet import (
+    GossipFleet,
+    GossipRouter,
+    running_gossip_fleet,
+)
+from teaselledge_standins.statestore import (
+    MemoryStateStore,
+    decode_empty_routing,
+    make_store,
+)
 
 from tools.spread_cost import measure
 
@@ -25,16 +33,16 @@
 
 
 def new_store() -> MemoryStateStore:
-    return store_of(
+    return make_store(
         Endpoint(f"e{number}", "books", "127.0.0.1:1", "z1", 4) for number in range(8)
     )
 
 
-def aggregator(fleet: SpreadFleet, zone: str) -> SpreadRouter:
+def aggregator(fleet: GossipFleet, zone: str) -> GossipRouter:
     return next(
         router
         for router in fleet.routers
-        if router.members.own.zone == zone and router.spreading._topology.is_aggregator
+        if router.members.own.zone == zone and router.gossip._topology.is_aggregator
     )
 
 
@@ -55,22 +63,22 @@
     They start within 0.3 s of one another, after a loss of power for example.
     """
     store = new_store()
-    async with spread_fleet(store, LARGE, decode_number, ZONES) as fleet:
+    async with running_gossip_fleet(store, LARGE, decode_empty_routing, ZONES) as fleet:
         await asyncio.sleep(FIRST_SECONDS)
-        assert all(router.belief.version for router in fleet.routers)
+        assert all(router.store_cache.version for router in fleet.routers)
     assert store.calls <= STARTING_CALLS
 
 
 async def test_routers_start_though_their_seeds_are_gone():
     """Seeds are addresses of VMs that may have been removed."""
     store = new_store()
-    async with spread_fleet(store, 9, decode_number, 3) as fleet:
+    async with running_gossip_fleet(store, 9, decode_empty_routing, 3) as fleet:
         for router in fleet.routers[:3]:
             router.kill()
         await asyncio.sleep(FIRST_SECONDS + 2.5)
         living = fleet.routers[3:]
         for router in living:
-            assert router.belief.version
+            assert router.store_cache.version
             assert len(router.members.alive) == len(living) - 1
 
 
@@ -78,7 +86,7 @@
     """What is passed on from router to router is lost for all that come after."""
     store = new_store()
     seconds = []
-    async with spread_fleet(store, LARGE, decode_number, ZONES) as fleet:
+    async with running_gossip_fleet(store, LARGE, decode_empty_routing, ZONES) as fleet:
         await asyncio.sleep(5)
         fleet.loss = 0.1
         loop = asyncio.get_running_loop()
@@ -88,7 +96,7 @@
             missing = list(fleet.routers)
             while missing:
                 await asyncio.sleep(0.02)
-                still = [r for r in missing if r.belief.version < version]
+                still = [r for r in missing if r.store_cache.version < version]
                 seconds += [loop.time() - changed] * (len(missing) - len(still))
                 missing = still
             await asyncio.sleep(0.3)
@@ -97,26 +105,26 @@
 
 async def test_figures_are_complete_soon_after_an_aggregator_dies():
     """Without its sums the routers of a zone see engines of other zones idle."""
-    async with spread_fleet(new_store(), 40, decode_number, 3) as fleet:
+    async with running_gossip_fleet(new_store(), 40, decode_empty_routing, 3) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
-            router.work.add_local("e1", 2, 0.0)
+            router.load.add_local("e1", 2, 0.0)
         await asyncio.sleep(2)
         dead = aggregator(fleet, "z2")
         dead.kill()
         loop = asyncio.get_running_loop()
         died = last = loop.time()
-        living = [router for router in fleet.routers if not router.frozen]
+        living = [router for router in fleet.routers if not router.killed]
         while loop.time() < died + 6:
             await asyncio.sleep(0.05)
-            if any(r.work.total("e1").in_flight < 2 * len(living) for r in living):
+            if any(r.load.total("e1").in_flight < 2 * len(living) for r in living):
                 last = loop.time()
     assert last - died <= STALE_SECONDS, f"{last - died:.2f} s"
 
 
 async def test_no_figure_counts_twice_while_use_grows():
     """A router's own part comes back in the sums, as it was some pulses ago."""
-    async with spread_fleet(new_store(), 40, decode_number, 3) as fleet:
+    async with running_gossip_fleet(new_store(), 40, decode_empty_routing, 3) as fleet:
         await asyncio.sleep(5)
         shares = [router.placer.shares for router in fleet.routers]
         for step in range(1, 40):
--- a/packages/fleet/tests/test_lost_power.py
+++ b/packages/fleet/tests/test_lost_power.py
@@ -13,8 +13,8 @@
 
 import asyncio
 
-from teaselledge_standins.spreadfleet import SpreadFleet, spread_fleet
-from teaselledge_standins.statestore import decode_number, store_of
+from teaselledge_standins.spreadfleet import GossipFleet, running_gossip_fleet
+from teaselledge_standins.statestore import decode_empty_routing, make_store
 
 VIRTUAL_CLOCK = True
 SMALL, LARGE = 7, 40
@@ -27,7 +27,7 @@
 LOST = "r004"
 
 
-async def change_until(fleet: SpreadFleet, end: float) -> None:
+async def change_until(fleet: GossipFleet, end: float) -> None:
     """Change the configuration in quick succession."""
     version = 1
     while asyncio.get_running_loop().time() < end:
@@ -38,7 +38,9 @@
 
 async def seconds_advertised(count: int, changes: bool) -> float:
     """Return for how long a VM is still advertised after it lost power."""
-    async with spread_fleet(store_of([]), count, decode_number) as fleet:
+    async with running_gossip_fleet(
+        make_store([]), count, decode_empty_routing
+    ) as fleet:
         loop = asyncio.get_running_loop()
         await asyncio.sleep(5)
         next(r for r in fleet.routers if r.vm == LOST).kill()
@@ -47,7 +49,7 @@
         changing = asyncio.create_task(change_until(fleet, end if changes else lost))
         while loop.time() < end:
             await asyncio.sleep(0.05)
-            living = [r for r in fleet.routers if not r.frozen]
+            living = [r for r in fleet.routers if not r.killed]
             if any(m.vm == LOST for r in living for m in r.members.ready):
                 last = loop.time()
         await changing
--- a/packages/fleet/tests/test_one_router_flooded.py
+++ b/packages/fleet/tests/test_one_router_flooded.py
@@ -27,8 +27,12 @@
 from teaselledge_fleet.request.serving import RequestProxy
 from teaselledge_fleet.version.routes import RetryPolicy
 from teaselledge_standins.fleetrouters import running_routers
-from teaselledge_standins.routes import ask, make_route, make_routing
-from teaselledge_standins.scripted import Received, ScriptedEndpoint, answer_bytes
+from teaselledge_standins.routes import make_route, make_routing, send_request
+from teaselledge_standins.scripted import (
+    ScriptedEndpoint,
+    ScriptedRequest,
+    response_bytes,
+)
 from tornado.httputil import HTTPHeaders, RequestStartLine
 
 REQUESTS = 30
@@ -36,9 +40,9 @@
 """Time in which routers hear one another and how busy each is."""
 
 
-async def echo(request: Received, writer: asyncio.StreamWriter) -> None:
+async def echo(request: ScriptedRequest, writer: asyncio.StreamWriter) -> None:
     headers = {"X-Request-Id": request.headers["x-request-id"]}
-    writer.write(answer_bytes(200, headers, b"fine"))
+    writer.write(response_bytes(200, headers, b"fine"))
 
 
 async def test_neighbours_serve_the_callers_of_a_router_without_processor_time():
@@ -47,12 +51,12 @@
         routing = make_routing(make_route(RetryPolicy.ANY))
         async with running_routers(3, routing, endpoints) as routers:
             flooded = routers[0]
-            flooded.use_up()
+            flooded.simulate_saturation()
             await asyncio.sleep(SETTLED_SECONDS)
             served = 0
             for number in range(REQUESTS):
                 headers = {"X-Request-Id": f"q{number}"}
-                answered = await ask(flooded.port, headers=headers)
+                answered = await send_request(flooded.port, headers=headers)
                 served += answered.status == 200
     # an organisation is owed at least half of what the best served one gets
     assert served >= REQUESTS / 2, f"{served} of {REQUESTS} served"
--- a/packages/fleet/tests/test_pool.py
+++ b/packages/fleet/tests/test_pool.py
@@ -5,14 +5,14 @@
 
 from teaselledge_fleet.connection.pool import ConnectionPool, PoolLimits
 from teaselledge_fleet.request.defaultcodec import DefaultHeaderCodec
-from teaselledge_standins.scripted import ScriptedEndpoint, answer_bytes
+from teaselledge_standins.scripted import ScriptedEndpoint, response_bytes
 from tornado.httputil import HTTPHeaders
 
 
 async def respond(request, writer):
     """Respond immediately."""
     headers = {"X-Request-Id": request.headers["x-request-id"]}
-    writer.write(answer_bytes(200, headers, b"fine"))
+    writer.write(response_bytes(200, headers, b"fine"))
 
 
 @asynccontextmanager
--- a/packages/fleet/tests/test_refusing.py
+++ b/packages/fleet/tests/test_refusing.py
@@ -5,28 +5,32 @@
 
 from teaselledge_fleet.connection.accepting import REFUSALS_PER_SAMPLE
 from teaselledge_fleet.version.routes import RetryPolicy
-from teaselledge_standins.routes import HOST, ask, make_route, serving
-from teaselledge_standins.scripted import Received, ScriptedEndpoint, answer_bytes
+from teaselledge_standins.routes import HOST, make_route, running_route, send_request
+from teaselledge_standins.scripted import (
+    ScriptedEndpoint,
+    ScriptedRequest,
+    response_bytes,
+)
 
 LARGE_BODY = b"x" * 300_000
 """Size that is not received completely before the response is sent."""
 
 
-async def echo(request: Received, writer: asyncio.StreamWriter) -> None:
+async def echo(request: ScriptedRequest, writer: asyncio.StreamWriter) -> None:
     headers = {"X-Request-Id": request.headers["x-request-id"]}
-    writer.write(answer_bytes(200, headers, b"fine"))
+    writer.write(response_bytes(200, headers, b"fine"))
 
 
 async def test_refusal_is_complete_and_has_a_retry_after():
     """A refusal by an overloaded router must look to callers like any other."""
     async with (
         ScriptedEndpoint(echo) as endpoint,
-        serving(make_route(RetryPolicy.NEVER), endpoint.address) as served,
+        running_route(make_route(RetryPolicy.NEVER), endpoint.address) as served,
     ):
         served.front.acceptor.has_capacity = lambda: False
         for _ in range(2 * REFUSALS_PER_SAMPLE):
-            response = await ask(served.port, "POST", body=b"order")
-            assert response.whole
+            response = await send_request(served.port, "POST", body=b"order")
+            assert response.complete
             assert response.status == 503
             assert json.loads(response.body)["kind"] == "router-busy"
             assert response.headers["connection"] == "close"
@@ -38,15 +42,15 @@
 
 async def test_caller_that_sends_a_large_body_gets_the_response():
     """Closing a connection with unread bytes resets it and may lose the response."""
-    async with serving(make_route(RetryPolicy.NEVER)) as served:
+    async with running_route(make_route(RetryPolicy.NEVER)) as served:
         served.front.acceptor.has_capacity = lambda: False
         served.front.acceptor.sampled = 1
-        response = await ask(served.port, "POST", body=LARGE_BODY)
-        assert (response.status, response.whole) == (503, True)
+        response = await send_request(served.port, "POST", body=LARGE_BODY)
+        assert (response.status, response.complete) == (503, True)
 
 
 async def test_request_sent_after_accepting_gets_the_response():
-    async with serving(make_route(RetryPolicy.NEVER)) as served:
+    async with running_route(make_route(RetryPolicy.NEVER)) as served:
         served.front.acceptor.has_capacity = lambda: False
         served.front.acceptor.sampled = 1
         reader, writer = await asyncio.open_connection("127.0.0.1", served.port)
@@ -58,7 +62,7 @@
 
 
 async def test_connection_without_a_request_is_closed():
-    async with serving(make_route(RetryPolicy.NEVER)) as served:
+    async with running_route(make_route(RetryPolicy.NEVER)) as served:
         served.front.acceptor.has_capacity = lambda: False
         served.front.acceptor.sampled = 1
         reader, writer = await asyncio.open_connection("127.0.0.1", served.port)
--- a/packages/fleet/tests/test_relay.py
+++ b/packages/fleet/tests/test_relay.py
@@ -10,8 +10,12 @@
 from teaselledge_fleet.process.passingrate import OffloadLimiter
 from teaselledge_fleet.version.routes import RetryPolicy
 from teaselledge_standins.fleetrouters import RunningRouter, running_routers
-from teaselledge_standins.routes import HOST, ask, make_route, make_routing
-from teaselledge_standins.scripted import Received, ScriptedEndpoint, answer_bytes
+from teaselledge_standins.routes import HOST, make_route, make_routing, send_request
+from teaselledge_standins.scripted import (
+    ScriptedEndpoint,
+    ScriptedRequest,
+    response_bytes,
+)
 
 GOSSIP_SECONDS = 1.5
 EVENT = b"id: 1\ndata: x\n\n"
@@ -19,18 +23,20 @@
 REFUSED_REQUESTS = 20
 
 
-async def echo(request: Received, writer: asyncio.StreamWriter) -> None:
+async def echo(request: ScriptedRequest, writer: asyncio.StreamWriter) -> None:
     headers = {"X-Request-Id": request.headers["x-request-id"]}
-    writer.write(answer_bytes(200, headers, EVENT))
+    writer.write(response_bytes(200, headers, EVENT))
 
 
-async def never_respond(request: Received, writer: asyncio.StreamWriter) -> None:
+async def never_respond(request: ScriptedRequest, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(60)
 
 
-async def respond_partially(request: Received, writer: asyncio.StreamWriter) -> None:
+async def respond_partially(
+    request: ScriptedRequest, writer: asyncio.StreamWriter
+) -> None:
     headers = {"X-Request-Id": request.headers["x-request-id"]}
-    complete_response = answer_bytes(200, headers, EVENT * 4)
+    complete_response = response_bytes(200, headers, EVENT * 4)
     writer.write(complete_response[:-20])
     await writer.drain()
     writer.transport.abort()
@@ -51,7 +57,7 @@
         endpoints = [Endpoint("e1", "books", engine.address, "north-a", 40)]
         routing = make_routing(make_route(RetryPolicy.NEVER, stream=True), VERSION)
         async with running_routers(2, routing, endpoints) as (overloaded, neighbour):
-            overloaded.use_up()
+            overloaded.simulate_saturation()
             await asyncio.sleep(GOSSIP_SECONDS)
             yield RouterPair(overloaded, neighbour, engine)
 
@@ -63,7 +69,7 @@
 
 async def test_response_is_relayed_and_the_connection_closed(pair):
     """The neighbour's configuration may be outdated by the time of a second request."""
-    response = await ask(pair.overloaded.port)
+    response = await send_request(pair.overloaded.port)
     assert (response.status, response.body) == (200, EVENT)
     assert response.headers["connection"] == "close"
     assert pair.overloaded.router._front.acceptor.relayed == 1
@@ -77,21 +83,21 @@
     while not pair.engine.received:
         await asyncio.sleep(0.01)
     writer.close()
-    await asyncio.wait_for(pair.engine.left.wait(), 1.0)
+    await asyncio.wait_for(pair.engine.client_disconnected.wait(), 1.0)
     while pair.overloaded.router._front.running:
         await asyncio.sleep(0.01)
 
 
 async def test_truncated_response_does_not_look_complete(pair):
     pair.engine.script = respond_partially
-    response = await ask(pair.overloaded.port, "POST", body=b"order")
-    assert not response.whole
+    response = await send_request(pair.overloaded.port, "POST", body=b"order")
+    assert not response.complete
 
 
 async def test_connection_is_served_locally_when_the_neighbour_is_unreachable(pair):
     pair.overloaded.router._busyness.overloaded = False
     await pair.neighbour.router.close()
-    response = await ask(pair.overloaded.port)
+    response = await send_request(pair.overloaded.port)
     assert (response.status, response.body) == (200, EVENT)
 
 
@@ -115,16 +121,16 @@
 
 async def test_nothing_is_relayed_to_an_overloaded_neighbour(pair):
     """Otherwise connections would circulate among overloaded routers."""
-    pair.neighbour.use_up()
+    pair.neighbour.simulate_saturation()
     await asyncio.sleep(GOSSIP_SECONDS)
-    assert (await ask(pair.overloaded.port)).status == 503
+    assert (await send_request(pair.overloaded.port)).status == 503
     assert pair.overloaded.router._front.acceptor.relayed == 0
 
 
 async def test_neighbour_without_capacity_refuses(pair):
     """Several routers choose the same neighbour before it reports its utilisation."""
     pair.neighbour.router._limit._limit = 0
-    response = await ask(pair.overloaded.port)
+    response = await send_request(pair.overloaded.port)
     assert response.status == 503
     assert not pair.engine.received
     assert float(response.headers["retry-after"]) > 0
@@ -137,11 +143,11 @@
     # the test calls start_tick itself
     relay_rate, overloaded._passing.start_tick = overloaded._passing, lambda: None
     for _ in range(REFUSED_REQUESTS):
-        assert (await ask(pair.overloaded.port)).status == 503
+        assert (await send_request(pair.overloaded.port)).status == 503
     OffloadLimiter.start_tick(relay_rate)
     relayed = overloaded._front.acceptor.relayed
     for _ in range(REFUSED_REQUESTS):
-        assert (await ask(pair.overloaded.port)).status == 503
+        assert (await send_request(pair.overloaded.port)).status == 503
     assert relayed == REFUSED_REQUESTS
     assert overloaded._front.acceptor.relayed < relayed + REFUSED_REQUESTS / 2
     assert not pair.engine.received
@@ -150,7 +156,7 @@
 async def test_router_that_shuts_down_relays_nothing(pair):
     """A relayed request would be cut off when this router stops."""
     pair.overloaded.router._server.leaving = True
-    assert (await ask(pair.overloaded.port)).status == 503
+    assert (await send_request(pair.overloaded.port)).status == 503
     assert pair.overloaded.router._front.acceptor.relayed == 0
 
 
--- a/packages/fleet/tests/test_restored_store.py
+++ b/packages/fleet/tests/test_restored_store.py
@@ -7,9 +7,13 @@
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.store import EndpointRows
 from teaselledge_fleet.process.storecache import CONFIRM_SECONDS, StoreCache
-from teaselledge_standins.restores import RestoreHistory
-from teaselledge_standins.spreadfleet import spread_fleet
-from teaselledge_standins.statestore import MemoryStateStore, decode_number, store_of
+from teaselledge_standins.restores import RestoreScenario
+from teaselledge_standins.spreadfleet import running_gossip_fleet
+from teaselledge_standins.statestore import (
+    MemoryStateStore,
+    decode_empty_routing,
+    make_store,
+)
 
 VIRTUAL_CLOCK = True
 ROUTERS = 9
@@ -25,21 +29,21 @@
 
 
 def new_store() -> MemoryStateStore:
-    return store_of(engine(f"e{number}") for number in range(3))
+    return make_store(engine(f"e{number}") for number in range(3))
 
 
 async def go_back(store: MemoryStateStore, copy) -> None:
     """Restore a copy after the store was away."""
-    store.away.add("*")
+    store.unreachable_vms.add("*")
     await asyncio.sleep(AWAY_SECONDS)
     store.restore(copy)
-    store.away.clear()
+    store.unreachable_vms.clear()
 
 
 async def test_what_is_written_under_an_old_number_counts():
     """Numbers that are given out again hide what is written after a restore."""
     store = new_store()
-    async with spread_fleet(store, ROUTERS, decode_number) as fleet:
+    async with running_gossip_fleet(store, ROUTERS, decode_empty_routing) as fleet:
         await asyncio.sleep(SETTLED_SECONDS)
         copy = store.copy()
         for _ in range(20):
@@ -49,14 +53,14 @@
         store.put(replace(engine("e0"), leaving=True))
         await asyncio.sleep(KNOWN_SECONDS)
         for router in fleet.routers:
-            known = router.belief.view.get("e0")
+            known = router.store_cache.view.get("e0")
             assert known is not None and known.leaving, router.vm
 
 
 async def test_leaving_endpoint_does_not_return_by_its_old_row():
     """The copy still holds the row from before the endpoint was leaving."""
     store = new_store()
-    async with spread_fleet(store, ROUTERS, decode_number) as fleet:
+    async with running_gossip_fleet(store, ROUTERS, decode_empty_routing) as fleet:
         await asyncio.sleep(SETTLED_SECONDS)
         copy = store.copy()
         store.put(replace(engine("e0"), leaving=True, sequence=5))
@@ -68,7 +72,7 @@
         while loop.time() < end:
             await asyncio.sleep(0.05)
             for router in fleet.routers:
-                names = [e.id for e in router.belief.view.of_service("books")]
+                names = [e.id for e in router.store_cache.view.of_service("books")]
                 assert "e0" not in names, router.vm
 
 
@@ -77,7 +81,7 @@
 
     An endpoint that is gone, or says something else, lets no old row stand so long.
     """
-    belief = StoreCache("r1", decode_number)
+    belief = StoreCache("r1", decode_empty_routing)
     loop = asyncio.get_running_loop()
 
     def read(era: int, sequence: int, leaving: bool) -> bool:
@@ -100,7 +104,7 @@
 
 async def test_answer_from_before_a_restore_is_dropped():
     """A slow answer arrives after another router told of the restore."""
-    belief = StoreCache("r1", decode_number)
+    belief = StoreCache("r1", decode_empty_routing)
     loop = asyncio.get_running_loop()
     entry = EndpointEntry.from_row("e0", Revision(1, 4), engine("e0"))
     assert belief.update_era(2, "r2")
@@ -112,7 +116,7 @@
     """A router that hears nobody would not find the others without them."""
     store = new_store()
     copy = store.copy()
-    async with spread_fleet(store, ROUTERS, decode_number):
+    async with running_gossip_fleet(store, ROUTERS, decode_empty_routing):
         await asyncio.sleep(SETTLED_SECONDS)
         written = set(store.router_rows)
         await go_back(store, copy)
@@ -124,5 +128,5 @@
 async def test_promises_hold_through_random_histories():
     """Two restores each, beside deaths, cuts, lost datagrams and a slow store."""
     for seed in HISTORIES:
-        outcome = await RestoreHistory(seed, ROUTERS).run()
-        assert not outcome.broken, (seed, outcome.broken)
+        outcome = await RestoreScenario(seed, ROUTERS).run()
+        assert not outcome.violations, (seed, outcome.violations)
--- a/packages/fleet/tests/test_serving.py
+++ b/packages/fleet/tests/test_serving.py
@@ -5,12 +5,17 @@
 
 from teaselledge_fleet.process.budget import RetryBudget, RetryLimits
 from teaselledge_fleet.version.routes import RetryPolicy, Target
-from teaselledge_standins.routes import ask, make_route, make_routing, serving
+from teaselledge_standins.routes import (
+    make_route,
+    make_routing,
+    running_route,
+    send_request,
+)
 from teaselledge_standins.scripted import (
-    Received,
     ScriptedEndpoint,
-    answer_bytes,
+    ScriptedRequest,
     reset,
+    response_bytes,
 )
 
 REQUEST_ID_HEADER = {"X-Request-Id": "q1"}
@@ -20,7 +25,7 @@
 def respond_with(*chunks: bytes, then=None):
     """Return a script that sends chunks and then calls a function of the writer."""
 
-    async def script(request: Received, writer: asyncio.StreamWriter) -> None:
+    async def script(request: ScriptedRequest, writer: asyncio.StreamWriter) -> None:
         for chunk in chunks:
             writer.write(chunk)
             await asyncio.sleep(0.005)
@@ -34,19 +39,19 @@
     writer.close()
 
 
-async def never_respond(request: Received, writer: asyncio.StreamWriter) -> None:
+async def never_respond(request: ScriptedRequest, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(60)
 
 
-OK_RESPONSE = answer_bytes(200, REQUEST_ID_HEADER, b"fine")
+OK_RESPONSE = response_bytes(200, REQUEST_ID_HEADER, b"fine")
 
 
 async def test_response_is_forwarded_unchanged():
     async with ScriptedEndpoint(respond_with(OK_RESPONSE)) as endpoint:
         route = make_route(RetryPolicy.NEVER)
-        async with serving(route, endpoint.address) as served:
-            response = await ask(served.port, "POST", body=b"order")
-    assert (response.status, response.body, response.whole) == (200, b"fine", True)
+        async with running_route(route, endpoint.address) as served:
+            response = await send_request(served.port, "POST", body=b"order")
+    assert (response.status, response.body, response.complete) == (200, b"fine", True)
     assert endpoint.received[0].body == b"order"
     assert endpoint.received[0].headers["x-endpoint"] == "e1"
 
@@ -62,8 +67,8 @@
         ScriptedEndpoint(respond_with(OK_RESPONSE)) as second,
     ):
         route = make_route(RetryPolicy.NEVER)
-        async with serving(route, first.address, second.address) as served:
-            response = await ask(served.port, "POST", body=b"order")
+        async with running_route(route, first.address, second.address) as served:
+            response = await send_request(served.port, "POST", body=b"order")
     assert response.status == 502
     assert "retry-after" not in response.headers
     assert len(first.received) == 1
@@ -76,21 +81,21 @@
         ScriptedEndpoint(respond_with(OK_RESPONSE)) as second,
     ):
         route = make_route(RetryPolicy.ANY)
-        async with serving(route, first.address, second.address) as served:
-            response = await ask(served.port)
+        async with running_route(route, first.address, second.address) as served:
+            response = await send_request(served.port)
     assert (response.status, response.body) == (200, b"fine")
     assert len(first.received) == len(second.received) == 1
 
 
 async def test_declined_order_is_retried():
-    declined = answer_bytes(503, NOT_RUN_HEADER, b"")
+    declined = response_bytes(503, NOT_RUN_HEADER, b"")
     async with (
         ScriptedEndpoint(respond_with(declined)) as first,
         ScriptedEndpoint(respond_with(OK_RESPONSE)) as second,
     ):
         route = make_route(RetryPolicy.NEVER)
-        async with serving(route, first.address, second.address) as served:
-            response = await ask(served.port, "POST", body=b"order")
+        async with running_route(route, first.address, second.address) as served:
+            response = await send_request(served.port, "POST", body=b"order")
     assert (response.status, response.body) == (200, b"fine")
 
 
@@ -100,20 +105,20 @@
     Forwarded, the status would promise the caller that it may send the order again.
     """
     async with ScriptedEndpoint(
-        respond_with(answer_bytes(503, REQUEST_ID_HEADER, b""))
+        respond_with(response_bytes(503, REQUEST_ID_HEADER, b""))
     ) as endpoint:
         route = make_route(RetryPolicy.NEVER, attempts=1)
-        async with serving(route, endpoint.address) as served:
-            response = await ask(served.port, "POST", body=b"order")
+        async with running_route(route, endpoint.address) as served:
+            response = await send_request(served.port, "POST", body=b"order")
     assert response.status == 502
 
 
 async def test_declined_order_is_refused_with_retry_after():
-    declined = answer_bytes(503, NOT_RUN_HEADER, b"")
+    declined = response_bytes(503, NOT_RUN_HEADER, b"")
     async with ScriptedEndpoint(respond_with(declined)) as endpoint:
         route = make_route(RetryPolicy.NEVER, attempts=1)
-        async with serving(route, endpoint.address) as served:
-            response = await ask(served.port, "POST", body=b"order")
+        async with running_route(route, endpoint.address) as served:
+            response = await send_request(served.port, "POST", body=b"order")
     assert response.status == 503
     assert float(response.headers["retry-after"]) > 0
 
@@ -123,11 +128,11 @@
 
     If the request id were not checked, the next caller would get that response.
     """
-    foreign = answer_bytes(200, {"X-Request-Id": "q0"}, b"not yours")
+    foreign = response_bytes(200, {"X-Request-Id": "q0"}, b"not yours")
     async with ScriptedEndpoint(respond_with(foreign + OK_RESPONSE)) as endpoint:
         route = make_route(RetryPolicy.NEVER)
-        async with serving(route, endpoint.address) as served:
-            response = await ask(served.port, "POST", body=b"order")
+        async with running_route(route, endpoint.address) as served:
+            response = await send_request(served.port, "POST", body=b"order")
     assert (response.status, response.body) == (200, b"fine")
 
 
@@ -139,11 +144,11 @@
     ):
         async with ScriptedEndpoint(script) as endpoint:
             route = make_route(RetryPolicy.ANY)
-            async with serving(route, endpoint.address) as served:
-                await ask(served.port)
+            async with running_route(route, endpoint.address) as served:
+                await send_request(served.port)
                 await asyncio.sleep(0.05)
                 endpoint.script = respond_with(OK_RESPONSE)
-                response = await ask(served.port)
+                response = await send_request(served.port)
         assert response.body == b"fine"
         assert endpoint.connections == 2
 
@@ -153,14 +158,14 @@
 
     After a reset some of it may be missing, and it must not appear complete.
     """
-    without_length = answer_bytes(200, REQUEST_ID_HEADER, b"fine", length=False)
+    without_length = response_bytes(200, REQUEST_ID_HEADER, b"fine", length=False)
     for then, status in ((close_writer, 200), (reset, 502)):
         async with ScriptedEndpoint(
             respond_with(without_length, then=then)
         ) as endpoint:
             route = make_route(RetryPolicy.NEVER)
-            async with serving(route, endpoint.address) as served:
-                response = await ask(served.port, "POST", body=b"order")
+            async with running_route(route, endpoint.address) as served:
+                response = await send_request(served.port, "POST", body=b"order")
         assert response.status == status
 
 
@@ -168,16 +173,16 @@
     truncated = OK_RESPONSE[:-2]
     async with ScriptedEndpoint(respond_with(truncated, then=close_writer)) as endpoint:
         route = make_route(RetryPolicy.NEVER)
-        async with serving(route, endpoint.address) as served:
-            response = await ask(served.port, "POST", body=b"order")
+        async with running_route(route, endpoint.address) as served:
+            response = await send_request(served.port, "POST", body=b"order")
     assert response.status == 502
 
 
 async def test_bytes_other_than_http_are_a_failure():
     async with ScriptedEndpoint(respond_with(b"\x00\x01nonsense\r\n\r\n")) as endpoint:
         route = make_route(RetryPolicy.NEVER)
-        async with serving(route, endpoint.address) as served:
-            response = await ask(served.port, "POST", body=b"order")
+        async with running_route(route, endpoint.address) as served:
+            response = await send_request(served.port, "POST", body=b"order")
     assert response.status == 502
 
 
@@ -186,7 +191,7 @@
 
 
 def stream_head() -> bytes:
-    return answer_bytes(200, REQUEST_ID_HEADER, b"", length=False)
+    return response_bytes(200, REQUEST_ID_HEADER, b"", length=False)
 
 
 async def test_broken_stream_is_resumed_at_another_engine():
@@ -201,9 +206,9 @@
         ScriptedEndpoint(respond_with(remaining_stream, then=close_writer)) as second,
     ):
         route = make_route(RetryPolicy.RESUME, stream=True)
-        async with serving(route, first.address, second.address) as served:
-            response = await ask(served.port, "POST", body=b"prompt")
-    assert (response.body, response.whole) == (event_bytes(1, 2, 3, 4), True)
+        async with running_route(route, first.address, second.address) as served:
+            response = await send_request(served.port, "POST", body=b"prompt")
+    assert (response.body, response.complete) == (event_bytes(1, 2, 3, 4), True)
     assert second.received[0].headers["last-event-id"] == "2"
 
 
@@ -214,10 +219,10 @@
         ScriptedEndpoint(respond_with(OK_RESPONSE)) as second,
     ):
         route = make_route(RetryPolicy.NEVER, stream=True)
-        async with serving(route, first.address, second.address) as served:
-            response = await ask(served.port, "POST", body=b"prompt")
+        async with running_route(route, first.address, second.address) as served:
+            response = await send_request(served.port, "POST", body=b"prompt")
     assert response.body == event_bytes(1, 2)
-    assert not response.whole
+    assert not response.complete
     assert not second.received
 
 
@@ -228,30 +233,34 @@
     """
     async with ScriptedEndpoint(never_respond) as endpoint:
         route = make_route(RetryPolicy.NEVER)
-        async with serving(route, endpoint.address) as served:
-            request = asyncio.create_task(ask(served.port, "POST", body=b"order"))
+        async with running_route(route, endpoint.address) as served:
+            request = asyncio.create_task(
+                send_request(served.port, "POST", body=b"order")
+            )
             while not endpoint.received:
                 await asyncio.sleep(0.01)
             request.cancel()
             async with asyncio.timeout(0.5):
-                await endpoint.left.wait()
+                await endpoint.client_disconnected.wait()
 
 
 async def test_engine_is_released_at_the_deadline():
     async with ScriptedEndpoint(never_respond) as endpoint:
         route = make_route(RetryPolicy.NEVER, timeout=0.2)
-        async with serving(route, endpoint.address) as served:
+        async with running_route(route, endpoint.address) as served:
             async with asyncio.timeout(0.7):
-                response = await ask(served.port, "POST", body=b"order")
-                await endpoint.left.wait()
+                response = await send_request(served.port, "POST", body=b"order")
+                await endpoint.client_disconnected.wait()
     assert response.status == 504
 
 
 async def test_endpoint_receives_the_remaining_time():
     async with ScriptedEndpoint(respond_with(OK_RESPONSE)) as endpoint:
         route = make_route(RetryPolicy.NEVER)
-        async with serving(route, endpoint.address) as served:
-            await ask(served.port, "POST", {"X-Deadline-Seconds": "2"}, b"order")
+        async with running_route(route, endpoint.address) as served:
+            await send_request(
+                served.port, "POST", {"X-Deadline-Seconds": "2"}, b"order"
+            )
     remaining = float(endpoint.received[0].headers["x-deadline-seconds"])
     assert 1.5 < remaining < 2.0
 
@@ -261,20 +270,20 @@
     async with ScriptedEndpoint(respond_with(OK_RESPONSE)) as endpoint:
         address = endpoint.address
     route = make_route(RetryPolicy.NEVER)
-    async with serving(route, address) as served:
-        response = await ask(served.port, "POST", body=b"order")
+    async with running_route(route, address) as served:
+        response = await send_request(served.port, "POST", body=b"order")
     assert response.status == 503
 
 
 async def test_retries_stay_within_the_budget():
     """All endpoints fail; retries must not add to their load without limit."""
-    failing = respond_with(answer_bytes(500, REQUEST_ID_HEADER, b"no"))
+    failing = respond_with(response_bytes(500, REQUEST_ID_HEADER, b"no"))
     async with ScriptedEndpoint(failing) as first, ScriptedEndpoint(failing) as second:
         route = make_route(RetryPolicy.ANY)
-        async with serving(route, first.address, second.address) as served:
+        async with running_route(route, first.address, second.address) as served:
             served.server._budget = RetryBudget(RetryLimits(0.2, 4.0, 10.0, 1.0))
             for _ in range(30):
-                await ask(served.port)
+                await send_request(served.port)
     assert 4 <= len(second.received) <= 0.2 * 30 + 4
 
 
@@ -283,9 +292,9 @@
 
     A 401 or 404 would make callers give up instead of retrying.
     """
-    async with serving(make_route(RetryPolicy.ANY)) as served:
+    async with running_route(make_route(RetryPolicy.ANY)) as served:
         served.server.routing = None
-        response = await ask(served.port)
+        response = await send_request(served.port)
     assert response.status == 503
 
 
@@ -293,11 +302,15 @@
     route = make_route(RetryPolicy.ANY, public=False)
     async with (
         ScriptedEndpoint(respond_with(OK_RESPONSE)) as endpoint,
-        serving(route, endpoint.address) as served,
+        running_route(route, endpoint.address) as served,
     ):
-        unknown = await ask(served.port, headers={"Authorization": "Bearer no"})
-        authorized = await ask(served.port, headers={"Authorization": "Bearer key-1"})
-        elsewhere = await ask(served.port, headers={"Host": "other.example"})
+        unknown = await send_request(
+            served.port, headers={"Authorization": "Bearer no"}
+        )
+        authorized = await send_request(
+            served.port, headers={"Authorization": "Bearer key-1"}
+        )
+        elsewhere = await send_request(served.port, headers={"Host": "other.example"})
     assert (unknown.status, authorized.status, elsewhere.status) == (401, 200, 404)
     assert endpoint.received[0].headers["x-organisation"] == "cellar"
     assert "authorization" not in endpoint.received[0].headers
@@ -310,9 +323,9 @@
     """
     async with ScriptedEndpoint(respond_with(OK_RESPONSE)) as endpoint:
         route = make_route(RetryPolicy.NEVER)
-        async with serving(route, endpoint.address) as served:
+        async with running_route(route, endpoint.address) as served:
             served.server.is_overloaded = lambda: True
-            response = await ask(served.port, "POST", body=b"order")
+            response = await send_request(served.port, "POST", body=b"order")
     assert response.status == 503
     assert 0 < float(response.headers["retry-after"]) < 0.5
     assert not endpoint.received
@@ -322,10 +335,10 @@
     """A caller keeps all its connections to one router, which can't keep up."""
     async with ScriptedEndpoint(respond_with(OK_RESPONSE)) as endpoint:
         route = make_route(RetryPolicy.ANY)
-        async with serving(route, endpoint.address) as served:
-            kept = await ask(served.port)
+        async with running_route(route, endpoint.address) as served:
+            kept = await send_request(served.port)
             served.front.reconnect_probability = lambda: 1.0
-            moved = await ask(served.port)
+            moved = await send_request(served.port)
     assert "connection" not in kept.headers
     assert moved.headers["connection"] == "close"
     assert (moved.status, moved.body) == (200, b"fine")
@@ -339,9 +352,9 @@
     """
     async with ScriptedEndpoint(respond_with(OK_RESPONSE)) as endpoint:
         route = make_route(RetryPolicy.ANY)
-        async with serving(route, endpoint.address) as served:
+        async with running_route(route, endpoint.address) as served:
             # opens a connection, so that the next request is sent at once
-            await ask(served.port)
+            await send_request(served.port)
             # the event loop does not run between the request and the close
             caller = socket.create_connection(("127.0.0.1", served.port))
             caller.sendall(
@@ -363,9 +376,9 @@
         ScriptedEndpoint(respond_with(OK_RESPONSE)) as second,
     ):
         route = make_route(RetryPolicy.NEVER)
-        async with serving(route, first.address, second.address) as served:
+        async with running_route(route, first.address, second.address) as served:
             served.placer.leaving.add("e1")
-            response = await ask(served.port, "POST", body=b"order")
+            response = await send_request(served.port, "POST", body=b"order")
     assert response.status == 200
     assert not first.received
     assert len(second.received) == 1
@@ -380,10 +393,10 @@
     route = make_route(RetryPolicy.ANY)
     async with (
         ScriptedEndpoint(respond_with(OK_RESPONSE)) as endpoint,
-        serving(route, endpoint.address) as served,
+        running_route(route, endpoint.address) as served,
     ):
         served.server.is_overloaded = lambda: True
-        response = await ask(served.port)
+        response = await send_request(served.port)
     assert response.status == 503
     assert response.headers["connection"] == "close"
 
@@ -416,10 +429,10 @@
         before = make_route(RetryPolicy.NEVER)
         async with (
             ScriptedEndpoint(respond_with(OK_RESPONSE)) as endpoint,
-            serving(before, endpoint.address) as served,
+            running_route(before, endpoint.address) as served,
         ):
             server = served.server
             server._placer = VersionChangingPlacer(server._placer, server, routing)
-            response = await ask(served.port, "POST", body=b"order")
+            response = await send_request(served.port, "POST", body=b"order")
         assert response.status == status
         assert len(endpoint.received) == (status == 200)
--- a/packages/router/tests/test_forward.py
+++ b/packages/router/tests/test_forward.py
@@ -7,7 +7,7 @@
 from teaselledge_standins.virtual.endpoint import (
     CHUNKS,
     _VirtualAnswer,
-    answer_text,
+    response_text,
 )
 from teaselledge_standins.virtual.orders import order_fleet, runs_by_name
 from tornado.httputil import HTTPHeaders
@@ -17,7 +17,7 @@
 fleet = order_fleet
 
 NAME = "s"
-LENGTH = sum(len(answer_text(NAME, part)) for part in range(CHUNKS))
+LENGTH = sum(len(response_text(NAME, part)) for part in range(CHUNKS))
 
 
 async def ask(fleet, service="models", kind="stream", name=NAME, cost=8.0):
@@ -57,7 +57,7 @@
     set_faults(fleet, break_after=10)
     outcome = await ask(fleet)
     assert outcome.sink.aborted and not outcome.sink.complete
-    assert answer_text(NAME, 0, 8).startswith(outcome.sink.body[:5])
+    assert response_text(NAME, 0, 8).startswith(outcome.sink.body[:5])
     assert len(outcome.sink.body) == 10
 
 
--- a/packages/router/tests/test_membership.py
+++ b/packages/router/tests/test_membership.py
@@ -58,7 +58,7 @@
     list in step, a leaving mark would wait for the next common read: 37 s with
     370 routers.
     """
-    async with running_members(120, zones=6, regions=3, acquainted=True) as fleet:
+    async with running_members(120, zones=6, regions=3, prefilled=True) as fleet:
         await asyncio.sleep(6.0)
         reads = []
         listing = fleet.vms.list
--- a/packages/standins/src/teaselledge_standins/demo.py
+++ b/packages/standins/src/teaselledge_standins/demo.py
@@ -117,7 +117,7 @@
 async def leave(fleet: Fleet) -> None:
     """Let one router leave gracefully in the middle of the run."""
     await asyncio.sleep(WARM_UP_SECONDS + LEAVE_AT_SECONDS)
-    await fleet.leave(LEAVING)
+    await fleet.drain_router(LEAVING)
 
 
 async def observe(fleet: Fleet, load: DemoLoad) -> list[Sample]:
--- a/packages/standins/src/teaselledge_standins/fleet.py
+++ b/packages/standins/src/teaselledge_standins/fleet.py
@@ -190,7 +190,7 @@
         self.routers[vm] = router
         return router
 
-    async def leave(self, vm: str) -> None:
+    async def drain_router(self, vm: str) -> None:
         """Let a router finish what it has and stop, as a drain does."""
         router = self.routers[vm]
         router.node.membership.announce_leaving()
--- a/packages/standins/src/teaselledge_standins/fleetrouters.py
+++ b/packages/standins/src/teaselledge_standins/fleetrouters.py
@@ -12,9 +12,9 @@
 from teaselledge_fleet.version.routes import RoutingConfiguration
 
 from teaselledge_standins.processes import free_ports
-from teaselledge_standins.statestore import StoreClient, store_of
+from teaselledge_standins.statestore import StoreClient, make_store
 
-__all__ = ["RunningRouter", "UsedUp", "running_routers"]
+__all__ = ["RunningRouter", "SaturatedLoopMonitor", "running_routers"]
 
 ZONE, REGION = "north-a", "north"
 
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class UsedUp:
+class SaturatedLoopMonitor:
     """Stands for the busyness of a router that has no processor time left."""
 
     recently_blocked: bool = False
@@ -59,9 +59,9 @@
     router: FleetRouter
     port: int
 
-    def use_up(self) -> None:
+    def simulate_saturation(self) -> None:
         """Take all its processor time from it."""
-        self.router._busyness = UsedUp()  # type: ignore[assignment]
+        self.router._busyness = SaturatedLoopMonitor()  # type: ignore[assignment]
 
 
 def _settings(number: int, seeds: tuple[str, ...]) -> FleetSettings:
@@ -85,7 +85,7 @@
     count: int, routing: RoutingConfiguration, endpoints: Iterable[Endpoint]
 ) -> AsyncIterator[list[RunningRouter]]:
     """Run so many routers of one zone."""
-    store = store_of(endpoints)
+    store = make_store(endpoints)
     seeds = tuple(f"127.0.0.1:{port}" for port in free_ports(count))
     running = []
     for number in range(count):
--- a/packages/standins/src/teaselledge_standins/restores.py
+++ b/packages/standins/src/teaselledge_standins/restores.py
@@ -9,15 +9,19 @@
 
 from teaselledge_fleet.process.endpoints import Endpoint
 
-from teaselledge_standins.spreadfleet import SpreadFleet, SpreadRouter, spread_fleet
+from teaselledge_standins.spreadfleet import (
+    GossipFleet,
+    GossipRouter,
+    running_gossip_fleet,
+)
 from teaselledge_standins.statestore import (
     MemoryStateStore,
     StoreCopy,
-    decode_number,
+    decode_empty_routing,
 )
 from teaselledge_standins.virtual.clock import virtual_loop
 
-__all__ = ["RestoreHistory", "RestoreOutcome", "play_restores"]
+__all__ = ["RestoreScenario", "RestoreOutcome", "run_restore_scenario"]
 
 ENDPOINTS = 6
 STEP_SECONDS = 0.1
@@ -68,17 +72,17 @@
 
     Attributes
     ----------
-    broken : list of str
+    violations : list of str
         Promises that were broken, in the order in which it was seen.
-    spread : list of float
+    convergence_seconds : list of float
         Seconds from each return of the store until all routers knew its era.
     """
 
-    broken: list[str] = field(default_factory=list)
-    spread: list[float] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
+    convergence_seconds: list[float] = field(default_factory=list)
 
 
-class RestoreHistory:
+class RestoreScenario:
     """One history: a fleet, what happens to it, and what must hold meanwhile.
 
     Parameters
@@ -110,18 +114,18 @@
         for number in range(ENDPOINTS):
             self._add(f"e{number}")
         zones = max(3, min(6, self._count // 3))
-        async with spread_fleet(
-            self._store, self._count, decode_number, zones
+        async with running_gossip_fleet(
+            self._store, self._count, decode_empty_routing, zones
         ) as fleet:
             random.seed(str(self._seed))
-            fleet.chance = self._chance
+            fleet.rng = self._chance
             fleet.loss = LOSS
             await self._watch(fleet, SETTLED_SECONDS)
             self._start(self._trouble(fleet))
             await self._watch(fleet, TROUBLE_SECONDS)
             fleet.cut = lambda sender, receiver: False
             self._store.delay = 0.01
-            while self._store.away:
+            while self._store.unreachable_vms:
                 await self._watch(fleet, STEP_SECONDS)
             await self._watch(fleet, CALM_SECONDS)
             self._check_end(fleet)
@@ -129,7 +133,7 @@
             task.cancel()
         return self._outcome
 
-    async def _watch(self, fleet: SpreadFleet, seconds: float) -> None:
+    async def _watch(self, fleet: GossipFleet, seconds: float) -> None:
         """Check after each step, for some seconds."""
         end = self._now() + seconds
         while self._now() < end:
@@ -138,7 +142,7 @@
                 self._copies.append((self._now(), self._store.copy()))
             self._check(fleet)
 
-    async def _trouble(self, fleet: SpreadFleet) -> None:
+    async def _trouble(self, fleet: GossipFleet) -> None:
         """Let things happen, among them two restores."""
         chance = self._chance
         restores = sorted(chance.uniform(1.0, 12.0) for _ in range(2))
@@ -164,7 +168,7 @@
 
     @property
     def _reachable(self) -> bool:
-        return "*" not in self._store.away
+        return "*" not in self._store.unreachable_vms
 
     def _configure(self) -> None:
         """Write the next version; it is not written while the store is away."""
@@ -200,20 +204,20 @@
         writer = self._some()
         if writer is not None and self._reachable:
             writer.present = False
-            self._store.drop(writer.endpoint.id)
+            self._store.delete(writer.endpoint.id)
 
     async def _restore(self) -> None:
         """Take the store away, and bring it back from an older copy."""
         store, chance = self._store, self._chance
         age = chance.uniform(0.1, OLDEST_COPY)
         away = chance.choice([0.1, 0.5, 1.5, 4.0, LONGEST_AWAY])
-        store.away.add("*")
+        store.unreachable_vms.add("*")
         wanted = self._now() - age
         older = [copy for at, copy in self._copies if at <= wanted]
         copy = older[-1] if older else self._copies[0][1]
         await asyncio.sleep(away)
         store.restore(copy)
-        store.away.discard("*")
+        store.unreachable_vms.discard("*")
         self._returned_at = self._now()
         for writer in self._writers.values():
             self._start(self._write_again(writer))
@@ -226,32 +230,32 @@
         if not writer.present:
             await asyncio.sleep(LAPSE_SECONDS)
             if self._store.era == era and self._reachable:
-                self._store.drop(writer.endpoint.id)
+                self._store.delete(writer.endpoint.id)
             return
         await asyncio.sleep(self._chance.uniform(0.0, REWRITE_SECONDS))
         if writer.present and self._store.era == era and self._reachable:
             writer.say(self._store)
 
-    def _living(self, fleet: SpreadFleet) -> list[SpreadRouter]:
-        return [router for router in fleet.routers if not router.frozen]
+    def _living(self, fleet: GossipFleet) -> list[GossipRouter]:
+        return [router for router in fleet.routers if not router.killed]
 
-    def _kill(self, fleet: SpreadFleet) -> None:
+    def _kill(self, fleet: GossipFleet) -> None:
         living = self._living(fleet)
         if len(living) > self._count / 2:
             dead = self._chance.choice(living)
             dead.kill()
             self._died[dead.vm] = self._now()
 
-    def _start_again(self, fleet: SpreadFleet) -> None:
-        dead = [router for router in fleet.routers if router.frozen]
+    def _start_again(self, fleet: GossipFleet) -> None:
+        dead = [router for router in fleet.routers if router.killed]
         if not dead:
             return
         router = self._chance.choice(dead)
         self._died.pop(router.vm, None)
         seeds = [f"r{number:03}:1" for number in range(3)]
-        fleet.start(router.vm, router.members.own.zone, decode_number, seeds)
+        fleet.start(router.vm, router.members.own.zone, decode_empty_routing, seeds)
 
-    def _cut(self, fleet: SpreadFleet) -> None:
+    def _cut(self, fleet: GossipFleet) -> None:
         """Cut one router off, one way or both, or heal the cut."""
         lonely = self._chance.choice(fleet.routers).vm
         kind = self._chance.choice(["heal", "in", "out", "both"])
@@ -265,7 +269,7 @@
     def _slow(self) -> None:
         self._store.delay = self._chance.choice([0.01, 0.01, 0.3])
 
-    def _check(self, fleet: SpreadFleet) -> None:
+    def _check(self, fleet: GossipFleet) -> None:
         living = self._living(fleet)
         self._check_spread(living)
         for router in living:
@@ -273,24 +277,26 @@
             self._check_endpoints(router)
             self._check_directory(router)
 
-    def _check_spread(self, living: Iterable[SpreadRouter]) -> None:
+    def _check_spread(self, living: Iterable[GossipRouter]) -> None:
         if self._returned_at is None:
             return
-        if all(router.belief.era == self._store.era for router in living):
-            self._outcome.spread.append(self._now() - self._returned_at)
+        if all(router.store_cache.era == self._store.era for router in living):
+            self._outcome.convergence_seconds.append(self._now() - self._returned_at)
             self._returned_at = None
 
-    def _check_version(self, router: SpreadRouter) -> None:
+    def _check_version(self, router: GossipRouter) -> None:
         """Check that a configuration that was in force is not undone."""
         life = router.members.own.incarnation
         before = self._versions.get(life, 0)
-        if router.belief.version < before:
-            self._break(f"{router.vm}: version {before} to {router.belief.version}")
-        self._versions[life] = router.belief.version
+        if router.store_cache.version < before:
+            self._break(
+                f"{router.vm}: version {before} to {router.store_cache.version}"
+            )
+        self._versions[life] = router.store_cache.version
 
-    def _check_endpoints(self, router: SpreadRouter) -> None:
+    def _check_endpoints(self, router: GossipRouter) -> None:
         """Check that an endpoint takes no work once its leaving is known."""
-        view, left = router.belief.view, self._left[router.members.own.incarnation]
+        view, left = router.store_cache.view, self._left[router.members.own.incarnation]
         for name, writer in self._writers.items():
             takes_work = writer.present and not writer.endpoint.leaving
             known = view.entry(name)
@@ -301,13 +307,13 @@
             elif name in left:
                 self._break(f"{router.vm}: {name} takes work again")
 
-    def _check_directory(self, router: SpreadRouter) -> None:
+    def _check_directory(self, router: GossipRouter) -> None:
         named = {member.vm for member in router.members.ready}
         for vm, died in self._died.items():
             if vm in named and self._now() - died > GONE_SECONDS:
                 self._break(f"{router.vm}: names {vm}, dead for 4 s")
 
-    def _check_end(self, fleet: SpreadFleet) -> None:
+    def _check_end(self, fleet: GossipFleet) -> None:
         """Check that all know what the store holds once calm has lasted."""
         truth = {
             name
@@ -315,7 +321,7 @@
             if writer.present and not writer.endpoint.leaving
         }
         for router in self._living(fleet):
-            belief = router.belief
+            belief = router.store_cache
             known = {endpoint.id for endpoint in belief.view.of_service("books")}
             if belief.version != self._version:
                 self._break(f"{router.vm}: version {belief.version} at the end")
@@ -325,8 +331,8 @@
                 self._break(f"{router.vm}: era {belief.era} at the end")
 
     def _break(self, promise: str) -> None:
-        if promise not in self._outcome.broken:
-            self._outcome.broken.append(promise)
+        if promise not in self._outcome.violations:
+            self._outcome.violations.append(promise)
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
@@ -337,7 +343,7 @@
         return asyncio.get_running_loop().time()
 
 
-def play_restores(seed: int, routers: int) -> RestoreOutcome:
+def run_restore_scenario(seed: int, routers: int) -> RestoreOutcome:
     """Play one history under the virtual clock."""
     with asyncio.Runner(loop_factory=virtual_loop) as runner:
-        return runner.run(RestoreHistory(seed, routers).run())
+        return runner.run(RestoreScenario(seed, routers).run())
--- a/packages/standins/src/teaselledge_standins/routes.py
+++ b/packages/standins/src/teaselledge_standins/routes.py
@@ -25,13 +25,13 @@
 )
 
 __all__ = [
-    "Answered",
-    "InOrder",
-    "ServedRoute",
-    "ask",
+    "ClientResponse",
+    "SequentialPlacer",
+    "RunningRoute",
+    "send_request",
     "make_route",
     "make_routing",
-    "serving",
+    "running_route",
 ]
 
 HOST = "books.example"
@@ -68,7 +68,7 @@
 
 
 @dataclass
-class InOrder:
+class SequentialPlacer:
     """Places each attempt on the next of a list of endpoints."""
 
     endpoints: list[Endpoint]
@@ -102,31 +102,31 @@
 
 
 @dataclass
-class ServedRoute:
+class RunningRoute:
     """A router's serving path that listens on loopback."""
 
     server: RequestProxy
-    placer: InOrder
+    placer: SequentialPlacer
     front: FrontServer
     port: int
 
 
 @asynccontextmanager
-async def serving(route: Route, *addresses: str) -> AsyncIterator[ServedRoute]:
+async def running_route(route: Route, *addresses: str) -> AsyncIterator[RunningRoute]:
     """Serve one route with endpoints at these addresses, named e1, e2, ..."""
     endpoints = [
         Endpoint(f"e{number}", "books", address, "north", 4)
         for number, address in enumerate(addresses, 1)
     ]
     pool = ConnectionPool()
-    placer = InOrder(endpoints)
+    placer = SequentialPlacer(endpoints)
     server = RequestProxy(DefaultHeaderCodec(), pool, placer, RetryBudget())
     server.routing = make_routing(route)
     front = FrontServer(server.handle, 1 << 16, 1 << 20, 15.0)
     front.listen("127.0.0.1", 0)
     port = front.ports[0]
     try:
-        yield ServedRoute(server, placer, front, port)
+        yield RunningRoute(server, placer, front, port)
     finally:
         front.stop()
         await front.close()
@@ -134,7 +134,7 @@
 
 
 @dataclass(frozen=True)
-class Answered:
+class ClientResponse:
     """What a caller saw.
 
     Attributes
@@ -145,22 +145,22 @@
         Headers by lower-case name.
     body : bytes
         What came of the body, chunks joined.
-    whole : bool
+    complete : bool
         Whether the answer's framing says that it is complete.
     """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    complete: bool
 
 
-async def ask(
+async def send_request(
     port: int,
     method: str = "GET",
     headers: dict[str, str] | None = None,
     body: bytes = b"",
-) -> Answered:
+) -> ClientResponse:
     """Send a request on a new connection and read the answer to its end."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     fields = {"Host": HOST, "X-Request-Id": "q1", **(headers or {})}
@@ -174,11 +174,11 @@
         writer.close()
 
 
-async def _read_answer(reader: asyncio.StreamReader) -> Answered:
+async def _read_answer(reader: asyncio.StreamReader) -> ClientResponse:
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
     except (asyncio.IncompleteReadError, ConnectionError):
-        return Answered(0, {}, b"", False)
+        return ClientResponse(0, {}, b"", False)
     line, *rest = head.split("\r\n")
     pairs = [item.split(":", 1) for item in rest if ":" in item]
     headers = {name.strip().lower(): value.strip() for name, value in pairs}
@@ -186,11 +186,13 @@
     if "content-length" in headers:
         length = int(headers["content-length"])
         try:
-            return Answered(status, headers, await reader.readexactly(length), True)
+            return ClientResponse(
+                status, headers, await reader.readexactly(length), True
+            )
         except (asyncio.IncompleteReadError, ConnectionError):
-            return Answered(status, headers, b"", False)
+            return ClientResponse(status, headers, b"", False)
     body, whole = await _read_chunks(reader)
-    return Answered(status, headers, body, whole)
+    return ClientResponse(status, headers, body, whole)
 
 
 async def _read_chunks(reader: asyncio.StreamReader) -> tuple[bytes, bool]:
--- a/packages/standins/src/teaselledge_standins/scripted.py
+++ b/packages/standins/src/teaselledge_standins/scripted.py
@@ -8,11 +8,11 @@
 
 from teaselledge_standins.loopback import LoopbackServer
 
-__all__ = ["Received", "ScriptedEndpoint", "answer_bytes", "reset"]
+__all__ = ["ScriptedRequest", "ScriptedEndpoint", "response_bytes", "reset"]
 
 
 @dataclass(frozen=True)
-class Received:
+class ScriptedRequest:
     """A request as it came.
 
     Attributes
@@ -30,7 +30,7 @@
     body: bytes
 
 
-Script = Callable[[Received, asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[[ScriptedRequest, asyncio.StreamWriter], Awaitable[None]]
 """Answers one request on its connection."""
 
 
@@ -45,16 +45,16 @@
         All requests, in order.
     connections : int
         Connections accepted so far.
-    left : asyncio.Event
+    client_disconnected : asyncio.Event
         Set when the other side closes a connection during an answer.
     """
 
     def __init__(self, script: Script) -> None:
         super().__init__(self._serve)
         self.script = script
-        self.received: list[Received] = []
+        self.received: list[ScriptedRequest] = []
         self.connections = 0
-        self.left = asyncio.Event()
+        self.client_disconnected = asyncio.Event()
 
     async def __aenter__(self) -> "ScriptedEndpoint":
         """Start to listen."""
@@ -83,22 +83,22 @@
         while not answering.done():
             await asyncio.wait([answering], timeout=0.01)
             if reader.at_eof() or reader.exception() is not None:
-                self.left.set()
+                self.client_disconnected.set()
                 answering.cancel()
                 raise ConnectionResetError
         await answering
 
 
-async def _read(reader: asyncio.StreamReader) -> Received:
+async def _read(reader: asyncio.StreamReader) -> ScriptedRequest:
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin1")
     line, *rest = head.split("\r\n")
     pairs = [item.split(":", 1) for item in rest if ":" in item]
     headers = {name.strip().lower(): value.strip() for name, value in pairs}
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Received(line, headers, body)
+    return ScriptedRequest(line, headers, body)
 
 
-def answer_bytes(
+def response_bytes(
     status: int, headers: dict[str, str], body: bytes, length: bool = True
 ) -> bytes:
     """Return a whole answer."""
--- a/packages/standins/src/teaselledge_standins/spreadfleet.py
+++ b/packages/standins/src/teaselledge_standins/spreadfleet.py
@@ -30,67 +30,67 @@
 
 from teaselledge_standins.statestore import MemoryStateStore, StoreClient
 
-__all__ = ["SpreadFleet", "SpreadRouter", "spread_fleet"]
+__all__ = ["GossipFleet", "GossipRouter", "running_gossip_fleet"]
 
 
 @dataclass
-class SpreadRouter:
+class GossipRouter:
     """One router's part that spreads state."""
 
     vm: str
     members: Members
-    belief: StoreCache
-    follower: StorePoller
+    store_cache: StoreCache
+    poller: StorePoller
     registration: Registration
-    spreading: Gossip
-    asking: AdmissionRpc
+    gossip: Gossip
+    admission_rpc: AdmissionRpc
     placer: FleetPlacer
-    work: FleetLoad
+    load: FleetLoad
     link: "_Link"
     tasks: list["asyncio.Task[None]"] = field(default_factory=list)
-    frozen: bool = False
-    waiting: list[tuple[bytes, str]] | None = None
+    killed: bool = False
+    queued_datagrams: list[tuple[bytes, str]] | None = None
     """What came while its VM is suspended; None while it runs."""
 
     def run(self) -> None:
         """Let it run."""
         self.tasks = [
-            asyncio.create_task(self.spreading.run()),
-            asyncio.create_task(self.asking.run()),
-            asyncio.create_task(self.follower.run()),
+            asyncio.create_task(self.gossip.run()),
+            asyncio.create_task(self.admission_rpc.run()),
+            asyncio.create_task(self.poller.run()),
             asyncio.create_task(self.registration.run()),
         ]
 
-    def halt(self) -> None:
+    def stop_tasks(self) -> None:
         """Let it do nothing more."""
         for task in self.tasks:
             task.cancel()
 
     def kill(self) -> None:
         """End it without a word."""
-        self.frozen = True
-        self.halt()
+        self.killed = True
+        self.stop_tasks()
 
-    def take(self, data: bytes, sender: str) -> None:
+    def receive(self, data: bytes, sender: str) -> None:
         """Take a datagram."""
-        if self.waiting is not None:
-            self.waiting.append((data, sender))
+        if self.queued_datagrams is not None:
+            self.queued_datagrams.append((data, sender))
             return
         content = decode_datagram(data).ok
-        self.link.takers[type(content)](content, sender)
+        self.link.handlers[type(content)](content, sender)
 
 
 class _Link:
     """Carries a router's datagrams and fetches through the fleet."""
 
-    def __init__(self, fleet: "SpreadFleet", vm: str) -> None:
+    def __init__(self, fleet: "GossipFleet", vm: str) -> None:
         self._fleet = fleet
         self._vm = vm
         self.sent_bytes = 0
-        self.takers: dict[type, Callable[..., None]] = {}
+        self.handlers: dict[type, Callable[..., None]] = {}
 
     def on(self, kind: type, take: Callable[..., None]) -> None:
-        self.takers[kind] = take
+        self.handlers[kind] = take
 
     def send(self, address: str, content: Datagram) -> None:
         self.send_all([address], content)
@@ -99,14 +99,14 @@
         data = encode_datagram(content)
         for address in addresses:
             self.sent_bytes += len(data)
-            self._fleet.carry(self._vm, address, data)
+            self._fleet.transmit(self._vm, address, data)
 
     async def fetch(self, address: str) -> Result[WholeState, str]:
         await asyncio.sleep(2 * self._fleet.delay)
         router = self._fleet.by_address.get(address)
-        if router is None or router.frozen or self._fleet.cut(self._vm, router.vm):
+        if router is None or router.killed or self._fleet.cut(self._vm, router.vm):
             return Error("unreachable")
-        data = encode_state(router.spreading.snapshot())
+        data = encode_state(router.gossip.snapshot())
         return Ok(decode_state(data).ok)
 
     def close(self) -> None:
@@ -114,7 +114,7 @@
 
 
 @dataclass
-class SpreadFleet:
+class GossipFleet:
     """Routers, their store, and the network between them.
 
     Attributes
@@ -126,19 +126,19 @@
     """
 
     store: MemoryStateStore
-    routers: list[SpreadRouter] = field(default_factory=list)
-    by_address: dict[str, SpreadRouter] = field(default_factory=dict)
+    routers: list[GossipRouter] = field(default_factory=list)
+    by_address: dict[str, GossipRouter] = field(default_factory=dict)
     delay: float = 0.02
     loss: float = 0.0
     cut: Callable[[str, str], bool] = lambda sender, receiver: False
-    chance: random.Random = field(default_factory=lambda: random.Random(1))
+    rng: random.Random = field(default_factory=lambda: random.Random(1))
 
-    def carry(self, sender: str, address: str, data: bytes) -> None:
+    def transmit(self, sender: str, address: str, data: bytes) -> None:
         """Deliver a datagram after the delay."""
         receiver = self.by_address.get(address)
         if receiver is None or self.cut(sender, receiver.vm):
             return
-        if self.chance.random() < self.loss:
+        if self.rng.random() < self.loss:
             return
         loop = asyncio.get_running_loop()
         loop.call_later(self.delay, self._deliver, receiver, data, f"{sender}:1")
@@ -146,7 +146,7 @@
     def start(self, vm: str, zone: str, decode: Decode, seeds: list[str]) -> None:
         """Start a router."""
         address = f"{vm}:1"
-        own = Member(vm, self.chance.getrandbits(60), zone, zone, f"{vm}:2", address)
+        own = Member(vm, self.rng.getrandbits(60), zone, zone, f"{vm}:2", address)
         members = Members(own)
         members.set_state(MemberState.READY)
         belief = StoreCache(vm, decode)
@@ -174,7 +174,7 @@
         placer.set_admission_check(asking.request_admission)
         placer.set_locator(PrefixLocator(members, link, coordinators))
         registration = Registration(client, members, belief)
-        router = SpreadRouter(
+        router = GossipRouter(
             vm,
             members,
             belief,
@@ -193,29 +193,29 @@
     def suspend(self, vm: str) -> None:
         """Suspend a VM; what is sent to it waits."""
         router = self.by_address[f"{vm}:1"]
-        router.waiting = []
-        router.halt()
+        router.queued_datagrams = []
+        router.stop_tasks()
 
     def resume(self, vm: str) -> None:
         """Let a suspended VM go on, with what waits for it first."""
         router = self.by_address[f"{vm}:1"]
-        waiting, router.waiting = router.waiting or [], None
+        waiting, router.queued_datagrams = router.queued_datagrams or [], None
         for data, sender in waiting:
-            router.take(data, sender)
+            router.receive(data, sender)
         router.run()
 
-    def _deliver(self, receiver: SpreadRouter, data: bytes, sender: str) -> None:
-        if not receiver.frozen:
-            receiver.take(data, sender)
+    def _deliver(self, receiver: GossipRouter, data: bytes, sender: str) -> None:
+        if not receiver.killed:
+            receiver.receive(data, sender)
 
 
 @asynccontextmanager
-async def spread_fleet(
+async def running_gossip_fleet(
     store: MemoryStateStore, count: int, decode: Decode, zones: int = 3
-) -> AsyncIterator[SpreadFleet]:
+) -> AsyncIterator[GossipFleet]:
     """Run so many routers, of which three are seeds."""
     random.seed(count)
-    fleet = SpreadFleet(store)
+    fleet = GossipFleet(store)
     seeds = [f"r{number:03}:1" for number in range(min(3, count))]
     for number in range(count):
         fleet.start(f"r{number:03}", f"z{number % zones}", decode, seeds)
--- a/packages/standins/src/teaselledge_standins/statestore.py
+++ b/packages/standins/src/teaselledge_standins/statestore.py
@@ -18,8 +18,8 @@
     "MemoryStateStore",
     "StoreClient",
     "StoreCopy",
-    "decode_number",
-    "store_of",
+    "decode_empty_routing",
+    "make_store",
 ]
 
 POLL_SECONDS = 0.02
@@ -52,7 +52,7 @@
     ----------
     delay : float
         Seconds that each call takes.
-    away : set of str
+    unreachable_vms : set of str
         VMs whose calls get no answer; ``*`` stands for all.
     calls : int
         Calls so far, unanswered ones included.
@@ -61,7 +61,7 @@
     """
 
     delay: float = 0.01
-    away: set[str] = field(default_factory=set)
+    unreachable_vms: set[str] = field(default_factory=set)
     calls: int = 0
     revision: int = 0
     entries: dict[str, EndpointRow] = field(default_factory=dict)
@@ -80,7 +80,7 @@
         self.revision += 1
         self.entries[endpoint.id] = EndpointRow(self.revision, endpoint)
 
-    def drop(self, name: str) -> None:
+    def delete(self, name: str) -> None:
         """Remove an endpoint's entry."""
         self.revision += 1
         self.entries.pop(name, None)
@@ -164,19 +164,19 @@
     async def _reach(self) -> bool:
         store = self._store
         store.calls += 1
-        if store.away & {"*", self._vm}:
+        if store.unreachable_vms & {"*", self._vm}:
             await asyncio.sleep(1.2)
             return False
         await asyncio.sleep(store.delay)
         return True
 
 
-def decode_number(data: bytes) -> RoutingConfiguration | None:
+def decode_empty_routing(data: bytes) -> RoutingConfiguration | None:
     """Read a configuration that is only the number of its version."""
     return RoutingConfiguration(int(data), (), {}, ()) if data.isdigit() else None
 
 
-def store_of(endpoints: Iterable[Endpoint]) -> MemoryStateStore:
+def make_store(endpoints: Iterable[Endpoint]) -> MemoryStateStore:
     """Return a store with version 1 and the entries of some endpoints."""
     store = MemoryStateStore()
     store.configure(b"1")
--- a/packages/standins/src/teaselledge_standins/virtual/endpoint.py
+++ b/packages/standins/src/teaselledge_standins/virtual/endpoint.py
@@ -20,7 +20,7 @@
 from teaselledge_standins.faults import EndpointFaults
 from teaselledge_standins.virtual.network import VirtualNetwork
 
-__all__ = ["VirtualClient", "VirtualEndpoint", "answer_text"]
+__all__ = ["VirtualClient", "VirtualEndpoint", "response_text"]
 
 CHUNKS = 8
 """Parts into which an answer is cut, to keep the runs fast."""
@@ -28,7 +28,7 @@
 MARK = b"data:"
 
 
-def answer_text(name: str, part: int, tokens: float = 0) -> bytes:
+def response_text(name: str, part: int, tokens: float = 0) -> bytes:
     """Return one part of the answer to a named request.
 
     An engine's answer has one event mark a token, which the routers count.
@@ -91,7 +91,7 @@
         self.running += 1
         try:
             for part in range(CHUNKS):
-                text = answer_text(body["name"], part, tokens)
+                text = response_text(body["name"], part, tokens)
                 if len(text) <= skip:
                     skip -= len(text)
                     continue
--- a/packages/standins/src/teaselledge_standins/virtual/fleet.py
+++ b/packages/standins/src/teaselledge_standins/virtual/fleet.py
@@ -33,7 +33,7 @@
     CHUNKS,
     VirtualClient,
     VirtualEndpoint,
-    answer_text,
+    response_text,
 )
 from teaselledge_standins.virtual.network import (
     NetworkPlan,
@@ -360,7 +360,7 @@
         finally:
             calls.discard(task)
         tokens = cost if self.plan.services[service].cost == "tokens" else 0
-        expected = b"".join(answer_text(name, part, tokens) for part in range(CHUNKS))
+        expected = b"".join(response_text(name, part, tokens) for part in range(CHUNKS))
         fault = result.error if result.is_error() else None
         right = sink.complete and sink.body == expected
         return CallResult(fault, sink, right, loop.time() - started)
--- a/packages/standins/src/teaselledge_standins/virtual/members.py
+++ b/packages/standins/src/teaselledge_standins/virtual/members.py
@@ -102,7 +102,7 @@
     regions: int = 2,
     lag: float = 2.0,
     seed: int = 1,
-    acquainted: bool = False,
+    prefilled: bool = False,
 ) -> AsyncIterator[MemberFleet]:
     """Run so many memberships, spread over zones, until a block ends."""
     random = Random(seed)
@@ -112,7 +112,7 @@
     try:
         for index in range(count):
             fleet.start(f"vm-{index:03d}", f"z{index % zones}")
-        if acquainted:
+        if prefilled:
             fleet.prefill_members()
         await fleet.wait_until_converged()
         yield fleet
--- a/packages/standins/src/teaselledge_standins/virtual/outcomes.py
+++ b/packages/standins/src/teaselledge_standins/virtual/outcomes.py
@@ -106,7 +106,7 @@
     reasons: Counter[str]
 
     @property
-    def broken(self) -> int:
+    def violations(self) -> int:
         """Broken promises of all kinds."""
         return (
             self.lost
--- a/packages/standins/tests/test_virtual_outcomes.py
+++ b/packages/standins/tests/test_virtual_outcomes.py
@@ -16,7 +16,7 @@
 
 def check_seed(seed):
     verdict = run_seed(seed)
-    assert verdict.broken == 0, verdict
+    assert verdict.violations == 0, verdict
     assert verdict.answered > verdict.orders / 3, verdict
 
 
--- a/tools/restore_drills.py
+++ b/tools/restore_drills.py
@@ -13,7 +13,7 @@
 
 import loguru
 from absl import app, flags
-from teaselledge_standins.restores import RestoreOutcome, play_restores
+from teaselledge_standins.restores import RestoreOutcome, run_restore_scenario
 
 FLAGS = flags.FLAGS
 flags.DEFINE_integer("first", 0, "First seed.")
@@ -25,7 +25,7 @@
 def play(seed: int, routers: int) -> RestoreOutcome:
     """Play one history without its log."""
     loguru.logger.remove()
-    return play_restores(seed, routers)
+    return run_restore_scenario(seed, routers)
 
 
 def main(argv: Sequence[str]) -> None:
@@ -37,9 +37,9 @@
         for seed, outcome in zip(
             seeds, pool.map(partial(play, routers=FLAGS.routers), seeds), strict=True
         ):
-            spread += outcome.spread
-            broken += bool(outcome.broken)
-            for promise in outcome.broken:
+            spread += outcome.convergence_seconds
+            broken += bool(outcome.violations)
+            for promise in outcome.violations:
                 print(f"seed {seed}: {promise}")
     print(f"{len(seeds)} histories of {FLAGS.routers} routers, {broken} with a break")
     if len(spread) > 1:
--- a/tools/spread_cost.py
+++ b/tools/spread_cost.py
@@ -12,11 +12,15 @@
 
 import loguru
 from teaselledge_fleet.process.endpoints import Endpoint
-from teaselledge_standins.spreadfleet import SpreadFleet, SpreadRouter, spread_fleet
+from teaselledge_standins.spreadfleet import (
+    GossipFleet,
+    GossipRouter,
+    running_gossip_fleet,
+)
 from teaselledge_standins.statestore import (
     MemoryStateStore,
-    decode_number,
-    store_of,
+    decode_empty_routing,
+    make_store,
 )
 from teaselledge_standins.virtual.clock import virtual_loop
 
@@ -62,7 +66,7 @@
 
 def new_store(endpoints: int) -> MemoryStateStore:
     """Return a store with a configuration and entries."""
-    return store_of(
+    return make_store(
         Endpoint(
             f"i-{number:010x}",
             "books",
@@ -74,27 +78,27 @@
     )
 
 
-def use(fleet: SpreadFleet) -> None:
+def use(fleet: GossipFleet) -> None:
     """Give each router use of organisations to tell of."""
     for router in fleet.routers:
         for number in random.sample(range(ORGANISATIONS), ORGANISATIONS // 2):
             router.placer.shares.record_request(f"organisation-{number}", 20_000)
 
 
-async def call(router: SpreadRouter, endpoints: int) -> None:
+async def call(router: GossipRouter, endpoints: int) -> None:
     """Ask for a place for requests for ever, and count them until they end."""
     loop = asyncio.get_running_loop()
-    add = router.work.add_local
+    add = router.load.add_local
     while True:
         await asyncio.sleep(random.expovariate(REQUESTS_A_SECOND))
         name = f"i-{random.randrange(endpoints):010x}"
-        endpoint = router.belief.view.get(name)
+        endpoint = router.store_cache.view.get(name)
         if endpoint is None:
             continue
         add(name, 1, READING_SECONDS)
         loop.call_later(FIRST_SECONDS, add, name, 0, -READING_SECONDS)
         loop.call_later(RUN_SECONDS, add, name, -1, 0.0)
-        await router.asking.request_admission(
+        await router.admission_rpc.request_admission(
             endpoint, READING_SECONDS, MOST_WAIT_SECONDS
         )
 
@@ -117,7 +121,9 @@
     """
     loop = asyncio.get_running_loop()
     store = new_store(endpoints)
-    async with spread_fleet(store, routers, decode_number, zones) as fleet:
+    async with running_gossip_fleet(
+        store, routers, decode_empty_routing, zones
+    ) as fleet:
         await asyncio.sleep(settle)
         use(fleet)
         calls_made = [
@@ -139,7 +145,7 @@
             task.cancel()
         store.configure(b"2")
         changed = loop.time()
-        while any(router.belief.version < 2 for router in fleet.routers):  # noqa: PLR2004
+        while any(router.store_cache.version < 2 for router in fleet.routers):  # noqa: PLR2004
             await asyncio.sleep(STEP_SECONDS)
         spread = loop.time() - changed
     return SpreadCost(sum(sent) / routers, max(sent), calls, spread)
