--- a/packages/ctl/src/teaselctl/commands/routers.py
+++ b/packages/ctl/src/teaselctl/commands/routers.py
@@ -6,7 +6,7 @@
 
 from teaselledge_fleet.connection.peers import StateClient
 from teaselledge_fleet.process.members import (
-    HINT_SECONDS,
+    REPORTED_SILENT_SECONDS,
     Member,
     MemberReport,
     MemberState,
@@ -98,4 +98,4 @@
 
 
 def _answers(silent: float | None) -> bool:
-    return silent is not None and silent <= HINT_SECONDS
+    return silent is not None and silent <= REPORTED_SILENT_SECONDS
--- a/packages/fleet/src/teaselledge_fleet/process/members.py
+++ b/packages/fleet/src/teaselledge_fleet/process/members.py
@@ -35,7 +35,7 @@
 """The same for routers of the own zone that its aggregator has heard: their pulses come
 each 0.4 s, and so do the aggregator's."""
 
-HINT_SECONDS = 3.0
+REPORTED_SILENT_SECONDS = 3.0
 """The same for routers that others have heard. Callers are sent to them only where
 their own zone has too few."""
 
@@ -231,13 +231,13 @@
     def settled(self, now: float) -> bool:
         """Whether reports of others can't tell more than is known here."""
         heard = max(self.direct, self.relayed, self.aggregated)
-        return now - heard < HINT_SECONDS
+        return now - heard < REPORTED_SILENT_SECONDS
 
     def advertised(self, now: float) -> bool:
         """Whether callers may be sent to it."""
         if self.settled(now):
             return self.answers(now)
-        return now - self.reported <= HINT_SECONDS
+        return now - self.reported <= REPORTED_SILENT_SECONDS
 
 
 class Members:
