--- a/packages/fleet/src/teaselledge_fleet/process/members.py
+++ b/packages/fleet/src/teaselledge_fleet/process/members.py
@@ -1,4 +1,4 @@
-"""Which routers there are, and which of them answer."""
+"""Membership: the known routers of the fleet and which of them are alive."""
 
 import asyncio
 import math
@@ -20,34 +20,37 @@
 ]
 
 SILENT_SECONDS = 1.0
-"""Silence after which callers are not sent to a router.
+"""Time without a heartbeat after which a router is no longer advertised to callers.
 
-Pulses come every 0.25 to 0.4 s, so two or three in a row must be lost; at 3 % loss
-that is at most one in 1,000, and costs some callers a new connection. A VM without
-power makes each caller that still connects to it wait a second.
+Heartbeats are sent every 0.25 to 0.4 s, so two or three in a row must be lost. At 3 %
+packet loss that happens at most once in 1,000 times, and makes some callers open a new
+connection. While a VM without power is advertised, each caller that connects to it
+waits for a second.
 """
 
-RELAYED_SECONDS = 1.3
-"""The same for aggregators, whose pulses come each 0.4 s through up to five routers;
-one of three must come."""
+FORWARDED_SILENT_SECONDS = 1.3
+"""The same limit for heartbeats of aggregators. They are sent every 0.4 s and forwarded
+by up to five routers; one of three must arrive."""
 
-AGGREGATED_SECONDS = 2.0
-"""The same for routers of the own zone that its aggregator has heard: their pulses come
-each 0.4 s, and so do the aggregator's."""
+AGGREGATED_SILENT_SECONDS = 2.0
+"""The same limit for routers of this zone whose heartbeats reach only its aggregator.
+These are sent every 0.4 s, and so are the aggregator's own heartbeats, which carry the
+status of the zone's routers."""
 
 REPORTED_SILENT_SECONDS = 3.0
-"""The same for routers that others have heard. Callers are sent to them only where
-their own zone has too few."""
+"""The same limit for routers known from member reports only. Callers are sent to them
+only if the callers' own zone has too few routers."""
 
-FORGET_SECONDS = 30.0
-"""Silence after which a router is forgotten, unless it is heard of again."""
+EXPIRY_SECONDS = 30.0
+"""Time without a heartbeat or report after which a router is removed."""
 
-REMEMBERED_SECONDS = 0.05
-"""Time for which the routers that answer are not looked for again, unless one joins.
-Each message and each request asks for them."""
+ALIVE_CACHE_SECONDS = 0.05
+"""Time for which the list of alive routers is cached, unless a router joins or changes.
+It is read for each message and each request."""
 
 PURGE_SECONDS = 1.0
-"""Time between two looks for routers to forget. Each message asks for the others."""
+"""Time between two searches for expired routers. The list of the other routers is read
+for each message, too often for a search each time."""
 
 
 MILLISECONDS = 1000
@@ -56,7 +59,7 @@
 
 
 class MemberState(IntEnum):
-    """What a router says of itself."""
+    """State that a router reports in its heartbeats."""
 
     STARTING = 0
     READY = 1
@@ -65,26 +68,26 @@
 
 @dataclass(frozen=True)
 class Member:
-    """A router.
+    """A router of the fleet.
 
     Attributes
     ----------
     vm : str
-        Its VM.
+        Name of its VM.
     incarnation : int
-        Identifies one life of its process.
+        Random number of its process, new at each start.
     zone, region : str
-        Where it is.
+        Availability zone and region of its VM.
     caller_address, peer_address : str
-        Addresses, ``host:port``.
+        Addresses for callers and for other routers, ``host:port``.
     state : MemberState
-        What it says of itself.
+        State that it reported last.
     cores : float
-        Processor time that it may use each second.
+        CPU seconds that it may use each second.
     utilisation : float
-        Part of it that is in use.
+        Fraction of `cores` in use, 0 to 1.
     relay_port : int
-        Where it takes over callers' connections; 0 where it takes none.
+        Port for connections that other routers offload; 0 if it accepts none.
     """
 
     vm: str
@@ -100,13 +103,13 @@
 
     @property
     def relay_address(self) -> str | None:
-        """Where it takes over callers' connections, ``host:port``."""
+        """Address for offloaded connections, ``host:port``; None if not accepted."""
         host, _, _ = self.caller_address.rpartition(":")
         return f"{host}:{self.relay_port}" if self.relay_port else None
 
     @classmethod
     def from_wire(cls, info: RouterInfo) -> "Member":
-        """Return the member that a message tells of."""
+        """Return the member that a message describes."""
         return cls(
             info.vm,
             info.incarnation or 0,
@@ -121,7 +124,7 @@
         )
 
     def to_wire(self) -> RouterInfo:
-        """Return the message that tells of it."""
+        """Return the message that describes this member."""
         return RouterInfo(
             self.vm,
             self.incarnation,
@@ -138,15 +141,15 @@
 
 @dataclass(frozen=True)
 class MemberReport:
-    """What a router tells of another one.
+    """Second-hand state of a router, as sent by another router.
 
     Attributes
     ----------
     member : Member
-        The other one.
+        The router that the report is about.
     silent_seconds : float or None
-        Seconds since the other one was heard itself, by whichever router heard it;
-        None where nobody has.
+        Seconds since any router last received a heartbeat from it; None if no
+        router is known to have received one.
     """
 
     member: Member
@@ -154,12 +157,12 @@
 
     @classmethod
     def from_wire(cls, info: RouterInfo) -> "MemberReport":
-        """Return the report that a message holds."""
+        """Return the report that a message contains."""
         silent = None if info.silent_ms is None else info.silent_ms / MILLISECONDS
         return cls(Member.from_wire(info), silent)
 
     def to_wire(self) -> RouterInfo:
-        """Return the message that holds it."""
+        """Return the message that contains this report."""
         info = self.member.to_wire()
         if self.silent_seconds is not None:
             info.silent_ms = int(self.silent_seconds * MILLISECONDS)
@@ -168,16 +171,16 @@
 
 @dataclass(frozen=True)
 class MemberStatus:
-    """What the aggregator of a zone tells of another router of it.
+    """Status of a router as sent by the aggregator of its zone.
 
     Attributes
     ----------
     state : MemberState
-        What that one says of itself.
+        State that the router reported last.
     utilisation : float
-        Part of its processor time that is in use.
+        Fraction of its CPU time in use, 0 to 1.
     silent_seconds : float
-        Seconds since it was heard itself.
+        Seconds since its last heartbeat.
     """
 
     state: MemberState
@@ -187,14 +190,14 @@
 
 @dataclass(frozen=True)
 class Liveness:
-    """What a router is known by.
+    """Last known sign of life of a router.
 
     Attributes
     ----------
     direct : bool
-        Whether it was heard by this router.
+        Whether this router received the last heartbeat directly.
     age : float
-        Seconds since it was heard by any router; infinite where nobody has.
+        Seconds since any router last received a heartbeat; infinite if none did.
     """
 
     direct: bool
@@ -202,63 +205,65 @@
 
 
 @dataclass
-class _Known:
+class _MemberRecord:
     member: Member
-    noted: float
-    """Loop time at which it was heard or became known."""
-    direct: float = -math.inf
-    """Loop time at which this router last heard it."""
-    relayed: float = -math.inf
-    """Loop time at which a message of it last came through other routers."""
-    aggregated: float = -math.inf
-    """Loop time at which the aggregator of this zone last heard it."""
-    reported: float = -math.inf
-    """Loop time at which any other router last heard it."""
+    updated_at: float
+    """Loop time of its last heartbeat, or at which it became known without one."""
+    direct_at: float = -math.inf
+    """Loop time of the last heartbeat that this router received directly."""
+    forwarded_at: float = -math.inf
+    """Loop time of the last heartbeat that other routers forwarded."""
+    aggregated_at: float = -math.inf
+    """Loop time of the last heartbeat that this zone's aggregator received."""
+    reported_at: float = -math.inf
+    """Loop time of the last heartbeat according to member reports."""
 
     @property
-    def heard(self) -> float:
-        """Loop time at which any router last heard it."""
-        return max(self.direct, self.relayed, self.aggregated, self.reported)
+    def last_heartbeat_at(self) -> float:
+        """Loop time at which any router last received a heartbeat."""
+        return max(
+            self.direct_at, self.forwarded_at, self.aggregated_at, self.reported_at
+        )
 
-    def answers(self, now: float) -> bool:
-        """Whether it was heard lately, here or in this zone."""
+    def is_alive(self, now: float) -> bool:
+        """Whether this router or its aggregator recently received a heartbeat."""
         return (
-            now - self.direct <= SILENT_SECONDS
-            or now - self.relayed <= RELAYED_SECONDS
-            or now - self.aggregated <= AGGREGATED_SECONDS
+            now - self.direct_at <= SILENT_SECONDS
+            or now - self.forwarded_at <= FORWARDED_SILENT_SECONDS
+            or now - self.aggregated_at <= AGGREGATED_SILENT_SECONDS
         )
 
-    def settled(self, now: float) -> bool:
-        """Whether reports of others can't tell more than is known here."""
-        heard = max(self.direct, self.relayed, self.aggregated)
-        return now - heard < REPORTED_SILENT_SECONDS
+    def ignores_reports(self, now: float) -> bool:
+        """Whether the heartbeats received are recent enough to ignore reports."""
+        last = max(self.direct_at, self.forwarded_at, self.aggregated_at)
+        return now - last < REPORTED_SILENT_SECONDS
 
-    def advertised(self, now: float) -> bool:
-        """Whether callers may be sent to it."""
-        if self.settled(now):
-            return self.answers(now)
-        return now - self.reported <= REPORTED_SILENT_SECONDS
+    def is_advertised(self, now: float) -> bool:
+        """Whether callers may be sent to the router."""
+        if self.ignores_reports(now):
+            return self.is_alive(now)
+        return now - self.reported_at <= REPORTED_SILENT_SECONDS
 
 
 class Members:
-    """The routers that this one knows.
+    """Table of the routers of the fleet.
 
-    A pulse from a router itself replaces what was known of it. Reports of others
-    only add routers that are unknown or silent, so that an old one can't undo what a
-    router says of itself.
+    A heartbeat replaces the state of its sender. Member reports only add or update
+    routers that are unknown or silent, so that an old report can't override what a
+    router reported about itself.
 
-    A report counts from the time at which the router was heard, not from the time at
-    which the report comes. Otherwise routers that report to one another keep a router
-    in the directory that none of them hears any more.
+    The age of a report counts from the last heartbeat of the router, not from the
+    arrival of the report. Otherwise routers that exchange reports would keep
+    advertising a router from which none of them receives heartbeats any more.
     """
 
     def __init__(self, own: Member) -> None:
         self._own = own
-        self._known: dict[str, _Known] = {}
-        self._by_key: dict[int, str] = {}
+        self._records: dict[str, _MemberRecord] = {}
+        self._vm_by_hash: dict[int, str] = {}
         self._purged_at = -math.inf
-        self._answering: list[Member] | None = None
-        self._answering_at = -math.inf
+        self._alive_cache: list[Member] | None = None
+        self._alive_cached_at = -math.inf
 
     @property
     def own(self) -> Member:
@@ -267,154 +272,165 @@
 
     @property
     def peers(self) -> list[Member]:
-        """All other routers that are not forgotten, silent ones included."""
+        """All other known routers, including silent ones."""
         now = self._now()
         if now - self._purged_at >= PURGE_SECONDS:
             self._purge(now)
-        return [known.member for known in self._known.values()]
+        return [record.member for record in self._records.values()]
 
     @property
     def alive(self) -> list[Member]:
-        """The other routers that were heard lately."""
+        """The other routers with a recent heartbeat."""
         now = self._now()
-        if self._answering is None or now - self._answering_at > REMEMBERED_SECONDS:
-            known = self._known.values()
-            self._answering = [each.member for each in known if each.answers(now)]
-            self._answering_at = now
-        return list(self._answering)
+        if (
+            self._alive_cache is None
+            or now - self._alive_cached_at > ALIVE_CACHE_SECONDS
+        ):
+            records = self._records.values()
+            self._alive_cache = [each.member for each in records if each.is_alive(now)]
+            self._alive_cached_at = now
+        return list(self._alive_cache)
 
     @property
     def zone_peers(self) -> list[Member]:
-        """The other routers of this zone that were heard lately."""
+        """The other routers of this zone with a recent heartbeat."""
         zone = self._own.zone
         return [member for member in self.alive if member.zone == zone]
 
     @property
     def ready(self) -> list[Member]:
-        """Routers that take requests, this one included where it does."""
+        """Routers that accept requests, including this one if it does."""
         now = self._now()
         others = [
-            known.member for known in self._known.values() if known.advertised(now)
+            record.member
+            for record in self._records.values()
+            if record.is_advertised(now)
         ]
         everyone = [*others, self._own]
         return [m for m in everyone if m.state is MemberState.READY]
 
-    def find_by_hash(self, key: int) -> Member | None:
-        """Return the other router of a number, None where it is not known."""
-        known = self._known.get(self._by_key.get(key, ""))
-        return None if known is None else known.member
+    def find_by_hash(self, vm_hash: int) -> Member | None:
+        """Return the other router whose VM name has a hash; None if unknown."""
+        record = self._records.get(self._vm_by_hash.get(vm_hash, ""))
+        return None if record is None else record.member
 
     def is_known(self, vm: str) -> bool:
         """Return whether a router is known, silent or not."""
-        return vm in self._known or vm == self._own.vm
+        return vm in self._records or vm == self._own.vm
 
     @property
     def reports(self) -> list[MemberReport]:
-        """What this router can tell of the others, the silent ones included.
+        """Reports on all other routers, including silent ones.
 
-        Routers that nobody has heard are left out: their addresses would go round
-        for ever.
+        Routers from which no router is known to have received a heartbeat are left
+        out: routers would send their addresses to each other for ever.
         """
         found = [self.report(member) for member in self.peers]
         return [report for report in found if report.silent_seconds is not None]
 
     def report(self, member: Member) -> MemberReport:
-        """Return what this router can tell of another one."""
-        evidence = self.liveness(member.vm)
-        if evidence is None or math.isinf(evidence.age):
+        """Return a report on another router."""
+        liveness = self.liveness(member.vm)
+        if liveness is None or math.isinf(liveness.age):
             return MemberReport(member, None)
-        return MemberReport(member, evidence.age)
+        return MemberReport(member, liveness.age)
 
     def liveness(self, vm: str) -> Liveness | None:
-        """Return what another router is known by; None where it isn't known."""
-        known = self._known.get(vm)
-        if known is None:
+        """Return the last sign of life of another router; None if unknown."""
+        record = self._records.get(vm)
+        if record is None:
             return None
-        return Liveness(known.heard == known.direct, self._now() - known.heard)
+        return Liveness(
+            record.last_heartbeat_at == record.direct_at,
+            self._now() - record.last_heartbeat_at,
+        )
 
     def set_state(self, state: MemberState) -> None:
-        """Change what this router says of itself."""
+        """Set the state that this router reports about itself."""
         self._own = replace(self._own, state=state)
 
-    def set_utilisation(self, busy: float) -> None:
-        """Change how busy this router says it is."""
-        self._own = replace(self._own, utilisation=busy)
+    def set_utilisation(self, utilisation: float) -> None:
+        """Set the utilisation that this router reports about itself."""
+        self._own = replace(self._own, utilisation=utilisation)
 
     def update_from_heartbeat(self, member: Member, forwarded: bool = False) -> bool:
-        """Take what a router says of itself; True where it is new or has changed.
+        """Apply a router's heartbeat; True if the router is new or has changed.
 
         Parameters
         ----------
         member : Member
-            What it says.
+            State of the sender.
         forwarded : bool
-            Whether another router passed it on.
+            Whether another router forwarded the heartbeat.
         """
         if member.vm == self._own.vm:
             return False
-        before = self._known.get(member.vm)
+        before = self._records.get(member.vm)
         now = self._now()
-        if before is None or not before.answers(now) or before.member != member:
-            self._answering = None
-        known = _Known(member, now)
+        if before is None or not before.is_alive(now) or before.member != member:
+            self._alive_cache = None
+        record = _MemberRecord(member, now)
         if before is not None:
-            known.direct, known.relayed = before.direct, before.relayed
-            known.aggregated = before.aggregated
+            record.direct_at, record.forwarded_at = (
+                before.direct_at,
+                before.forwarded_at,
+            )
+            record.aggregated_at = before.aggregated_at
         if forwarded:
-            known.relayed = now
+            record.forwarded_at = now
         else:
-            known.direct = now
-        self._keep(known)
+            record.direct_at = now
+        self._insert(record)
         return before is None or before.member != member
 
-    def update_from_aggregator(self, told: Mapping[int, MemberStatus]) -> None:
-        """Take what the aggregator of this zone tells, by the routers' numbers."""
+    def update_from_aggregator(self, statuses: Mapping[int, MemberStatus]) -> None:
+        """Apply the aggregator's statuses of this zone's routers, by VM name hash."""
         now = self._now()
-        self._answering = None
-        for key, status in told.items():
-            known = self._known.get(self._by_key.get(key, ""))
-            if known is None:
+        self._alive_cache = None
+        for vm_hash, status in statuses.items():
+            record = self._records.get(self._vm_by_hash.get(vm_hash, ""))
+            if record is None:
                 continue
-            heard = now - status.silent_seconds
-            if heard > known.heard:
-                known.member = replace(
-                    known.member, state=status.state, utilisation=status.utilisation
+            heartbeat_at = now - status.silent_seconds
+            if heartbeat_at > record.last_heartbeat_at:
+                record.member = replace(
+                    record.member, state=status.state, utilisation=status.utilisation
                 )
-            known.aggregated = max(known.aggregated, heard)
-            known.noted = max(known.noted, heard)
+            record.aggregated_at = max(record.aggregated_at, heartbeat_at)
+            record.updated_at = max(record.updated_at, heartbeat_at)
 
     def merge_report(self, report: MemberReport) -> bool:
-        """Take what another router tells of one; True where it was unknown."""
+        """Merge a report of another router; True if its subject was unknown."""
         member = report.member
         if member.vm == self._own.vm or member.state is MemberState.LEAVING:
             return False
         now = self._now()
-        known = self._known.get(member.vm)
-        if known is not None and known.settled(now):
+        record = self._records.get(member.vm)
+        if record is not None and record.ignores_reports(now):
             return False
         if report.silent_seconds is None:
-            # an address to try, no sign of life
-            if known is None:
-                self._keep(_Known(member, now))
-            return known is None
-        heard = now - report.silent_seconds
-        if known is not None and heard <= known.heard:
+            # only an address to try: it doesn't count as a heartbeat
+            if record is None:
+                self._insert(_MemberRecord(member, now))
+            return record is None
+        heartbeat_at = now - report.silent_seconds
+        if record is not None and heartbeat_at <= record.last_heartbeat_at:
             return False
-        self._keep(_Known(member, heard, reported=heard))
-        return known is None
+        self._insert(_MemberRecord(member, heartbeat_at, reported_at=heartbeat_at))
+        return record is None
 
     def _purge(self, now: float) -> None:
         self._purged_at = now
-        for vm, known in list(self._known.items()):
-            if now - known.noted > FORGET_SECONDS:
-                del self._known[vm]
-                self._answering = None
-                self._by_key.pop(name_hash(vm), None)
-
-    def _keep(self, known: _Known) -> None:
-        vm = known.member.vm
-        self._known[vm] = known
-        self._by_key[name_hash(vm)] = vm
+        for vm, record in list(self._records.items()):
+            if now - record.updated_at > EXPIRY_SECONDS:
+                del self._records[vm]
+                self._alive_cache = None
+                self._vm_by_hash.pop(name_hash(vm), None)
+
+    def _insert(self, record: _MemberRecord) -> None:
+        vm = record.member.vm
+        self._records[vm] = record
+        self._vm_by_hash[name_hash(vm)] = vm
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/packages/fleet/tests/test_members.py
+++ b/packages/fleet/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of other routers, and by what evidence."""
+"""Tests of the membership table."""
 
 import asyncio
 from contextlib import contextmanager
@@ -24,8 +24,11 @@
     return any(member.vm == OTHER.vm for member in members.ready)
 
 
-async def test_report_ages_with_the_evidence_behind_it(members):
-    """A router that many report must not stay for longer than one that heard it."""
+async def test_report_ages_from_the_last_heartbeat(members):
+    """Routers that report a dead router to each other must not keep it advertised.
+
+    If a report counted from its arrival, each further report would renew it.
+    """
     members.merge_report(MemberReport(OTHER, 2.5))
     assert advertised(members)
     await asyncio.sleep(0.6)
@@ -35,8 +38,8 @@
     assert members.report(OTHER).silent_seconds > 3.0
 
 
-async def test_row_in_the_store_is_no_sign_of_life(members):
-    """Rows of killed routers stay, and a router that is alone reads them every 2 s."""
+async def test_store_row_does_not_count_as_a_heartbeat(members):
+    """Rows of killed routers stay, and a router without peers reads them every 2 s."""
     members.merge_report(MemberReport(OTHER, None))
     assert members.peers == [OTHER]
     assert not advertised(members)
@@ -45,7 +48,7 @@
     assert members.peers == []
 
 
-async def test_later_evidence_tells_which_of_two_lives_is_the_current_one(members):
+async def test_incarnation_with_the_latest_heartbeat_is_the_current_one(members):
     members.merge_report(MemberReport(OTHER, 1.0))
     restarted = replace(OTHER, incarnation=2)
     members.merge_report(MemberReport(restarted, 0.2))
@@ -66,15 +69,15 @@
 
 
 def aggregated(silent: float) -> dict:
-    """Return what a router of the zone tells of the other one."""
+    """Return the status of the other router as the zone's aggregator sends it."""
     reports = [MemberReport(OTHER, silent)]
     return unpack_member_statuses(
         pack_member_statuses(reports), pack_member_ages(reports)
     )
 
 
-async def test_status_from_the_own_zone_ages_with_the_evidence_behind_it(members):
-    """When routers take turns as the aggregator, each would renew a silent one."""
+async def test_status_from_the_aggregator_ages_from_the_last_heartbeat(members):
+    """Routers that become aggregator in turn must not renew a silent router."""
     members.update_from_heartbeat(OTHER)
     for _ in range(6):
         await asyncio.sleep(0.4)
