--- a/packages/fleet/src/teaselledge_fleet/process/gossip.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -1,4 +1,4 @@
-"""Tell other routers what this one knows, and learn from them."""
+"""Gossip: exchange heartbeats and snapshots of the state with other routers."""
 
 import asyncio
 import copy
@@ -51,68 +51,68 @@
 
 _log = get_log("peers")
 
-PULSE_SECONDS = 0.25
-"""Time between two pulses to a router.
+FULL_MESH_HEARTBEAT_SECONDS = 0.25
+"""Time between two heartbeats to a router in a full mesh.
 
-What routers have under way at an engine changes within the time that a long prompt
-takes to read, about 0.2 s. Half as often saves 2 KB/s a router at nine routers.
+The load at an engine changes within the prefill time of a long prompt, about 0.2 s.
+With half as many heartbeats a router of a fleet of nine would save only 2 KB/s.
 """
 
-CHANGES_A_PULSE = 8
-"""Changed entries in one datagram; each takes about 80 bytes, and a datagram over
-1,400 bytes would be sent in parts."""
+MAX_CHANGES_PER_HEARTBEAT = 8
+"""Maximum of changed entries in one datagram. Each takes about 80 bytes, and datagrams
+of more than 1,400 bytes would be fragmented."""
 
-REPEATED = 3
-"""Pulses in which a change is told, against losses."""
+CHANGE_SEND_COUNT = 3
+"""Heartbeats that carry the same change, in case some of them are lost."""
 
-REPEAT_SECONDS = 0.1
-"""Time between these pulses in a fleet in which news is passed on by several routers. A
-lost datagram holds it up for a whole zone."""
+CHANGE_RESEND_SECONDS = 0.1
+"""Time between these heartbeats where routers forward them to others. A lost datagram
+then delays the change for a whole zone."""
 
-REPORTS = 2
-"""Other routers named in some pulses."""
+REPORT_COUNT = 2
+"""Member reports in a heartbeat that carries any."""
 
-INTRODUCED = 8
-"""Routers of its zone that a newcomer is told of."""
+INTRODUCTION_COUNT = 8
+"""Member reports that a new router gets, all on routers of its zone."""
 
-REPORT_EVERY = 4
-"""Pulses of which one names other routers; each name takes 90 bytes."""
+HEARTBEATS_PER_REPORT = 4
+"""One in this many heartbeats carries member reports; each report takes 90 bytes."""
 
-CALM_PULSE_SECONDS = 0.4
-"""Time between two pulses in a fleet in which routers tell their zone only."""
+AGGREGATED_HEARTBEAT_SECONDS = 0.4
+"""Time between two heartbeats in a fleet with aggregators."""
 
-SUMS_SECONDS = 0.35
-"""Least time between two sums of an aggregator; its pulses between them tell news only.
+MIN_TOTALS_SECONDS = 0.35
+"""Minimum time between two sends of an aggregator's totals.
 
-Pulses come more often while there is news.
+Heartbeats are sent more often while there are changes; those in between carry no load.
 """
 
-NEWS_SECONDS = 0.3
-"""Advance of what is known of the store that is passed on at once."""
+MIN_AGE_DECREASE_SECONDS = 0.3
+"""Decrease of the store cache's age that triggers a heartbeat at once."""
 
-SOONEST_SECONDS = 0.03
-"""Least time between two pulses."""
+MIN_HEARTBEAT_SECONDS = 0.03
+"""Minimum time between two heartbeats."""
 
 STARTING_SECONDS = 3.0
 """Time after its start in which a router may not know all others yet."""
 
-MOST_HOPS = 10
-"""Routers that pass one pulse on. Eight reach 500; one that goes further is lost in a
-circle of routers that disagree."""
+MAX_HOPS = 10
+"""Maximum number of times that a heartbeat is forwarded. Eight hops reach 500 routers;
+more hops mean a loop among routers whose views of the fleet differ."""
 
-FETCH_PAUSE = 0.4
-"""Least time between two fetches of a whole state."""
+MIN_FETCH_SECONDS = 0.4
+"""Minimum time between two fetches of a snapshot."""
 
 
 class Gossip:
-    """Sends pulses to the other routers and takes theirs."""
+    """Sends heartbeats to the other routers and applies those that it receives."""
 
     def __init__(
         self,
         members: Members,
-        belief: StoreCache,
+        store_cache: StoreCache,
         seeds: Iterable[str],
-        work: FleetLoad,
+        load: FleetLoad,
         admission: AdmissionController,
         shares: OrganisationShares,
         socket: PeerTransport,
@@ -120,356 +120,380 @@
         stalls: StallDetector | None = None,
     ) -> None:
         self._members = members
-        self._belief = belief
+        self._store_cache = store_cache
         self._seeds = tuple(seeds)
-        self._work = work
-        self._sums = LoadTotals(work, shares, admission)
+        self._load = load
+        self._totals = LoadTotals(load, shares, admission)
         self._coordinators = coordinators
         self._advertised_log = AdvertisedLog(members)
         self._topology = Topology(members)
         self._socket = socket
-        socket.on(Pulse, self._hear)
+        socket.on(Pulse, self._receive)
         self._client = StateClient()
         self._sequence = 0
-        self._turn = 0
+        self._rounds = 0
         self._started = asyncio.get_running_loop().time()
-        self._told: list[tuple[EndpointEntry, int]] = []
+        self._pending_changes: list[tuple[EndpointEntry, int]] = []
+        """Changed entries, each with the number of heartbeats still to carry it."""
         self._next_fetch = 0.0
-        self._noted_unheard_at = -math.inf
+        self._extrapolated_at = -math.inf
         self._stalls = stalls or StallDetector()
-        self._passed = SeenMessages()
-        self._sums_told = 0
-        self._summed_at = -math.inf
+        self._seen_messages = SeenMessages()
+        self._totals_sent = 0
+        self._totals_sent_at = -math.inf
         self._fetching: asyncio.Task[None] | None = None
-        self._soon = asyncio.Event()
+        self._wake = asyncio.Event()
         self.on_membership_change: Callable[[], None] = lambda: None
-        self._repeats = 0
-        belief.on_change.append(self._repeat_soon)
+        self._resends_left = 0
+        store_cache.on_change.append(self._send_changes)
 
     def set_seeds(self, seeds: Iterable[str]) -> None:
-        """Take other seeds."""
+        """Replace the seeds."""
         self._seeds = tuple(seeds)
 
     async def run(self) -> None:
-        """Send pulses for ever, and at once after a change."""
+        """Send heartbeats for ever: periodically, and at once after a change."""
         while True:
             self.send_heartbeats()
-            self._soon.clear()
-            await asyncio.sleep(SOONEST_SECONDS)
+            self._wake.clear()
+            await asyncio.sleep(MIN_HEARTBEAT_SECONDS)
             try:
-                async with asyncio.timeout(self._next_pause()):
-                    await self._soon.wait()
+                async with asyncio.timeout(self._next_interval()):
+                    await self._wake.wait()
             except TimeoutError:
                 continue
 
-    def _next_pause(self) -> float:
-        """Return the time until the next pulse, unless there is news."""
+    def _next_interval(self) -> float:
+        """Return the time until the next heartbeat unless something changes."""
         if self._topology.is_full_mesh:
-            return PULSE_SECONDS * random.uniform(0.9, 1.1)
-        if self._repeats:
-            self._repeats -= 1
-            return REPEAT_SECONDS
-        return CALM_PULSE_SECONDS * random.uniform(0.9, 1.1)
+            return FULL_MESH_HEARTBEAT_SECONDS * random.uniform(0.9, 1.1)
+        if self._resends_left:
+            self._resends_left -= 1
+            return CHANGE_RESEND_SECONDS
+        return AGGREGATED_HEARTBEAT_SECONDS * random.uniform(0.9, 1.1)
 
-    def _repeat_soon(self) -> None:
-        """Tell a change at once, and some times more."""
-        self._repeats = REPEATED - 1
-        self._soon.set()
+    def _send_changes(self) -> None:
+        """Send a change at once, and resend it in the next heartbeats."""
+        self._resends_left = CHANGE_SEND_COUNT - 1
+        self._wake.set()
 
     def send_heartbeats(self) -> None:
-        """Send a pulse to each router that is to be told."""
+        """Send this round's heartbeats to their recipients and to unknown seeds."""
         self._stalls.tick()
         self._advertised_log.update()
-        self._note_unheard()
+        self._extrapolate_load()
         changes = self._next_changes()
-        self._turn += 1
-        sums_due = self._sums_due()
-        for audience in self._topology.recipient_groups():
-            scope = audience.scope
-            if scope in (Scope.FLEET, Scope.ZONE) and not sums_due:
+        self._rounds += 1
+        totals_due = self._totals_due()
+        for group in self._topology.recipient_groups():
+            scope = group.scope
+            if scope in (Scope.FLEET, Scope.ZONE) and not totals_due:
                 scope = Scope.NEWS
-            self._deliver(self._make(scope, changes), audience.deliveries)
-        told = {member.peer_address for member in self._members.peers}
-        seeds = set(self._seeds) - told - {self._members.own.peer_address}
+            self._deliver(self._make_heartbeat(scope, changes), group.deliveries)
+        known = {member.peer_address for member in self._members.peers}
+        seeds = set(self._seeds) - known - {self._members.own.peer_address}
         if seeds:
-            self._socket.send_all(sorted(seeds), self._make(Scope.OWN, changes))
+            self._socket.send_all(
+                sorted(seeds), self._make_heartbeat(Scope.OWN, changes)
+            )
 
     def snapshot(self) -> WholeState:
-        """Return everything this router knows."""
-        belief = self._belief
+        """Return the full state of this router."""
+        store_cache = self._store_cache
         return WholeState(
             PROTOCOL,
             self._members.own.to_wire(),
-            belief.version,
-            belief.configuration,
-            belief.view.digest,
-            _milliseconds(belief.age),
-            [_to_wire(entry) for entry in belief.view],
+            store_cache.version,
+            store_cache.configuration,
+            store_cache.view.digest,
+            _to_milliseconds(store_cache.age),
+            [_to_wire(entry) for entry in store_cache.view],
             [report.to_wire() for report in self._members.reports],
-            belief.era,
+            store_cache.era,
         )
 
     async def fetch_snapshot(self, address: str) -> bool:
-        """Fetch everything that a router knows; False where that failed."""
+        """Fetch and apply the snapshot of another router; False if that failed."""
         fetched = await self._client.fetch(address)
         if fetched.is_error():
-            _log.info("state not fetched", peer=address, error=fetched.error)
+            _log.info("snapshot not fetched", peer=address, error=fetched.error)
             return False
-        self._take_state(fetched.ok)
+        self._apply_snapshot(fetched.ok)
         return True
 
     def close(self) -> None:
-        """End all calls."""
+        """Cancel all calls to other routers."""
         self._client.close()
 
-    def _note_unheard(self) -> None:
-        """Tell how many routers there are for each whose work is known.
+    def _extrapolate_load(self) -> None:
+        """Extrapolate the fleet's load to routers whose load is unknown.
 
         When all routers start at the same time, each of them sees idle engines until
-        it hears the others, and together they send the engines nine times what they
-        can read. So those that are not heard yet count like those that are.
+        it receives the others' heartbeats. Together nine routers would send the
+        engines nine times the prompts that these can prefill. So routers without a
+        heartbeat are assumed to have the same load as the others.
         """
         now = asyncio.get_running_loop().time()
-        if now - self._noted_unheard_at < SOONEST_SECONDS:
+        if now - self._extrapolated_at < MIN_HEARTBEAT_SECONDS:
             return
-        self._noted_unheard_at = now
+        self._extrapolated_at = now
         members = self._members
-        others, answering = members.peers, members.alive
+        others, with_heartbeat = members.peers, members.alive
         if not self._topology.is_full_mesh:
             zone = members.own.zone
             others = [m for m in others if m.zone == zone]
-            answering = [m for m in answering if m.zone == zone]
-        known, heard = len(others) + 1, len(answering) + 1
+            with_heartbeat = [m for m in with_heartbeat if m.zone == zone]
+        known, alive = len(others) + 1, len(with_heartbeat) + 1
         starting = now - self._started < STARTING_SECONDS
-        missing = starting or 2 * heard < known
-        self._work.extrapolation_factor = known / heard if missing else 1.0
+        missing = starting or 2 * alive < known
+        self._load.extrapolation_factor = known / alive if missing else 1.0
 
     def _next_changes(self) -> list[EndpointState]:
-        """Return the changes to be told now."""
-        self._told += [(entry, REPEATED) for entry in self._belief.pop_changes()]
-        now, later = self._told[:CHANGES_A_PULSE], self._told[CHANGES_A_PULSE:]
-        self._told = later + [(entry, left - 1) for entry, left in now if left > 1]
+        """Return the changed entries for this round's heartbeats."""
+        self._pending_changes += [
+            (entry, CHANGE_SEND_COUNT) for entry in self._store_cache.pop_changes()
+        ]
+        now, later = (
+            self._pending_changes[:MAX_CHANGES_PER_HEARTBEAT],
+            self._pending_changes[MAX_CHANGES_PER_HEARTBEAT:],
+        )
+        self._pending_changes = later + [
+            (entry, left - 1) for entry, left in now if left > 1
+        ]
         if later:
-            self._soon.set()
+            self._wake.set()
         return [_to_wire(entry) for entry, _ in now]
 
-    def _sums_due(self) -> bool:
-        """Whether it is time for an aggregator to tell its sums."""
+    def _totals_due(self) -> bool:
+        """Whether it is time for an aggregator to send its totals."""
         now = asyncio.get_running_loop().time()
-        if now - self._summed_at < SUMS_SECONDS:
+        if now - self._totals_sent_at < MIN_TOTALS_SECONDS:
             return False
-        self._summed_at = now
-        self._sums_told += 1
+        self._totals_sent_at = now
+        self._totals_sent += 1
         return True
 
-    def _make(self, scope: Scope, changes: list[EndpointState]) -> Pulse:
-        """Return the pulse of a scope."""
-        belief = self._belief
+    def _make_heartbeat(self, scope: Scope, changes: list[EndpointState]) -> Pulse:
+        """Return a heartbeat with the load of a scope."""
+        store_cache = self._store_cache
         members = self._members
         zone_peers = members.zone_peers
         alive = zone_peers if scope is Scope.FLEET else []
         reports = [members.report(peer) for peer in alive]
         self._sequence += 1
-        pulse = Pulse(
+        heartbeat = Pulse(
             PROTOCOL,
             members.own.to_wire(),
             self._sequence,
-            belief.version,
-            belief.view.digest,
-            _milliseconds(belief.age),
-            belief.poller,
+            store_cache.version,
+            store_cache.view.digest,
+            _to_milliseconds(store_cache.age),
+            store_cache.poller,
             changes,
             int(scope),
-            others=self._reports(self._to_report()),
+            others=self._make_reports(self._members_to_report()),
             alive=pack_member_statuses(reports),
             alive_ages=pack_member_ages(reports),
-            admitting=[member.to_wire() for member in self._admitting(scope)],
-            era=belief.era,
+            admitting=[
+                member.to_wire() for member in self._coordinators_to_send(scope)
+            ],
+            era=store_cache.era,
         )
         if alive:
-            marks = [self._sums.mark(peer.vm) for peer in alive]
-            pulse.alive_marks = pack_pulse_marks(marks)
-        figures = self._sums.for_scope(scope, zone_peers)
-        if figures is None:
-            return pulse
+            marks = [self._totals.mark(peer.vm) for peer in alive]
+            heartbeat.alive_marks = pack_pulse_marks(marks)
+        stats = self._totals.for_scope(scope, zone_peers)
+        if stats is None:
+            return heartbeat
         if scope is Scope.OWN:
-            self._sums.record_sent(self._sequence, figures)
-        pulse.work = pack_work(figures.work)
-        pulse.uses = pack_usage(figures.uses)
-        return pulse
+            self._totals.record_sent(self._sequence, stats)
+        heartbeat.work = pack_work(stats.work)
+        heartbeat.uses = pack_usage(stats.uses)
+        return heartbeat
 
-    def _deliver(self, pulse: Pulse, copies: Iterable[Delivery]) -> None:
-        """Send a pulse to the first routers that get it."""
+    def _deliver(self, heartbeat: Pulse, deliveries: Iterable[Delivery]) -> None:
+        """Send a heartbeat to the recipients of some deliveries."""
         direct = [
             delivery.recipient.peer_address
-            for delivery in copies
+            for delivery in deliveries
             if not delivery.forward_to
         ]
-        self._socket.send_all(direct, pulse)
-        for delivery in copies:
+        self._socket.send_all(direct, heartbeat)
+        for delivery in deliveries:
             if delivery.forward_to:
-                passed = copy.copy(pulse)
-                passed.pass_to = delivery.forward_to
-                if delivery.unknown_members and pulse.scope == Scope.ZONE:
-                    passed.others = self._reports(delivery.unknown_members)
-                self._socket.send(delivery.recipient.peer_address, passed)
-
-    def _admitting(self, scope: Scope) -> list[Member]:
-        """Return the routers that admit in one zone, a different one each time."""
+                forwarded = copy.copy(heartbeat)
+                forwarded.pass_to = delivery.forward_to
+                if delivery.unknown_members and heartbeat.scope == Scope.ZONE:
+                    forwarded.others = self._make_reports(delivery.unknown_members)
+                self._socket.send(delivery.recipient.peer_address, forwarded)
+
+    def _coordinators_to_send(self, scope: Scope) -> list[Member]:
+        """Return the coordinators of one zone; the other zones take turns."""
         own = self._members.own.zone
         if scope is Scope.ZONE:
             return self._coordinators.for_zone(own)
         zones = sorted(self._topology.other_zones)
         if scope is not Scope.FLEET or not zones:
             return []
-        return self._coordinators.for_zone(zones[self._sums_told % len(zones)])
+        return self._coordinators.for_zone(zones[self._totals_sent % len(zones)])
 
-    def _reports(self, members: Iterable[Member]) -> list[RouterInfo]:
+    def _make_reports(self, members: Iterable[Member]) -> list[RouterInfo]:
         return [self._members.report(member).to_wire() for member in members]
 
-    def _to_report(self) -> list[Member]:
-        """Return some routers that the receivers may not hear themselves."""
-        if self._turn % REPORT_EVERY:
+    def _members_to_report(self) -> list[Member]:
+        """Return a sample of routers whose heartbeats the receivers may not get."""
+        if self._rounds % HEARTBEATS_PER_REPORT:
             return []
         members = self._members
-        known = members.alive
+        candidates = members.alive
         if not self._topology.is_full_mesh and self._topology.is_aggregator:
-            # the zone's own routers are told with their ages already
-            known = [m for m in members.ready if m.zone != members.own.zone]
-        return random.sample(known, min(REPORTS, len(known)))
+            # the status of the zone's own routers is in the heartbeat already
+            candidates = [m for m in members.ready if m.zone != members.own.zone]
+        return random.sample(candidates, min(REPORT_COUNT, len(candidates)))
 
-    def _hear(self, pulse: Pulse, address: str) -> None:
-        sender = Member.from_wire(pulse.sender)
+    def _receive(self, heartbeat: Pulse, address: str) -> None:
+        sender = Member.from_wire(heartbeat.sender)
         if sender.vm == self._members.own.vm:
             return
-        relayed = bool(pulse.hops)
-        passes_on = relayed or bool(pulse.pass_to) or pulse.scope == Scope.ZONE
-        if passes_on and self._stalls.recently_stalled:
-            # what waited while this VM was frozen is no news
+        forwarded = bool(heartbeat.hops)
+        forwards = forwarded or bool(heartbeat.pass_to) or heartbeat.scope == Scope.ZONE
+        if forwards and self._stalls.recently_stalled:
+            # it may have queued while this VM was stalled: its sender may be dead now
             return
-        for info in pulse.others or ():
+        for info in heartbeat.others or ():
             if self._members.merge_report(MemberReport.from_wire(info)):
                 self.on_membership_change()
-        if passes_on and not self._pass_on(sender, pulse):
+        if forwards and not self._forward(sender, heartbeat):
             return
-        self._note_unheard()
+        self._extrapolate_load()
         if not self._members.is_known(sender.vm):
-            self._introduce(sender)
-        if self._members.update_from_heartbeat(sender, relayed):
+            self._introduce_peers(sender)
+        if self._members.update_from_heartbeat(sender, forwarded):
             _log.info(
-                "router heard",
+                "router joined or changed",
                 vm=sender.vm,
                 incarnation=sender.incarnation,
                 state=sender.state.name.lower(),
-                relayed=relayed,
+                relayed=forwarded,
             )
             self.on_membership_change()
         self._coordinators.set_zone_coordinators(
-            [Member.from_wire(m) for m in pulse.admitting or ()]
+            [Member.from_wire(m) for m in heartbeat.admitting or ()]
         )
-        belief = self._belief
-        known_at = belief.as_of
-        current = self._note_era(pulse.era, sender.vm)
-        if pulse.changes:
-            belief.merge_entries(map(_from_wire, pulse.changes), sender.vm)
-        if current and pulse.store_age is not None and pulse.store_age >= 0:
-            belief.update_age(
-                pulse.digest, pulse.store_age / 1000, pulse.follower or ""
+        store_cache = self._store_cache
+        before = store_cache.as_of
+        current = self._update_era(heartbeat.era, sender.vm)
+        if heartbeat.changes:
+            store_cache.merge_entries(map(_from_wire, heartbeat.changes), sender.vm)
+        if current and heartbeat.store_age is not None and heartbeat.store_age >= 0:
+            store_cache.update_age(
+                heartbeat.digest, heartbeat.store_age / 1000, heartbeat.follower or ""
             )
-        self._take_alive(sender, pulse)
-        if pulse.work is not None or pulse.uses is not None:
-            self._hear_figures(sender, pulse)
-        news = (
-            belief.as_of is not None and belief.as_of > (known_at or 0) + NEWS_SECONDS
+        self._apply_statuses(sender, heartbeat)
+        if heartbeat.work is not None or heartbeat.uses is not None:
+            self._apply_load(sender, heartbeat)
+        newer = (
+            store_cache.as_of is not None
+            and store_cache.as_of > (before or 0) + MIN_AGE_DECREASE_SECONDS
         )
-        if news and not relayed:
-            # pass on at once that the store was read, so that nobody else reads it
-            self._soon.set()
-        if self._behind(pulse):
+        if newer and not forwarded:
+            # report at once that the store was read, so that no other router reads it
+            self._wake.set()
+        if self._is_behind(heartbeat):
             self._fetch(sender)
 
-    def _note_era(self, era: int | None, source: str) -> bool:
-        """Whether a router tells of the store as it is, not before it went back."""
-        return era is None or self._belief.update_era(era, source)
+    def _update_era(self, era: int | None, source: str) -> bool:
+        """Apply a router's store era; False if the store was restored since then."""
+        return era is None or self._store_cache.update_era(era, source)
 
-    def _pass_on(self, sender: Member, pulse: Pulse) -> bool:
-        """Pass a pulse on to those for whom it is; False where it came before."""
-        if not self._passed.add(sender.incarnation, pulse.sequence or 0):
+    def _forward(self, sender: Member, heartbeat: Pulse) -> bool:
+        """Forward a heartbeat to its further recipients; False for a duplicate."""
+        if not self._seen_messages.add(sender.incarnation, heartbeat.sequence or 0):
             return False
         members = self._members
-        passed = copy.copy(pulse)
-        passed.pass_to = None
-        passed.hops = (pulse.hops or 0) + 1
-        if passed.hops < MOST_HOPS:
-            keys = [*(pulse.pass_to or ()), *self._meant_for(sender, pulse)]
+        forwarded = copy.copy(heartbeat)
+        forwarded.pass_to = None
+        forwarded.hops = (heartbeat.hops or 0) + 1
+        if forwarded.hops < MAX_HOPS:
+            hashes = [*(heartbeat.pass_to or ()), *self._missed_by(sender, heartbeat)]
             region = members.own.region
-            self._deliver(passed, plan_deliveries(keys, region, members.find_by_hash))
+            self._deliver(
+                forwarded, plan_deliveries(hashes, region, members.find_by_hash)
+            )
         return True
 
-    def _meant_for(self, sender: Member, pulse: Pulse) -> list[int]:
-        """Return who should have got a pulse that came here by mistake.
+    def _missed_by(self, sender: Member, heartbeat: Pulse) -> list[int]:
+        """Return the hash of this zone's aggregator if it was not sent a heartbeat.
 
-        Aggregators know few routers of other zones, and take one of them for its
-        aggregator. That one would not hear of them, nor tell them of itself.
+        Aggregators know few routers of other zones, and may take one of these for the
+        zone's aggregator. Unless that router forwards their heartbeats, its zone's
+        aggregator doesn't get to know them and doesn't send them its own.
         """
         aggregator = self._topology.aggregator
         near = sender.zone == aggregator.zone
-        if pulse.scope != Scope.ZONE or near or self._topology.is_aggregator:
+        if heartbeat.scope != Scope.ZONE or near or self._topology.is_aggregator:
             return []
         return [name_hash(aggregator.vm)]
 
-    def _take_alive(self, sender: Member, pulse: Pulse) -> None:
-        """Take which routers of this zone its aggregator hears."""
+    def _apply_statuses(self, sender: Member, heartbeat: Pulse) -> None:
+        """Apply the aggregator's statuses of this zone's routers."""
         near = sender.zone == self._members.own.zone
-        if not pulse.alive or not near or self._topology.is_aggregator:
+        if not heartbeat.alive or not near or self._topology.is_aggregator:
             return
-        alive = unpack_member_statuses(pulse.alive, pulse.alive_ages or b"")
-        self._members.update_from_aggregator(alive)
+        statuses = unpack_member_statuses(heartbeat.alive, heartbeat.alive_ages or b"")
+        self._members.update_from_aggregator(statuses)
 
-    def _introduce(self, newcomer: Member) -> None:
-        """Answer a router that is not known, and name routers of its zone.
+    def _introduce_peers(self, new_member: Member) -> None:
+        """Send a heartbeat with reports on routers of its zone to a new router.
 
-        It may know nobody but seeds, which tell their own zones only. Unheard in its
-        zone it would take no callers, and names none but itself to those who ask.
+        It may know only seeds, which send heartbeats to their own zones only. Unless
+        it is known in its zone, no callers are sent to it, and it returns only its own
+        address to callers that ask for routers.
         """
-        zone_peers = [m for m in self._members.peers if m.zone == newcomer.zone]
-        pulse = self._make(Scope.OWN, [])
-        named = random.sample(zone_peers, min(INTRODUCED, len(zone_peers)))
-        pulse.others = self._reports(named)
-        self._socket.send(newcomer.peer_address, pulse)
-
-    def _hear_figures(self, sender: Member, pulse: Pulse) -> None:
-        scope = pulse.scope or Scope.OWN
+        zone_peers = [m for m in self._members.peers if m.zone == new_member.zone]
+        heartbeat = self._make_heartbeat(Scope.OWN, [])
+        reported = random.sample(zone_peers, min(INTRODUCTION_COUNT, len(zone_peers)))
+        heartbeat.others = self._make_reports(reported)
+        self._socket.send(new_member.peer_address, heartbeat)
+
+    def _apply_load(self, sender: Member, heartbeat: Pulse) -> None:
+        """Apply the load and usage in a heartbeat, by its scope."""
+        scope = heartbeat.scope or Scope.OWN
         near = sender.zone == self._members.own.zone
         aggregates = self._topology.is_aggregator
-        work = unpack_work(pulse.work or b"")
-        figures = LoadStats(work, unpack_usage(pulse.uses or b""))
+        load = unpack_work(heartbeat.work or b"")
+        stats = LoadStats(load, unpack_usage(heartbeat.uses or b""))
         if scope == Scope.ZONE:
             if not near and aggregates:
                 self._topology.record_aggregator(sender)
-                self._sums.update_zone(sender.zone, figures)
-                self._sums.discard_previous_total(self._topology.other_zones)
+                self._totals.update_zone(sender.zone, stats)
+                self._totals.discard_previous_total(self._topology.other_zones)
         elif scope == Scope.FLEET:
             if near and not aggregates:
-                marks = unpack_pulse_marks(pulse.alive or b"", pulse.alive_marks or b"")
+                marks = unpack_pulse_marks(
+                    heartbeat.alive or b"", heartbeat.alive_marks or b""
+                )
                 mark = marks.get(name_hash(self._members.own.vm), NO_MARK)
-                self._sums.update_fleet(figures, mark)
+                self._totals.update_fleet(stats, mark)
         elif scope == Scope.OTHERS:
             if near and not aggregates:
-                self._sums.update_others(figures)
+                self._totals.update_others(stats)
         elif self._topology.is_full_mesh or (near and aggregates):
-            # else the aggregator tells of its work, and it must not count twice
-            self._sums.update_router(sender.vm, pulse.sequence or 0, figures)
+            # otherwise the aggregator's totals contain it, and it would count twice
+            self._totals.update_router(sender.vm, heartbeat.sequence or 0, stats)
 
-    def _behind(self, pulse: Pulse) -> bool:
-        """Whether the sender of a pulse knows what this router doesn't."""
-        belief = self._belief
-        if (pulse.version or 0) > belief.version:
+    def _is_behind(self, heartbeat: Pulse) -> bool:
+        """Whether the sender of a heartbeat has newer state than this router."""
+        store_cache = self._store_cache
+        if (heartbeat.version or 0) > store_cache.version:
             return True
-        if pulse.digest == belief.view.digest or (pulse.store_age or -1) < 0:
+        if (
+            heartbeat.digest == store_cache.view.digest
+            or (heartbeat.store_age or -1) < 0
+        ):
             return False
-        age = belief.age
-        return age is None or pulse.store_age / 1000 < age
+        age = store_cache.age
+        return age is None or heartbeat.store_age / 1000 < age
 
     def _fetch(self, sender: Member) -> None:
         now = asyncio.get_running_loop().time()
@@ -477,35 +501,35 @@
             return
         if now < self._next_fetch:
             return
-        self._next_fetch = now + FETCH_PAUSE
+        self._next_fetch = now + MIN_FETCH_SECONDS
         self._fetching = asyncio.create_task(self._fetch_from(sender.peer_address))
 
     async def _fetch_from(self, address: str) -> None:
         if not await self.fetch_snapshot(address):
-            # another sender's next pulse starts the next fetch
+            # the next heartbeat of any router may start another fetch
             self._next_fetch = 0.0
 
-    def _take_state(self, state: WholeState) -> None:
-        belief = self._belief
+    def _apply_snapshot(self, state: WholeState) -> None:
+        store_cache = self._store_cache
         vm = state.sender.vm
-        current = self._note_era(state.era, vm)
-        if state.configuration and (state.version or 0) > belief.version:
-            belief.update_configuration(state.configuration, vm)
-        belief.merge_entries(map(_from_wire, state.endpoints or ()), vm)
+        current = self._update_era(state.era, vm)
+        if state.configuration and (state.version or 0) > store_cache.version:
+            store_cache.update_configuration(state.configuration, vm)
+        store_cache.merge_entries(map(_from_wire, state.endpoints or ()), vm)
         if current and state.store_age is not None and state.store_age >= 0:
-            belief.update_age(state.digest, state.store_age / 1000, vm)
+            store_cache.update_age(state.digest, state.store_age / 1000, vm)
         self._members.merge_report(MemberReport(Member.from_wire(state.sender), 0.0))
         for info in state.routers or ():
             self._members.merge_report(MemberReport.from_wire(info))
         self.on_membership_change()
 
 
-def _milliseconds(seconds: float | None) -> int:
+def _to_milliseconds(seconds: float | None) -> int:
     return -1 if seconds is None else min(int(seconds * 1000), 1 << 30)
 
 
 def _to_wire(entry: EndpointEntry) -> EndpointState:
-    endpoint, revision, statement = (
+    endpoint, revision, announcement_id = (
         entry.endpoint,
         entry.revision,
         entry.announcement_id,
@@ -514,9 +538,9 @@
         entry.id,
         revision.number,
         endpoint is None,
-        born=statement.started_ms,
+        born=announcement_id.started_ms,
         era=revision.era,
-        sequence=statement.sequence,
+        sequence=announcement_id.sequence,
     )
     if endpoint is not None:
         state.service_name = endpoint.service
@@ -529,9 +553,9 @@
 
 def _from_wire(state: EndpointState) -> EndpointEntry:
     revision = Revision(state.era or 0, state.revision)
-    statement = AnnouncementId(state.born or 0, state.sequence or 0)
+    announcement_id = AnnouncementId(state.born or 0, state.sequence or 0)
     if state.gone:
-        return EndpointEntry(state.id, revision, None, statement)
+        return EndpointEntry(state.id, revision, None, announcement_id)
     endpoint = Endpoint(
         state.id,
         state.service_name or "",
@@ -539,7 +563,7 @@
         state.zone or "",
         state.slots or 1,
         bool(state.leaving),
-        started_ms=statement.started_ms,
-        sequence=statement.sequence,
+        started_ms=announcement_id.started_ms,
+        sequence=announcement_id.sequence,
     )
-    return EndpointEntry(state.id, revision, endpoint, statement)
+    return EndpointEntry(state.id, revision, endpoint, announcement_id)
--- a/packages/fleet/tests/test_gossip.py
+++ b/packages/fleet/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Tests of how routers share what one of them read from the store."""
+"""Tests of how the content of the store and the load spread among routers."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 VIRTUAL_CLOCK = True
 ROUTERS = 9
 DRAIN_SECONDS = 2.5
-"""Time in which every router must know that an endpoint leaves."""
+"""Time within which every router must know that an endpoint is leaving."""
 
 
 def endpoint(name: str, leaving: bool = False) -> Endpoint:
@@ -25,7 +25,7 @@
 
 
 async def wait_for(fleet: SpreadFleet, holds) -> float:
-    """Return the seconds until something holds at all living routers."""
+    """Return the seconds until a condition holds at all alive routers."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     while not all(holds(router) for router in alive(fleet)):
@@ -35,7 +35,7 @@
 
 
 async def test_calls_to_the_store_do_not_grow_with_routers():
-    """Each router that follows the store by itself costs calls for ever."""
+    """If each router polled the store, its load would grow with the fleet."""
     calls = {}
     for count in (3, 9, 20):
         store = new_store()
@@ -59,10 +59,10 @@
         await wait_for(fleet, lambda r: r.belief.view.get("e1").leaving)
 
 
-async def test_another_router_follows_when_the_follower_dies():
+async def test_another_router_polls_when_the_poller_dies():
     """The only router that reads the store is killed just as an engine leaves.
 
-    The others must not go on sending it work for longer than the bound.
+    The others must not send requests to that engine for longer than the limit.
     """
     for moment in range(5):
         store = new_store()
@@ -77,7 +77,7 @@
             assert await wait_for(fleet, lambda r: r.belief.version == 2) < 0.5
 
 
-async def test_a_router_that_the_store_turns_away_learns_from_the_others():
+async def test_routers_refused_by_the_store_get_changes_from_the_others():
     store = new_store()
     async with spread_fleet(store, ROUTERS, decode_number) as fleet:
         await asyncio.sleep(5)
@@ -90,10 +90,10 @@
         assert await wait_for(fleet, lambda r: r.belief.version == 2) < 0.5
 
 
-async def test_a_restarted_router_learns_from_a_neighbour_while_the_store_is_away():
-    """A process is killed during an outage of the store and starts empty.
+async def test_restarted_router_gets_the_state_from_a_seed_without_the_store():
+    """A process is killed during an outage of the store and restarts without state.
 
-    It must not refuse everything until the store is back.
+    It must not refuse all requests until the store is available again.
     """
     store = new_store()
     async with spread_fleet(store, ROUTERS, decode_number) as fleet:
@@ -119,7 +119,7 @@
         assert len(digests) == 1
 
 
-async def test_a_fleet_in_two_parts_goes_on_in_both():
+async def test_changes_reach_both_sides_of_a_network_partition():
     store = new_store()
     async with spread_fleet(store, ROUTERS, decode_number) as fleet:
         await asyncio.sleep(5)
@@ -129,39 +129,40 @@
         assert seconds < DRAIN_SECONDS
 
 
-MANY = 40
-"""More routers than tell each other directly."""
+LARGE_FLEET = 40
+"""Routers of a fleet that is too large for a full mesh."""
 
 
-async def test_every_router_knows_the_work_of_the_whole_fleet():
-    """Routers of other zones are heard through one router a zone only.
+async def test_every_router_knows_the_load_of_the_whole_fleet():
+    """The load of other zones arrives only in the totals of their aggregators.
 
-    What they have under way must count once everywhere, or engines look idle.
+    Every router must count it exactly once. If it were missing, engines would look
+    idle.
     """
     store = new_store()
-    async with spread_fleet(store, MANY, decode_number) as fleet:
+    async with spread_fleet(store, LARGE_FLEET, decode_number) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
             router.work.add_local("e1", 2, 0.0)
         await asyncio.sleep(2)
         totals = {router.work.total("e1").in_flight for router in fleet.routers}
-        assert totals == {2 * MANY}
+        assert totals == {2 * LARGE_FLEET}
 
 
-async def test_the_bytes_of_a_router_stay_small_in_a_large_fleet():
+async def test_sent_bytes_stay_small_in_a_large_fleet():
     store = new_store()
-    async with spread_fleet(store, MANY, decode_number) as fleet:
+    async with spread_fleet(store, LARGE_FLEET, decode_number) as fleet:
         await asyncio.sleep(5)
         before = sum(router.link.sent_bytes for router in fleet.routers)
         await asyncio.sleep(10)
         sent = sum(router.link.sent_bytes for router in fleet.routers) - before
-    assert sent / MANY / 10 < 7_000
+    assert sent / LARGE_FLEET / 10 < 7_000
 
 
 async def test_changes_reach_a_large_fleet_when_an_aggregator_dies():
     """The aggregator of a zone is killed just as an engine leaves."""
     store = new_store()
-    async with spread_fleet(store, MANY, decode_number) as fleet:
+    async with spread_fleet(store, LARGE_FLEET, decode_number) as fleet:
         await asyncio.sleep(5)
         aggregators = [r for r in fleet.routers if r.spreading._topology.is_aggregator]
         assert len(aggregators) == 3
@@ -176,12 +177,12 @@
             router.work.add_local("e2", 1, 0.0)
         await asyncio.sleep(2.5)
         totals = {router.work.total("e2").in_flight for router in alive(fleet)}
-        assert totals == {MANY - 1}
+        assert totals == {LARGE_FLEET - 1}
 
 
 async def test_calls_to_the_store_stay_few_in_a_large_fleet():
     store = new_store()
-    async with spread_fleet(store, MANY, decode_number) as fleet:
+    async with spread_fleet(store, LARGE_FLEET, decode_number) as fleet:
         await asyncio.sleep(5)
         store.calls = 0
         await asyncio.sleep(10)
@@ -189,11 +190,12 @@
     assert store.calls <= 40
 
 
-async def test_routers_that_are_not_heard_yet_count_like_the_others():
+async def test_load_is_extrapolated_to_routers_without_heartbeats():
     """All routers are killed and start at the same time.
 
-    Each sees idle engines until it hears the others. Together they would send the
-    engines many times what they can read, and every caller would be late.
+    Each sees idle engines until it receives the others' heartbeats. Together they
+    would send the engines many times the prompts that these can prefill, and every
+    request would be late.
     """
     store = new_store()
     async with spread_fleet(store, ROUTERS, decode_number) as fleet:
@@ -208,12 +210,12 @@
 
 
 async def test_routers_of_a_zone_find_one_another_through_seeds_of_other_zones():
-    """Many routers start at once, and know three seeds in other zones only.
+    """Many routers start at once and know only three seeds, all in other zones.
 
-    Seeds send to their own zones. A router that nobody hears gets no callers, and
-    sends those that ask it to itself alone.
+    Seeds send heartbeats to their own zones only. A router that no other knows gets
+    no callers, and returns only its own address to those that ask for routers.
     """
-    async with spread_fleet(new_store(), MANY, decode_number, zones=6) as fleet:
+    async with spread_fleet(new_store(), LARGE_FLEET, decode_number, zones=6) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
             own = router.members.own.zone
