--- a/packages/fleet/src/teaselledge_fleet/process/endpoints.py
+++ b/packages/fleet/src/teaselledge_fleet/process/endpoints.py
@@ -1,4 +1,4 @@
-"""What this router believes of the endpoints: their entries, newest first."""
+"""Endpoints, their entries in the store, and the view of all entries."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field, replace
@@ -12,21 +12,21 @@
 
 @dataclass(frozen=True, order=True)
 class AnnouncementId:
-    """Place of a statement among all that an endpoint says of itself.
+    """Position of an announcement among all announcements of an endpoint.
 
     Attributes
     ----------
     started_ms : int
-        Unix time of its start in milliseconds; 0 where it is not told.
+        Unix time of the endpoint's start in milliseconds; 0 if unknown.
     sequence : int
-        Its count of statements since then; 0 where it is not told.
+        Number of the announcement since that start; 0 if unknown.
     """
 
     started_ms: int = 0
     sequence: int = 0
 
     def next(self) -> "AnnouncementId":
-        """Return the place of the statement that follows."""
+        """Return the position of the next announcement."""
         return AnnouncementId(self.started_ms, self.sequence + 1)
 
 
@@ -37,23 +37,23 @@
     Attributes
     ----------
     id : str
-        Names this endpoint and no other.
+        Unique name.
     service : str
-        Service that it runs.
+        Name of its service.
     address : str
         ``host:port``.
     zone : str
         Availability zone.
     slots : int
-        Requests that it runs at once.
+        Number of requests that it runs at once.
     leaving : bool
-        Whether it takes no new work.
+        Whether it accepts no new requests.
     warmup_seconds : float
-        How much longer it is slow after its start.
+        Remaining time in which it is slow after its start.
     started_ms : int
-        Unix time of its start in milliseconds; 0 where it is not told.
+        Unix time of its start in milliseconds; 0 if unknown.
     sequence : int
-        Its count of statements since then; 0 where it is not told.
+        Number of this announcement since its start; 0 if unknown.
     """
 
     id: str
@@ -68,24 +68,24 @@
 
     @property
     def announcement_id(self) -> AnnouncementId:
-        """Which of its statements this is."""
+        """Position of this announcement among all of the endpoint."""
         return AnnouncementId(self.started_ms, self.sequence)
 
 
 @dataclass(frozen=True)
 class EndpointEntry:
-    """What the store holds of an endpoint at some revision.
+    """State of an endpoint in the store at some revision.
 
     Attributes
     ----------
     id : str
-        Of the endpoint.
+        Name of the endpoint.
     revision : Revision
-        The store's revision of this state.
+        Revision of the store at which this state was written.
     endpoint : Endpoint or None
-        None where the entry is gone.
+        The announced endpoint; None if its row was deleted.
     announcement_id : AnnouncementId
-        The endpoint's own count up to which this state is known to hold.
+        Last announcement of the endpoint that this state accounts for.
     """
 
     id: str
@@ -97,36 +97,37 @@
     def from_row(
         cls, name: str, revision: Revision, endpoint: Endpoint | None
     ) -> "EndpointEntry":
-        """Return the entry that a row stands for."""
-        statement = (
+        """Return the entry of a row."""
+        announcement_id = (
             endpoint.announcement_id if endpoint is not None else AnnouncementId()
         )
-        return cls(name, revision, endpoint, statement)
+        return cls(name, revision, endpoint, announcement_id)
 
     @property
     def accepts_requests(self) -> bool:
-        """Whether the endpoint is there and not leaving."""
+        """Whether the endpoint exists and is not leaving."""
         return self.endpoint is not None and not self.endpoint.leaving
 
     def as_deleted(self, revision: Revision) -> "EndpointEntry":
-        """Return the entry once its row is gone.
+        """Return the entry after the deletion of its row.
 
-        An older copy of the store may hold the row again: it was written by an
-        earlier statement than the one that would follow.
+        A restored copy of the store may contain the row again. Its announcement is
+        older than the next one, which this entry accounts for.
         """
         return EndpointEntry(self.id, revision, None, self.announcement_id.next())
 
     def merged_with(self, other: "EndpointEntry") -> "EndpointEntry":
-        """Return which of two entries of an endpoint holds.
+        """Return which of two entries of an endpoint is in force.
 
-        Within an era the store's order decides. Across eras it means nothing; what the
-        endpoint said last decides, and that it leaves where both are the same word.
+        Within an era the later revision wins. Revisions of different eras can't be
+        compared, so the endpoint's later announcement wins; of two entries with the
+        same announcement, the one that is leaving or deleted wins.
         """
         if self.revision.era == other.revision.era:
             return max(self, other, key=lambda e: (e.revision, e.announcement_id))
         older, newer = sorted((self, other), key=lambda e: e.revision)
-        held = older.announcement_id, not older.accepts_requests
-        if held > (newer.announcement_id, not newer.accepts_requests):
+        older_key = older.announcement_id, not older.accepts_requests
+        if older_key > (newer.announcement_id, not newer.accepts_requests):
             return replace(older, revision=newer.revision)
         return newer
 
@@ -134,8 +135,8 @@
 class EndpointView:
     """Entries of all endpoints, merged by revision.
 
-    Two views that have seen the same entries are equal, in whatever order the news
-    came, because the store's revisions order all changes of an era.
+    Two views that merged the same entries are equal, whatever the order in which
+    these arrived, because the store's revisions order all changes of an era.
     """
 
     def __init__(self) -> None:
@@ -148,7 +149,7 @@
 
     @property
     def digest(self) -> int:
-        """Hash of the entries; equal views have equal digests."""
+        """Hash of the endpoints; equal views have equal digests."""
         return self._digest
 
     @property
@@ -162,35 +163,35 @@
         return entry.endpoint if entry is not None else None
 
     def entry(self, name: str) -> EndpointEntry | None:
-        """Return the entry of an endpoint, also of one that is gone."""
+        """Return the entry of an endpoint, also of a deleted one."""
         return self._entries.get(name)
 
     def contains(self, entry: EndpointEntry) -> bool:
-        """Whether an entry is known just as it is."""
+        """Whether the view contains an equal entry."""
         return self._entries.get(entry.id) == entry
 
     def of_service(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of a service that take new work."""
+        """Return the endpoints of a service that accept new requests."""
         return self._by_service.get(service, [])
 
     def merge(self, entries: Iterable[EndpointEntry]) -> list[EndpointEntry]:
-        """Take entries that are newer, and return those that change something."""
+        """Merge entries and return those that changed an endpoint."""
         changed = []
         for entry in entries:
             known = self._entries.get(entry.id)
-            held = entry if known is None else known.merged_with(entry)
-            self._entries[entry.id] = held
-            if known is None or known.endpoint != held.endpoint:
-                changed.append(held)
+            merged = entry if known is None else known.merged_with(entry)
+            self._entries[entry.id] = merged
+            if known is None or known.endpoint != merged.endpoint:
+                changed.append(merged)
         if changed:
             self._index()
         return changed
 
     def prune(self, keep: int) -> None:
-        """Forget the oldest of the entries that are gone, but for so many."""
-        gone = [e for e in self._entries.values() if e.endpoint is None]
-        gone.sort(key=lambda entry: entry.revision)
-        for entry in gone[: max(0, len(gone) - keep)]:
+        """Remove the entries of deleted endpoints, except for the newest `keep`."""
+        deleted = [e for e in self._entries.values() if e.endpoint is None]
+        deleted.sort(key=lambda entry: entry.revision)
+        for entry in deleted[: max(0, len(deleted) - keep)]:
             del self._entries[entry.id]
 
     def _index(self) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/revision.py
+++ b/packages/fleet/src/teaselledge_fleet/process/revision.py
@@ -1,4 +1,4 @@
-"""Order of what the store has held, also where it goes back to an older copy."""
+"""Order of the store's states, including across restores from a backup."""
 
 from dataclasses import dataclass
 
@@ -7,22 +7,22 @@
 
 @dataclass(frozen=True, order=True)
 class Revision:
-    """Place of a state in the history of the store.
+    """Position of a state in the history of the store.
 
-    A store that is restored from a copy gives its numbers out again, so two numbers
-    can be compared within an era only.
+    A store that is restored from a backup assigns the same numbers again, so numbers
+    can be compared only within an era.
 
     Attributes
     ----------
     era : int
-        Rises with each restore.
+        Counter that rises with each restore of the store.
     number : int
-        The store's own count of changes.
+        Number that the store assigned to the change.
     """
 
     era: int = 0
     number: int = 0
 
     def next(self) -> "Revision":
-        """Return the next place of the same era."""
+        """Return the next position in the same era."""
         return Revision(self.era, self.number + 1)
--- a/packages/fleet/src/teaselledge_fleet/process/store.py
+++ b/packages/fleet/src/teaselledge_fleet/process/store.py
@@ -1,4 +1,4 @@
-"""What the router needs of the platform's store."""
+"""Interface of the platform's store, as the router uses it."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -18,19 +18,19 @@
 
 
 class StoreFault(Enum):
-    """How a call to the store can fail."""
+    """Reasons for which a call to the store fails."""
 
     REFUSED = "refused"
-    """The store turned the call away; nothing was done."""
+    """The store refused the call and changed nothing."""
 
     UNREACHABLE = "unreachable"
-    """No answer came."""
+    """The store did not respond."""
 
     MALFORMED = "malformed"
-    """The answer can't be read."""
+    """The response can't be decoded."""
 
     RESTORED = "restored"
-    """The store went back to an older copy while it was read."""
+    """The store was restored from a backup during the read."""
 
 
 @dataclass(frozen=True)
@@ -42,7 +42,7 @@
     revision : Revision
         The store's newest revision at that moment.
     entries : tuple of EndpointEntry
-        One for each row; None as endpoint where the row can't be used.
+        One entry per row; its endpoint is None if the row is invalid.
     """
 
     revision: Revision
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True)
 class StoredConfiguration:
-    """The operator's configuration as it was written.
+    """The configuration as the operator wrote it.
 
     Attributes
     ----------
     revision : Revision
-        The store's revision up to which nothing newer exists.
+        Revision of the store up to which there is no newer configuration.
     data : bytes or None
-        The content; None where it did not change since the revision asked for.
+        The content; None if it did not change since the requested revision.
     """
 
     revision: Revision
@@ -66,7 +66,7 @@
 
 
 class StateStore(Protocol):
-    """Reads and writes what lasts beyond the routers."""
+    """Reads and writes the state that outlives the router processes."""
 
     async def endpoints(self) -> Result[EndpointRows, StoreFault]:
         """Read the entries of all endpoints."""
@@ -79,17 +79,17 @@
         Parameters
         ----------
         after : Revision or None
-            Of an earlier answer. It is read in any case without one, and where the
-            store has been restored since.
+            Revision of an earlier response. Without one, or if the store has been
+            restored since, the configuration is read in any case.
         wait : float
-            Seconds to wait for a change.
+            Maximum number of seconds to wait for a change.
         """
 
     async def routers(self) -> Result[dict[str, bytes], StoreFault]:
-        """Read what routers wrote of themselves, by VM."""
+        """Read the rows of all routers, by VM."""
 
     async def put_router(self, vm: str, data: bytes) -> Result[None, StoreFault]:
-        """Write what this router tells of itself."""
+        """Write the row of a router."""
 
     async def delete_router(self, vm: str) -> Result[None, StoreFault]:
-        """Remove a router's row."""
+        """Delete the row of a router."""
--- a/packages/fleet/src/teaselledge_fleet/process/storecache.py
+++ b/packages/fleet/src/teaselledge_fleet/process/storecache.py
@@ -1,4 +1,4 @@
-"""What this router believes of the store's content, and how old that is."""
+"""The store cache: this router's copy of the store's content, and its age."""
 
 import asyncio
 import math
@@ -16,54 +16,59 @@
 _log = get_log("belief")
 
 SETTLE_SECONDS = 2.3
-"""Time after the store's return for which missing entries are waited for.
+"""Time after the end of a store outage in which missing rows don't count as deleted.
 
-Entries lapse while the store is away and are back about 2 s after its return.
-Without this wait every engine would look gone just then.
+Rows expire during an outage and are written again about 2 s after its end. Until then
+every engine would look deleted.
 """
 
-LAPSE_SECONDS = 2.4
-"""Gap in the fleet's knowledge after which the store counts as having been away.
+OUTAGE_SECONDS = 2.4
+"""Time between two successful reads after which a store outage is assumed.
 
-An entry lapses after three beats of 1.2 s; at most one beat of it is in the past
-when the store goes away.
+A row expires after three heartbeat periods of 1.2 s. At most one of them has passed
+when the outage begins, so rows can't expire earlier.
 """
 
 CONFIRM_SECONDS = 6.0
-"""Time after a restore from which on an endpoint's row holds against its later word.
-An endpoint writes again within 2 s, and the row of a silent one lapses after 3.6 s."""
+"""Time after a restore from which an endpoint's row overrides a later announcement. An
+endpoint writes its row again within 2 s, and the row of a silent one expires after
+3.6 s."""
 
-YIELD_SECONDS = 1.0
-"""Age up to which another follower's reading shows that it still reads: its period of
-0.7 s and the way of its news."""
+POLLER_TIMEOUT_SECONDS = 1.0
+"""Age of a poller's last read after which it no longer counts as the poller: its period
+of 0.7 s and the time until its heartbeat arrives."""
 
-ECHO_SECONDS = 0.02
-"""An age that is newer by less is this router's own, come back from another one."""
+MIN_AGE_DECREASE_SECONDS = 0.02
+"""Minimum by which a reported age must be lower to be applied. A smaller difference
+means that another router returned this router's own value."""
 
-GONE_KEPT = 200
-"""Entries of gone endpoints that are remembered, so that old news can't revive them."""
+MAX_DELETED_ENTRIES = 200
+"""Maximum of entries of deleted endpoints that are retained, so that outdated messages
+can't add these endpoints again."""
 
 Decode = Callable[[bytes], RoutingConfiguration | None]
 
 
 class StoreCache:
-    """The configuration and the endpoints, as far as this router knows.
+    """Cache of the configuration and the endpoints in the store.
+
+    It is filled by this router's own reads of the store and by messages of other
+    routers.
 
     Attributes
     ----------
     view : EndpointView
-        The endpoints.
-    routing : Routing or None
-        The configuration in force; its version never goes back.
+        Entries of the endpoints.
+    routing : RoutingConfiguration or None
+        Decoded configuration in force; its version never decreases.
     configuration : bytes
-        The same as the operator wrote it, for other routers.
+        The same configuration as the operator wrote it, to be sent to other routers.
     poller : str
-        VM that read the store for what is believed.
+        VM of the router whose reads of the store the others rely on; empty if none.
     era : int or None
-        How often the store has gone back to an older copy, by the newest that was
-        heard of; None where nothing was.
+        Highest era of the store known so far; None if no era is known.
     on_change : list of callable
-        Called after a change.
+        Called after each change.
     """
 
     def __init__(self, vm: str, decode: Decode) -> None:
@@ -76,10 +81,10 @@
         self.era: int | None = None
         self.on_change: list[Callable[[], None]] = []
         self._as_of: float | None = None
-        self._follower_as_of = 0.0
+        self._poller_as_of = 0.0
         self._returned_at: float | None = None
-        self._era_noted_at = -math.inf
-        self._fresh_changes: list[EndpointEntry] = []
+        self._era_changed_at = -math.inf
+        self._changes: list[EndpointEntry] = []
 
     @property
     def version(self) -> int:
@@ -88,16 +93,16 @@
 
     @property
     def as_of(self) -> float | None:
-        """Loop time at which the endpoints were known to be as they are believed."""
+        """Loop time at which the cached endpoints last matched the store."""
         return self._as_of
 
     @property
     def age(self) -> float | None:
-        """Seconds since the endpoints were known to be as they are believed."""
+        """Seconds since the cached endpoints last matched the store."""
         return None if self._as_of is None else self._now() - self._as_of
 
     def update_configuration(self, data: bytes, source: str) -> bool:
-        """Take a configuration if it is newer; False if it can't be read."""
+        """Apply a configuration if it is newer; False if it can't be decoded."""
         routing = self._decode(data)
         if routing is None:
             return False
@@ -113,97 +118,111 @@
         )
         self.routing = routing
         self.configuration = data
-        self._tell()
+        self._notify()
         return True
 
     def update_era(self, era: int, source: str) -> bool:
-        """Take the era of the store that somebody tells; False for an older one.
+        """Apply the era of a message or read; False if it is older than the known one.
 
-        What is told of an older era may have been undone.
+        Changes of an older era may have been undone by the restore.
         """
         if self.era is not None and era <= self.era:
             return era == self.era
         before, self.era = self.era, era
-        # the first era that a router hears of may have begun just now as well
-        self._era_noted_at = self._now()
+        # the first era that this router gets to know may have begun just now, too
+        self._era_changed_at = self._now()
         if before is not None:
             _log.warning("store restored", era=era, before=before, source=source)
             self._returned_at = self._now()
-            self._tell()
+            self._notify()
         return True
 
     def update_from_rows(self, rows: EndpointRows, as_of: float) -> None:
-        """Take a reading of all entries, made by this router."""
+        """Apply all rows as this router read them from the store."""
         if not self.update_era(rows.revision.era, "store"):
             return
         self._advance(as_of)
         present = {entry.id: entry for entry in rows.entries}
-        # nearly all rows of a reading are as they were in the one before
+        # nearly all rows are unchanged since the last read
         fresh = [entry for entry in present.values() if not self.view.contains(entry)]
-        news = [self._confirmed(entry, rows.revision) for entry in fresh]
+        updates = [self._confirmed(entry, rows.revision) for entry in fresh]
         for entry in self.view:
             if entry.endpoint is not None and entry.id not in present:
-                if self._settling():
+                if self._is_settling():
                     continue
-                news.append(entry.as_deleted(max(rows.revision, entry.revision.next())))
-        self._merge(news, "store")
-        self._note_follower(self._vm, as_of)
-        self._tell()
+                updates.append(
+                    entry.as_deleted(max(rows.revision, entry.revision.next()))
+                )
+        self._merge(updates, "store")
+        self._record_poller(self._vm, as_of)
+        self._notify()
 
     def merge_entries(self, entries: Iterable[EndpointEntry], source: str) -> None:
-        """Take entries that another router tells of."""
+        """Merge entries that another router sent."""
         self._merge(entries, source)
 
     def _confirmed(self, row: EndpointEntry, newest: Revision) -> EndpointEntry:
-        """Return a row's entry, as a new one if it has stood for long after a restore.
+        """Return a row's entry, with a new revision if it overrides the known entry.
 
-        The row of a restored copy gives way to what its endpoint is known to have said
-        later, but not for ever: that may have been lost with the endpoint.
+        After a restore a row doesn't replace an announcement that its endpoint is
+        known to have made later, but only for `CONFIRM_SECONDS`: that announcement may
+        have been lost with the endpoint.
         """
         known = self.view.entry(row.id)
         if known is None or row.revision < known.revision:
             return row
-        held_back = known.merged_with(row).endpoint != row.endpoint
-        if not held_back or self._now() - self._era_noted_at < CONFIRM_SECONDS:
+        overridden = known.merged_with(row).endpoint != row.endpoint
+        if not overridden or self._now() - self._era_changed_at < CONFIRM_SECONDS:
             return row
         revision = max(newest, known.revision.next())
         return replace(
             row, revision=revision, announcement_id=known.announcement_id.next()
         )
 
-    def update_age(self, digest: int, age: float, follower: str) -> None:
-        """Take another router's word on how old an equal view is."""
+    def update_age(self, digest: int, age: float, poller: str) -> None:
+        """Apply the age that another router reports if its view equals this one.
+
+        Parameters
+        ----------
+        digest : int
+            Digest of the other router's view.
+        age : float
+            Age of that view in seconds.
+        poller : str
+            VM of the router that read the store.
+        """
         if digest != self.view.digest:
             return
         as_of = self._now() - age
-        if follower != self._vm:
-            # its own name only comes back from others
-            self._note_follower(follower, as_of)
-        if self._as_of is None or as_of > self._as_of + ECHO_SECONDS:
+        if poller != self._vm:
+            # this router's own name is only returned by others
+            self._record_poller(poller, as_of)
+        if self._as_of is None or as_of > self._as_of + MIN_AGE_DECREASE_SECONDS:
             self._advance(as_of)
 
     def release_poller(self) -> None:
-        """Note that this router can't read the store, so that another one does."""
+        """Give up polling as this router can't read the store, so another one does."""
         if self.poller == self._vm:
             self.poller = ""
 
-    def _note_follower(self, follower: str, as_of: float) -> None:
-        """Take who read the store at some time.
+    def _record_poller(self, poller: str, as_of: float) -> None:
+        """Record which router read the store at some time.
 
-        Of two that read at the same time the first by name goes on: every router
-        passes on the first name it heard lately, so the other one hears it too.
+        Of two routers that poll at the same time, the first by name continues: every
+        router sends on the first name that it recently received, so the other poller
+        receives that name, too.
         """
         current = self.poller
-        if not follower or self._now() - as_of > YIELD_SECONDS:
+        if not poller or self._now() - as_of > POLLER_TIMEOUT_SECONDS:
             return
-        stale = self._now() - self._follower_as_of > YIELD_SECONDS
-        if not current or stale or follower <= current:
-            self.poller = follower
-            self._follower_as_of = as_of
+        stale = self._now() - self._poller_as_of > POLLER_TIMEOUT_SECONDS
+        if not current or stale or poller <= current:
+            self.poller = poller
+            self._poller_as_of = as_of
 
     def pop_changes(self) -> list[EndpointEntry]:
         """Return the entries that changed since the last call."""
-        changes, self._fresh_changes = self._fresh_changes, []
+        changes, self._changes = self._changes, []
         return changes
 
     def _merge(self, entries: Iterable[EndpointEntry], source: str) -> None:
@@ -223,26 +242,26 @@
                 leaving=endpoint.leaving if endpoint else None,
                 gone=endpoint is None,
             )
-        self._fresh_changes += changed
-        self.view.prune(GONE_KEPT)
-        self._tell()
+        self._changes += changed
+        self.view.prune(MAX_DELETED_ENTRIES)
+        self._notify()
 
     def _advance(self, as_of: float) -> None:
-        """Note that the endpoints were known to be as they are believed."""
+        """Record the time at which the cached endpoints matched the store."""
         before = self._as_of
         if before is not None and as_of <= before:
             return
-        if before is not None and as_of - before > LAPSE_SECONDS:
+        if before is not None and as_of - before > OUTAGE_SECONDS:
             _log.info("store was away", seconds=round(as_of - before, 2))
             self._returned_at = self._now()
         self._as_of = as_of
 
-    def _settling(self) -> bool:
-        """Whether the store has just come back."""
+    def _is_settling(self) -> bool:
+        """Whether a store outage or a restore has just ended."""
         returned = self._returned_at
         return returned is not None and self._now() - returned < SETTLE_SECONDS
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for listener in self.on_change:
             listener()
 
--- a/packages/fleet/src/teaselledge_fleet/process/storepoller.py
+++ b/packages/fleet/src/teaselledge_fleet/process/storepoller.py
@@ -1,4 +1,4 @@
-"""Read the store, unless another router has just done so."""
+"""Poll the store unless another router polls it already."""
 
 import asyncio
 import random
@@ -13,100 +13,105 @@
 _log = get_log("store")
 
 PERIOD_SECONDS = 0.7
-"""Time between two readings by the router that follows the store.
+"""Time between two reads by the poller.
 
-A leaving endpoint must get no new work 2.5 s after the store knew it. That leaves
-time for a reading, for another router to notice that the follower is gone, for
-its own reading, and for the way of the news.
+A leaving endpoint must get no new requests 2.5 s after it is marked in the store. That
+leaves time for a read, for another router to detect that the poller is gone, for its
+own read, and for the heartbeats that spread the change.
 """
 
 STALE_SECONDS = 1.15
-"""Age of the belief at which any router reads the store itself.
+"""Age of the store cache at which any router reads the store itself.
 
-A reading each 0.7 s that takes 50 ms, told at once, is at most 0.8 s old; one lost
-datagram adds 0.25 s.
+With a read every 0.7 s that takes 50 ms and is sent on at once, the age is at most
+0.8 s; one lost datagram adds 0.25 s.
 """
 
-SPREAD_SECONDS = 0.5
-"""Routers read at different moments after that, so that the first one's news keeps
-the others from reading too."""
+READ_SPREAD_SECONDS = 0.5
+"""Range of a random delay after that age, so that the first router's read reaches the
+others before they read the store, too."""
 
-START_SECONDS = 0.1
-"""Seeds that start at the same time read the store spread over this time."""
+START_SPREAD_SECONDS = 0.1
+"""Range of a random delay before the first read, for seeds that start together."""
 
-NEIGHBOUR_SECONDS = 0.6
-"""Time for which a router that starts waits for what its seeds know, once to twice.
-They answer within 0.1 s; hundreds of routers that all read the store would be its
-heaviest load."""
+SEED_WAIT_SECONDS = 0.6
+"""Minimum time for which a starting router waits for the state of its seeds; the
+maximum is twice as long. Seeds respond within 0.1 s. Hundreds of starting routers that
+all read the store would be its highest load."""
 
-FIRST_PAUSE = 0.3
-LONGEST_PAUSE = 1.5
-"""Pauses after failed calls; they double from the first to the longest. The fleet
-must notice within 2 s that the store is back."""
+FIRST_RETRY_SECONDS = 0.3
+MAX_RETRY_SECONDS = 1.5
+"""Delays after failed calls, doubled up to the maximum. The fleet must detect within
+2 s that the store is available again."""
 
 TICK_SECONDS = 0.05
 
 
 class StorePoller:
-    """Reads the store when the fleet's knowledge of it grows old.
+    """Reads the store if the store cache becomes too old.
 
-    Whoever reads first goes on reading, and what it tells keeps all others from
-    doing the same. When it stops, or nobody hears it, the next router's turn comes
-    by itself; nobody is elected.
+    The router that reads first continues to poll, and its heartbeats keep the caches
+    of the other routers fresh, so that they don't poll. If it stops or its heartbeats
+    are lost, these caches become too old and another router polls; there is no
+    election.
 
     Parameters
     ----------
     vm : str
-        This router's VM.
+        Name of this router's VM.
     store : StateStore
-        What it reads.
-    belief : StoreCache
-        What it tells.
+        Store to read.
+    store_cache : StoreCache
+        Cache to update.
     has_seeds : bool
-        Whether other routers are its seeds.
+        Whether this router has other routers as seeds.
     """
 
     def __init__(
-        self, vm: str, store: StateStore, belief: StoreCache, has_seeds: bool = False
+        self,
+        vm: str,
+        store: StateStore,
+        store_cache: StoreCache,
+        has_seeds: bool = False,
     ) -> None:
         self._vm = vm
         self._store = store
-        self._belief = belief
-        self._asks_seeds = has_seeds
+        self._store_cache = store_cache
+        self._has_seeds = has_seeds
         self._revision: Revision | None = None
-        self._pause = FIRST_PAUSE
+        self._retry_delay = FIRST_RETRY_SECONDS
         self._reachable: bool | None = None
         self.calls = 0
 
     async def run(self) -> None:
-        """Follow the store for ever."""
-        await asyncio.sleep(random.uniform(0, START_SECONDS))
-        if self._asks_seeds:
-            await self._wait_for_neighbour()
+        """Poll the store for ever whenever it is due."""
+        await asyncio.sleep(random.uniform(0, START_SPREAD_SECONDS))
+        if self._has_seeds:
+            await self._wait_for_seeds()
         while True:
-            await self._until_due()
+            await self._wait_until_due()
             if await self._read():
-                self._pause = FIRST_PAUSE
+                self._retry_delay = FIRST_RETRY_SECONDS
                 continue
-            self._belief.release_poller()
-            await asyncio.sleep(self._pause * random.uniform(0.7, 1.3))
-            self._pause = min(LONGEST_PAUSE, self._pause * 2)
+            self._store_cache.release_poller()
+            await asyncio.sleep(self._retry_delay * random.uniform(0.7, 1.3))
+            self._retry_delay = min(MAX_RETRY_SECONDS, self._retry_delay * 2)
 
-    async def _wait_for_neighbour(self) -> None:
-        """Wait until another router told what it knows, or none does."""
+    async def _wait_for_seeds(self) -> None:
+        """Wait for the state of another router, up to a time limit."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + NEIGHBOUR_SECONDS * random.uniform(1.0, 2.0)
-        while not self._belief.version and loop.time() < end:
+        end = loop.time() + SEED_WAIT_SECONDS * random.uniform(1.0, 2.0)
+        while not self._store_cache.version and loop.time() < end:
             await asyncio.sleep(TICK_SECONDS)
 
-    async def _until_due(self) -> None:
-        patience = STALE_SECONDS + random.uniform(0, SPREAD_SECONDS)
-        while self._belief.poller != self._vm:
-            age = self._belief.age
-            if age is None or age > patience or not self._belief.version:
+    async def _wait_until_due(self) -> None:
+        max_age = STALE_SECONDS + random.uniform(0, READ_SPREAD_SECONDS)
+        while self._store_cache.poller != self._vm:
+            age = self._store_cache.age
+            if age is None or age > max_age or not self._store_cache.version:
                 return
-            # news makes it younger, nothing makes it older than by time
-            await asyncio.sleep(max(TICK_SECONDS, patience - age))
+            # updates only lower the age, so it can't reach the limit any earlier
+            await asyncio.sleep(max(TICK_SECONDS, max_age - age))
 
     async def _read(self) -> bool:
         return await self._read_endpoints() and await self._read_configuration()
@@ -116,10 +121,10 @@
         self.calls += 1
         read = await self._store.endpoints()
         if read.is_error():
-            self._note_failure(read.error)
+            self._record_failure(read.error)
             return False
-        self._note_success()
-        self._belief.update_from_rows(read.ok, started)
+        self._record_success()
+        self._store_cache.update_from_rows(read.ok, started)
         return True
 
     async def _read_configuration(self) -> bool:
@@ -127,31 +132,33 @@
         started = asyncio.get_running_loop().time()
         read = await self._store.configuration(self._revision, PERIOD_SECONDS)
         if read.is_error():
-            self._note_failure(read.error)
+            self._record_failure(read.error)
             return False
         found = read.ok
-        if not self._belief.update_era(found.revision.era, "store"):
+        if not self._store_cache.update_era(found.revision.era, "store"):
             return False
         data = found.data
-        if data is not None and not self._belief.update_configuration(data, "store"):
-            # the next change, or the next start, reads it again
-            _log.error("configuration can't be read", revision=found.revision.number)
+        if data is not None and not self._store_cache.update_configuration(
+            data, "store"
+        ):
+            # it is read again after the next change or restart
+            _log.error("configuration can't be decoded", revision=found.revision.number)
         self._revision = max(self._revision or found.revision, found.revision)
-        # an answer that came at once must not lead to a rush of calls
+        # a store that responds without waiting must not be called in a tight loop
         left = started + PERIOD_SECONDS / 2 - asyncio.get_running_loop().time()
         if found.data is None and left > 0:
             await asyncio.sleep(left)
         return True
 
-    def _note_failure(self, fault: StoreFault) -> None:
+    def _record_failure(self, fault: StoreFault) -> None:
         if self._reachable is not False:
-            belief = self._belief
-            _log.warning(
-                "store lost", fault=fault.value, age=belief.age, era=belief.era
-            )
+            cache = self._store_cache
+            _log.warning("store lost", fault=fault.value, age=cache.age, era=cache.era)
         self._reachable = False
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         if self._reachable is False:
-            _log.info("store regained", age=self._belief.age, era=self._belief.era)
+            _log.info(
+                "store regained", age=self._store_cache.age, era=self._store_cache.era
+            )
         self._reachable = True
--- a/packages/fleet/tests/test_restored_store.py
+++ b/packages/fleet/tests/test_restored_store.py
@@ -1,4 +1,4 @@
-"""Tests of a store that comes back from a copy some seconds old."""
+"""Tests of a store that is restored from a backup that is some seconds old."""
 
 import asyncio
 from dataclasses import replace
@@ -17,7 +17,7 @@
 AWAY_SECONDS = 1.0
 HISTORIES = (0, 1, 2, 10)
 KNOWN_SECONDS = 2.0
-"""Time within which every router knows what was written after the store's return."""
+"""Time within which every router must know what is written after the restore."""
 
 
 def engine(name: str) -> Endpoint:
@@ -28,16 +28,19 @@
     return store_of(engine(f"e{number}") for number in range(3))
 
 
-async def go_back(store: MemoryStateStore, copy) -> None:
-    """Restore a copy after the store was away."""
+async def restore_after_outage(store: MemoryStateStore, copy) -> None:
+    """Restore a copy after an outage of the store."""
     store.away.add("*")
     await asyncio.sleep(AWAY_SECONDS)
     store.restore(copy)
     store.away.clear()
 
 
-async def test_what_is_written_under_an_old_number_counts():
-    """Numbers that are given out again hide what is written after a restore."""
+async def test_write_under_a_reused_revision_number_is_applied():
+    """A restored store assigns revision numbers again.
+
+    If only numbers were compared, changes after the restore would look outdated.
+    """
     store = new_store()
     async with spread_fleet(store, ROUTERS, decode_number) as fleet:
         await asyncio.sleep(SETTLED_SECONDS)
@@ -45,7 +48,7 @@
         for _ in range(20):
             store.put(engine("e0"))
         await asyncio.sleep(1.0)
-        await go_back(store, copy)
+        await restore_after_outage(store, copy)
         store.put(replace(engine("e0"), leaving=True))
         await asyncio.sleep(KNOWN_SECONDS)
         for router in fleet.routers:
@@ -54,15 +57,15 @@
 
 
 async def test_leaving_endpoint_does_not_return_by_its_old_row():
-    """The copy still holds the row from before the endpoint was leaving."""
+    """The backup contains the row from before the endpoint was leaving."""
     store = new_store()
     async with spread_fleet(store, ROUTERS, decode_number) as fleet:
         await asyncio.sleep(SETTLED_SECONDS)
         copy = store.copy()
         store.put(replace(engine("e0"), leaving=True, sequence=5))
         await asyncio.sleep(KNOWN_SECONDS)
-        await go_back(store, copy)
-        # routers that start meanwhile know the copy only
+        await restore_after_outage(store, copy)
+        # routers that start meanwhile know only the restored rows
         loop = asyncio.get_running_loop()
         end = loop.time() + KNOWN_SECONDS
         while loop.time() < end:
@@ -72,20 +75,21 @@
                 assert "e0" not in names, router.vm
 
 
-async def test_endpoint_returns_by_a_row_that_stands():
-    """What an endpoint said last may be lost; its row can't be refused for ever.
+async def test_endpoint_returns_by_a_row_that_stays_after_a_restore():
+    """The last announcement of an endpoint may be lost, so its older row must count.
 
-    An endpoint that is gone, or says something else, lets no old row stand so long.
+    A row that stays for `CONFIRM_SECONDS` is current: the row of an endpoint that is
+    gone expires earlier, and one with another state writes its row again.
     """
-    belief = StoreCache("r1", decode_number)
+    cache = StoreCache("r1", decode_number)
     loop = asyncio.get_running_loop()
 
     def read(era: int, sequence: int, leaving: bool) -> bool:
         endpoint = replace(engine("e0"), sequence=sequence, leaving=leaving)
         revision = Revision(era, 4)
         entry = EndpointEntry.from_row("e0", revision, endpoint)
-        belief.update_from_rows(EndpointRows(Revision(era, 9), (entry,)), loop.time())
-        return bool(belief.view.of_service("books"))
+        cache.update_from_rows(EndpointRows(Revision(era, 9), (entry,)), loop.time())
+        return bool(cache.view.of_service("books"))
 
     assert not read(1, sequence=8, leaving=True)
     assert not read(2, sequence=5, leaving=False)
@@ -94,35 +98,35 @@
     await asyncio.sleep(1.0)
     assert read(2, sequence=5, leaving=False)
     assert read(2, sequence=5, leaving=False)
-    # what it says then counts as ever
+    # later announcements are applied as usual
     assert not read(3, sequence=10, leaving=True)
 
 
-async def test_answer_from_before_a_restore_is_dropped():
-    """A slow answer arrives after another router told of the restore."""
-    belief = StoreCache("r1", decode_number)
+async def test_response_from_before_a_restore_is_dropped():
+    """A slow response arrives after another router reported the restore."""
+    cache = StoreCache("r1", decode_number)
     loop = asyncio.get_running_loop()
     entry = EndpointEntry.from_row("e0", Revision(1, 4), engine("e0"))
-    assert belief.update_era(2, "r2")
-    belief.update_from_rows(EndpointRows(Revision(1, 9), (entry,)), loop.time())
-    assert belief.view.get("e0") is None
+    assert cache.update_era(2, "r2")
+    cache.update_from_rows(EndpointRows(Revision(1, 9), (entry,)), loop.time())
+    assert cache.view.get("e0") is None
 
 
-async def test_rows_of_routers_are_written_again():
-    """A router that hears nobody would not find the others without them."""
+async def test_rows_of_routers_are_written_again_after_a_restore():
+    """Without these rows a router without alive seeds would not find the others."""
     store = new_store()
     copy = store.copy()
     async with spread_fleet(store, ROUTERS, decode_number):
         await asyncio.sleep(SETTLED_SECONDS)
         written = set(store.router_rows)
-        await go_back(store, copy)
+        await restore_after_outage(store, copy)
         assert not store.router_rows
         await asyncio.sleep(SETTLED_SECONDS)
         assert set(store.router_rows) == written
 
 
-async def test_promises_hold_through_random_histories():
-    """Two restores each, beside deaths, cuts, lost datagrams and a slow store."""
+async def test_guarantees_hold_through_random_histories():
+    """Two restores each, with killed routers, partitions, packet loss, a slow store."""
     for seed in HISTORIES:
         outcome = await RestoreHistory(seed, ROUTERS).run()
         assert not outcome.broken, (seed, outcome.broken)
--- a/packages/fleet/tests/test_storecache.py
+++ b/packages/fleet/tests/test_storecache.py
@@ -1,4 +1,4 @@
-"""Tests of what a router believes of the store's content."""
+"""Tests of the store cache."""
 
 import asyncio
 
@@ -25,64 +25,64 @@
 
 
 async def test_a_version_never_goes_back():
-    """A peer that was cut off tells an old configuration after a newer one."""
-    belief = StoreCache("r1", decode_number)
-    belief.update_configuration(b"7", "store")
-    belief.update_configuration(b"5", "r2")
-    assert belief.version == 7
+    """A router that was cut off sends an old configuration after a newer one."""
+    cache = StoreCache("r1", decode_number)
+    cache.update_configuration(b"7", "store")
+    cache.update_configuration(b"5", "r2")
+    assert cache.version == 7
 
 
 async def test_the_last_good_configuration_stays():
-    belief = StoreCache("r1", decode_number)
-    belief.update_configuration(b"7", "store")
-    assert not belief.update_configuration(b"torn", "store")
-    assert belief.version == 7
+    cache = StoreCache("r1", decode_number)
+    cache.update_configuration(b"7", "store")
+    assert not cache.update_configuration(b"torn", "store")
+    assert cache.version == 7
 
 
-async def test_an_entry_that_vanishes_in_calm_is_gone_at_once():
-    """An engine that never says it is leaving has its entry removed.
+async def test_endpoint_is_deleted_with_its_row_while_the_store_is_available():
+    """The row of an engine is removed without having been marked as leaving.
 
-    It must get no new work within seconds of that.
+    Within seconds, the engine must get no new requests.
     """
-    belief = StoreCache("r1", decode_number)
-    belief.update_from_rows(rows(5, entry("e1", 4), entry("e2", 5)), now())
+    cache = StoreCache("r1", decode_number)
+    cache.update_from_rows(rows(5, entry("e1", 4), entry("e2", 5)), now())
     await asyncio.sleep(0.7)
-    belief.update_from_rows(rows(9, entry("e1", 4)), now())
-    assert [e.id for e in belief.view.of_service("books")] == ["e1"]
+    cache.update_from_rows(rows(9, entry("e1", 4)), now())
+    assert [e.id for e in cache.view.of_service("books")] == ["e1"]
 
 
-async def test_entries_that_lapse_during_an_outage_are_waited_for():
-    """The store is away so long that the entries of all engines lapse.
+async def test_rows_that_expire_during_an_outage_do_not_count_as_deleted():
+    """The store is unavailable so long that the rows of all engines expire.
 
-    They come back within two seconds of its return. Until then every engine would
-    look gone, and every request would be refused.
+    The rows are written again within two seconds of its return. Until then every
+    engine would look deleted, and every request would be refused.
     """
-    belief = StoreCache("r1", decode_number)
-    belief.update_from_rows(rows(5, entry("e1", 4), entry("e2", 5)), now())
+    cache = StoreCache("r1", decode_number)
+    cache.update_from_rows(rows(5, entry("e1", 4), entry("e2", 5)), now())
     await asyncio.sleep(6.0)
-    belief.update_from_rows(rows(9), now())
-    assert len(belief.view.of_service("books")) == 2
+    cache.update_from_rows(rows(9), now())
+    assert len(cache.view.of_service("books")) == 2
     end = now() + SETTLE_SECONDS
     while now() < end:
         await asyncio.sleep(0.7)
-        belief.update_from_rows(rows(11, entry("e1", 11)), now())
-    assert [e.id for e in belief.view.of_service("books")] == ["e1"]
+        cache.update_from_rows(rows(11, entry("e1", 11)), now())
+    assert [e.id for e in cache.view.of_service("books")] == ["e1"]
 
 
 async def test_a_leaving_endpoint_gets_no_work_while_the_store_is_away():
-    belief = StoreCache("r1", decode_number)
-    belief.update_from_rows(rows(5, entry("e1", 4), entry("e2", 5)), now())
-    belief.merge_entries([entry("e2", 8, leaving=True)], "r2")
+    cache = StoreCache("r1", decode_number)
+    cache.update_from_rows(rows(5, entry("e1", 4), entry("e2", 5)), now())
+    cache.merge_entries([entry("e2", 8, leaving=True)], "r2")
     await asyncio.sleep(20.0)
-    assert [e.id for e in belief.view.of_service("books")] == ["e1"]
+    assert [e.id for e in cache.view.of_service("books")] == ["e1"]
 
 
-async def test_old_news_does_not_revive_an_endpoint():
-    belief = StoreCache("r1", decode_number)
-    belief.update_from_rows(rows(5, entry("e1", 4)), now())
-    belief.update_from_rows(rows(9), now())
-    belief.merge_entries([entry("e1", 4)], "r2")
-    assert not belief.view.of_service("books")
+async def test_outdated_entry_does_not_restore_a_deleted_endpoint():
+    cache = StoreCache("r1", decode_number)
+    cache.update_from_rows(rows(5, entry("e1", 4)), now())
+    cache.update_from_rows(rows(9), now())
+    cache.merge_entries([entry("e1", 4)], "r2")
+    assert not cache.view.of_service("books")
 
 
 async def test_views_with_the_same_entries_have_the_same_digest():
@@ -95,20 +95,20 @@
 
 
 async def test_age_is_adopted_for_an_equal_view_only():
-    belief = StoreCache("r1", decode_number)
-    belief.update_from_rows(rows(5, entry("e1", 4)), now())
+    cache = StoreCache("r1", decode_number)
+    cache.update_from_rows(rows(5, entry("e1", 4)), now())
     await asyncio.sleep(2.0)
-    belief.update_age(belief.view.digest + 1, 0.1, "r2")
-    assert belief.age == 2.0
-    belief.update_age(belief.view.digest, 0.1, "r2")
-    assert round(belief.age or 0.0, 3) == 0.1
+    cache.update_age(cache.view.digest + 1, 0.1, "r2")
+    assert cache.age == 2.0
+    cache.update_age(cache.view.digest, 0.1, "r2")
+    assert round(cache.age or 0.0, 3) == 0.1
 
 
-async def test_of_two_followers_the_first_by_name_goes_on():
-    """Two routers read the store at the same time, and each hears the other."""
-    for vm, other, follower in (("r1", "r2", "r1"), ("r2", "r1", "r1")):
-        belief = StoreCache(vm, decode_number)
-        belief.update_from_rows(rows(5, entry("e1", 4)), now())
+async def test_of_two_pollers_the_first_by_name_continues():
+    """Two routers poll the store at the same time, and each gets the other's reads."""
+    for vm, other, poller in (("r1", "r2", "r1"), ("r2", "r1", "r1")):
+        cache = StoreCache(vm, decode_number)
+        cache.update_from_rows(rows(5, entry("e1", 4)), now())
         await asyncio.sleep(0.5)
-        belief.update_age(belief.view.digest, 0.1, other)
-        assert belief.poller == follower
+        cache.update_age(cache.view.digest, 0.1, other)
+        assert cache.poller == poller
