--- a/packages/fleet/src/teaselledge_fleet/process/gossip.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -15,15 +15,15 @@
 
 from teaselledge_fleet.connection.codec import PROTOCOL
 from teaselledge_fleet.connection.figures import (
+    pack_loads,
     pack_member_ages,
     pack_member_statuses,
     pack_pulse_marks,
     pack_usage,
-    pack_work,
+    unpack_loads,
     unpack_member_statuses,
     unpack_pulse_marks,
     unpack_usage,
-    unpack_work,
 )
 from teaselledge_fleet.connection.peers import StateClient
 from teaselledge_fleet.log import get_log
@@ -307,7 +307,7 @@
             return heartbeat
         if scope is Scope.OWN:
             self._totals.record_sent(self._sequence, stats)
-        heartbeat.work = pack_work(stats.loads)
+        heartbeat.work = pack_loads(stats.loads)
         heartbeat.uses = pack_usage(stats.usage)
         return heartbeat
 
@@ -461,7 +461,7 @@
         scope = heartbeat.scope or Scope.OWN
         near = sender.zone == self._members.own.zone
         aggregates = self._topology.is_aggregator
-        load = unpack_work(heartbeat.work or b"")
+        load = unpack_loads(heartbeat.work or b"")
         stats = LoadStats(load, unpack_usage(heartbeat.uses or b""))
         if scope == Scope.ZONE:
             if not near and aggregates:
