--- a/packages/fleet/src/teaselledge_fleet/process/addresses.py
+++ b/packages/fleet/src/teaselledge_fleet/process/addresses.py
@@ -1,4 +1,4 @@
-"""Which routers a caller should use."""
+"""Selection of the router addresses that are returned to a caller."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -7,104 +7,112 @@
 
 __all__ = ["addresses_for", "spare_cores"]
 
-ENOUGH = 2
-"""Least routers in an answer, where there are as many.
+MIN_ADDRESSES = 2
+"""Minimum number of routers in a response, if that many are ready.
 
-With one alone, its loss would leave the caller without any until it asks again.
+A caller that knows a single router has none if that one dies, until its next request
+for addresses.
 """
 
-MOST = 64
-"""Addresses in one answer that callers read."""
+MAX_ADDRESSES = 64
+"""Maximum number of addresses in a response that callers read."""
 
-EASY = 0.55
-"""Part of its processor time up to which a zone's routers take all its callers.
+MAX_ZONE_UTILISATION = 0.55
+"""Utilisation of a zone's routers up to which they get all callers of their zone.
 
-Beyond it callers are sent to other zones too, so that the zone stays at about 0.75
-when it is asked for a fifth more than it can do. Streams are passed on late by a
-router that is used up.
+Above it some callers are sent to other zones. With a fifth more load than the zone can
+serve, its utilisation then stays at about 0.75. Overloaded routers delay the events of
+streams.
 """
 
-MOST_ELSEWHERE = 0.8
-"""Largest part of the addresses that are in other zones."""
+MAX_OTHER_ZONES_FRACTION = 0.8
+"""Maximum fraction of the addresses that are in other zones."""
 
-USED_UP = 0.85
-"""Part of its processor time beyond which a router is not named."""
+OVERLOADED_UTILISATION = 0.85
+"""Utilisation from which a router is omitted from responses."""
 
-ALIKE = 1.5
-"""Routers whose room differs by less are all named; they share callers evenly."""
+SIMILAR_SPARE_RATIO = 1.5
+"""Ratio of spare cores below which all routers of a zone are returned, so that callers
+spread evenly."""
 
-LEAST_SPARE = 0.05
-"""Part of its cores that a router counts with, however busy it is."""
+MIN_SPARE_FRACTION = 0.05
+"""Minimum fraction of its cores that counts as spare, whatever the utilisation."""
 
 
 def addresses_for(
     ready: Sequence[Member], zones: Mapping[str, str], zone: str, region: str
 ) -> list[str]:
-    """Return the addresses of routers that take requests, nearest first.
+    """Return the addresses of routers that accept requests, nearest first.
 
-    Callers pick one at random for each connection. So the nearest are named, those
-    with more room more often, and others as far as the nearest are busy.
+    Callers pick an address at random for each connection. So the nearest routers are
+    returned, those with more spare cores more often, and routers of other zones in
+    proportion to the excess utilisation of the nearest.
     """
     region = region or zones.get(zone, "")
     near = [m for m in ready if m.zone == zone]
-    roomy = _with_room(near)
-    chosen = _sample(roomy, _count(roomy))
-    missing = max(ENOUGH - len(chosen), _elsewhere(near, len(chosen)))
-    for ring in (
+    candidates = _omit_overloaded(near)
+    chosen = _sample(candidates, _near_count(candidates))
+    missing = max(MIN_ADDRESSES - len(chosen), _other_zones_count(near, len(chosen)))
+    for group in (
         [m for m in ready if m.zone != zone and m.region == region],
         [m for m in ready if m.zone != zone and m.region != region],
     ):
-        added = _sample(_with_room(ring), max(0, missing))
+        added = _sample(_omit_overloaded(group), max(0, missing))
         chosen += added
         missing -= len(added)
-    return [member.caller_address for member in chosen[:MOST]]
+    return [member.caller_address for member in chosen[:MAX_ADDRESSES]]
 
 
-def _with_room(members: Sequence[Member]) -> Sequence[Member]:
-    """Leave out routers of a zone that are used up, as long as enough are left.
+def _omit_overloaded(members: Sequence[Member]) -> Sequence[Member]:
+    """Return the routers that are not overloaded, or all if too few are left.
 
-    Callers drop their open connections to routers that are not named.
+    Callers close their open connections to routers that are not in the response.
     """
-    left = [member for member in members if member.utilisation < USED_UP]
-    return left if len(left) >= ENOUGH else members
+    remaining = [
+        member for member in members if member.utilisation < OVERLOADED_UTILISATION
+    ]
+    return remaining if len(remaining) >= MIN_ADDRESSES else members
 
 
 def spare_cores(member: Member) -> float:
-    """Return the processor time a second that a router has left."""
-    return member.cores * max(LEAST_SPARE, 1.0 - member.utilisation)
+    """Return the number of cores that a router has left."""
+    return member.cores * max(MIN_SPARE_FRACTION, 1.0 - member.utilisation)
 
 
-def _busy(members: Sequence[Member]) -> float:
-    """Return which part of all their processor time routers use."""
+def _utilisation(members: Sequence[Member]) -> float:
+    """Return the utilisation of all routers together."""
     cores = sum(member.cores for member in members)
     return sum(m.cores * m.utilisation for m in members) / cores if cores else 0.0
 
 
-def _count(members: Sequence[Member]) -> int:
-    """Return how many of a zone's routers one answer names.
+def _near_count(members: Sequence[Member]) -> int:
+    """Return the number of a zone's routers in one response.
 
-    Where they differ, each answer names half of them, drawn by room: over many
-    answers a router is named, and picked, as often as its room allows.
+    If their spare cores differ, a response contains half of them, drawn with spare
+    cores as weights: over many responses, the frequency of a router, and so the number
+    of its callers, follows its spare cores.
     """
-    if len(members) <= ENOUGH:
+    if len(members) <= MIN_ADDRESSES:
         return len(members)
     spares = [spare_cores(member) for member in members]
-    if max(spares) < ALIKE * min(spares):
+    if max(spares) < SIMILAR_SPARE_RATIO * min(spares):
         return len(members)
-    return max(ENOUGH, len(members) // 2)
+    return max(MIN_ADDRESSES, len(members) // 2)
 
 
-def _elsewhere(near: Sequence[Member], named: int) -> int:
-    """Return how many routers of other zones to name beside those of the own."""
-    busy = _busy(near)
-    if busy <= EASY:
+def _other_zones_count(near: Sequence[Member], near_count: int) -> int:
+    """Return the number of routers of other zones to add to those of the own zone."""
+    utilisation = _utilisation(near)
+    if utilisation <= MAX_ZONE_UTILISATION:
         return 0
-    part = min(MOST_ELSEWHERE, (busy - EASY) / busy)
-    return round(named * part / (1 - part) + random.random() - 0.5)
+    fraction = min(
+        MAX_OTHER_ZONES_FRACTION, (utilisation - MAX_ZONE_UTILISATION) / utilisation
+    )
+    return round(near_count * fraction / (1 - fraction) + random.random() - 0.5)
 
 
 def _sample(members: Sequence[Member], count: int) -> list[Member]:
-    """Draw routers by their room, without repeating any."""
+    """Draw distinct routers with their spare cores as weights."""
     keyed = [(random.random() ** (1 / spare_cores(m)), m) for m in members]
     keyed.sort(key=lambda pair: pair[0], reverse=True)
     return [member for _, member in keyed[:count]]
--- a/packages/fleet/src/teaselledge_fleet/process/advertised.py
+++ b/packages/fleet/src/teaselledge_fleet/process/advertised.py
@@ -1,4 +1,4 @@
-"""Log which routers begin and cease to be advertised to callers."""
+"""Log of the routers that are advertised to callers."""
 
 from teaselledge_fleet.log import get_log
 from teaselledge_fleet.process.members import Members
@@ -9,12 +9,12 @@
 
 
 class AdvertisedLog:
-    """Writes a line for each router whose place in the directory changes.
+    """Logs each router that starts or stops being advertised.
 
     Parameters
     ----------
     members : Members
-        The routers.
+        Membership table of this router.
     """
 
     def __init__(self, members: Members) -> None:
@@ -22,14 +22,14 @@
         self._advertised: set[str] = set()
 
     def update(self) -> None:
-        """Compare the directory with that of the last call."""
+        """Log the changes of the advertised routers since the last call."""
         current = {member.vm for member in self._members.ready}
         for vm in sorted(current ^ self._advertised):
-            evidence = self._members.liveness(vm)
+            liveness = self._members.liveness(vm)
             _log.info(
                 "router advertised" if vm in current else "router not advertised",
                 vm=vm,
-                direct=evidence.direct if evidence else None,
-                silent_seconds=round(evidence.age, 2) if evidence else None,
+                direct=liveness.direct if liveness else None,
+                silent_seconds=round(liveness.age, 2) if liveness else None,
             )
         self._advertised = current
--- a/packages/fleet/src/teaselledge_fleet/process/metrics.py
+++ b/packages/fleet/src/teaselledge_fleet/process/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics, declared in one table and counted."""
+"""Table of all metrics, and their values."""
 
 from bisect import bisect_left
 from collections import defaultdict
@@ -8,13 +8,13 @@
 __all__ = ["METRICS", "BUCKET_BOUNDS_SECONDS", "FleetMetrics", "Metric", "Histogram"]
 
 BUCKET_BOUNDS_SECONDS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 0.8, 1.2, 2.0, 4.0, 8.0)
-"""Edges of the histograms: around the objectives of 0.2 to 0.8 s, up to the longest
-deadlines of 10 s."""
+"""Upper bounds of the histograms' buckets: narrow around the latency objectives of 0.2
+to 0.8 s, wider up to the maximum deadline of 10 s."""
 
 
 @dataclass(frozen=True)
 class Metric:
-    """One metric.
+    """Declaration of a metric.
 
     Attributes
     ----------
@@ -23,7 +23,7 @@
     unit : str
         Unit of its value.
     description : str
-        What it tells, in one sentence.
+        Meaning of its value, in one sentence.
     labels : tuple of str
         Names of its labels.
     """
@@ -35,25 +35,29 @@
 
 
 METRICS: dict[str, Metric] = {
-    "running": Metric("gauge", "requests", "Requests that are read or answered."),
+    "running": Metric(
+        "gauge", "requests", "Requests that are being received or served."
+    ),
     "busy": Metric(
-        "gauge", "part", "Part of its processor time that the router uses, 0 to 1."
+        "gauge", "part", "Fraction of its CPU time that the router uses, 0 to 1."
     ),
     "caller_connections": Metric(
-        "counter", "connections", "Connections that callers opened."
+        "counter", "connections", "Connections accepted from callers."
     ),
     "connections_passed_on": Metric(
-        "counter", "connections", "Those that another router of the zone took over."
+        "counter", "connections", "Connections offloaded to other routers of the zone."
     ),
     "connections_refused": Metric(
-        "counter", "connections", "Those that the router had no time for."
+        "counter", "connections", "Connections refused because of overload."
+    ),
+    "version": Metric(
+        "gauge", "version", "Version of the configuration in force, 0 if none."
     ),
-    "version": Metric("gauge", "version", "Configuration in force, 0 without one."),
     "store_age_seconds": Metric(
-        "gauge", "s", "Age of what is known of the store, -1 if nothing is known."
+        "gauge", "s", "Age of the store cache, -1 if it is empty."
     ),
     "store_era": Metric(
-        "gauge", "era", "Rises each time the store comes back from an older copy."
+        "gauge", "era", "Era of the store, which rises with each restore from a backup."
     ),
     "store_calls": Metric("counter", "calls", "Calls to the store."),
     "endpoint_connections": Metric(
@@ -63,35 +67,35 @@
         "counter", "bytes", "Bytes sent to other routers in datagrams."
     ),
     "peer_malformed": Metric(
-        "counter", "datagrams", "Datagrams that could not be read."
+        "counter", "datagrams", "Malformed datagrams received from other routers."
     ),
     "admissions_asked": Metric(
-        "counter", "questions", "Questions to routers that admit to an endpoint."
+        "counter", "questions", "Admission queries sent to coordinators of endpoints."
     ),
     "admissions_unanswered": Metric(
-        "counter", "questions", "Those that got no answer in time."
+        "counter", "questions", "Admission queries that timed out."
     ),
-    "routers_answering": Metric("gauge", "routers", "Other routers heard lately."),
+    "routers_answering": Metric("gauge", "routers", "Other routers that are alive."),
     "routers_advertised": Metric(
-        "gauge", "routers", "Routers that callers are sent to, by this one's directory."
+        "gauge", "routers", "Routers that this router advertises to callers."
     ),
     "requests": Metric(
-        "counter", "requests", "Ended requests.", ("outcome", "fault", "service")
+        "counter", "requests", "Completed requests.", ("outcome", "fault", "service")
     ),
     "attempts": Metric(
-        "counter", "attempts", "Attempts at endpoints.", ("outcome", "service")
+        "counter", "attempts", "Attempts sent to endpoints.", ("outcome", "service")
     ),
     "request_seconds": Metric(
-        "histogram", "s", "Time from arrival to the end of an answer.", ("service",)
+        "histogram", "s", "Time from arrival to the end of the response.", ("service",)
     ),
     "first_event_seconds": Metric(
         "histogram", "s", "Time from arrival to the first event.", ("service",)
     ),
     "pause_seconds": Metric(
-        "histogram", "s", "Longest pause between the events of a stream.", ("service",)
+        "histogram", "s", "Longest gap between the events of a stream.", ("service",)
     ),
 }
-"""All metrics, short ones first: a reader may take no more than a page's beginning."""
+"""All metrics, those without labels first, as a reader may truncate the page."""
 
 
 Labels = tuple[str, ...]
@@ -100,14 +104,14 @@
 
 @dataclass
 class Histogram:
-    """What a histogram was told.
+    """Values of a histogram.
 
     Attributes
     ----------
     counts : list of int
-        By bucket, of which the last one has no edge.
+        Observations by bucket, of which the last has no upper bound.
     sum_seconds : float
-        Sum of all.
+        Sum of all observations.
     """
 
     counts: list[int] = field(
@@ -116,22 +120,22 @@
     sum_seconds: float = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Take one more."""
+        """Add an observation."""
         self.counts[bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self.sum_seconds += seconds
 
     def cumulative(self) -> Iterator[tuple[str, int]]:
-        """Yield the edge of each bucket, and how many are not above it."""
+        """Yield the upper bound of each bucket, and the count of values up to it."""
         total = 0
-        for edge, count in zip(
+        for bound, count in zip(
             [*BUCKET_BOUNDS_SECONDS, "+Inf"], self.counts, strict=True
         ):
             total += count
-            yield str(edge), total
+            yield str(bound), total
 
 
 class FleetMetrics:
-    """Counts what `METRICS` declares."""
+    """Values of all metrics declared in `METRICS`."""
 
     def __init__(self) -> None:
         self._values: dict[str, defaultdict[Labels, float]] = {
@@ -148,11 +152,11 @@
         self._values[name][_key(name, labels)] += value
 
     def set(self, name: str, value: float) -> None:
-        """Set a gauge, or a counter that is kept elsewhere."""
+        """Set a gauge, or a counter that is counted elsewhere."""
         self._values[name][()] = value
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Add to a histogram."""
+        """Add an observation to a histogram."""
         self._histograms[name][_key(name, labels)].observe(seconds)
 
     def values(self, name: str) -> Mapping[Labels, float]:
@@ -160,7 +164,7 @@
         return self._values[name]
 
     def histograms(self, name: str) -> Mapping[Labels, Histogram]:
-        """Return what a histogram was told, by its labels."""
+        """Return the values of a histogram, by its labels."""
         return self._histograms[name]
 
 
--- a/packages/fleet/src/teaselledge_fleet/process/metricspage.py
+++ b/packages/fleet/src/teaselledge_fleet/process/metricspage.py
@@ -1,6 +1,7 @@
-"""The page of all metrics, in the text format that monitoring tools read.
+"""The page of all metrics in the Prometheus text format.
 
-Loaded when it is asked for first: the library takes a tenth of a router's start.
+This module is loaded at the first request for the page: the import of the library takes
+a tenth of a router's start time.
 """
 
 from collections.abc import Iterator
@@ -24,7 +25,7 @@
 
 
 def metrics_page(metrics: FleetMetrics) -> bytes:
-    """Return the page."""
+    """Return the metrics page."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_Page(metrics))
     return generate_latest(registry)
@@ -35,7 +36,7 @@
         self._metrics = metrics
 
     def collect(self) -> Iterator[Metric]:
-        """Yield all metrics in the order of their table."""
+        """Yield all metrics in the order of `METRICS`."""
         for name, metric in METRICS.items():
             if metric.kind == "histogram":
                 yield self._histogram(name, metric)
@@ -54,6 +55,6 @@
         family = HistogramMetricFamily(
             PREFIX + name, metric.description, labels=metric.labels
         )
-        for labels, seen in self._metrics.histograms(name).items():
-            family.add_metric(labels, list(seen.cumulative()), seen.sum_seconds)
+        for labels, values in self._metrics.histograms(name).items():
+            family.add_metric(labels, list(values.cumulative()), values.sum_seconds)
         return family
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -1,4 +1,4 @@
-"""One router of the fleet: its parts, wired together."""
+"""One router of the fleet: creates its components and connects them."""
 
 import asyncio
 import math
@@ -40,51 +40,52 @@
 
 _log = get_log("router")
 
-ADDRESS_SECONDS = 0.5
-"""Time for which callers keep the addresses.
+ADDRESS_CACHE_SECONDS = 0.5
+"""Time for which callers cache the addresses of routers.
 
-A router that stops or dies is named for this long, and three times so by some
-callers. Asking twice a second costs a caller 400 bytes a second.
+Callers still use a router this long after it has stopped or died, and some of them
+three times as long. Two requests for addresses a second cost a caller 400 bytes a
+second.
 """
 
-CONNECTIONS_KEPT = 0.7
-"""Part of the connections that an endpoint accepts that all routers keep open together.
-The rest is for requests that come while all of them are busy."""
+POOLED_CONNECTIONS_FRACTION = 0.7
+"""Fraction of an endpoint's connection limit that all routers together keep open. The
+rest is for requests that arrive while all of these connections are in use."""
 
 INCARNATION_BITS = 62
 METRICS_PATH = "/metrics"
-METRICS_PAGE = "teaselledge_fleet.process.metricspage"
-"""Loaded when it is asked for first."""
-METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+METRICS_PAGE_MODULE = "teaselledge_fleet.process.metricspage"
+"""Module loaded at the first request for the page."""
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 
 class PageFormats(Protocol):
-    """Formats of what callers and the platform ask a router."""
+    """Formats of the pages that a router serves to callers and the platform."""
 
     addresses_path: str
 
     def caller_location(self, arguments: dict[str, str]) -> tuple[str, str]:
-        """Return the zone and region of a caller that asks for addresses."""
+        """Return the zone and region of a caller that requests addresses."""
 
     def addresses_page(self, addresses: list[str], seconds: float) -> Page:
-        """Return the page that names routers."""
+        """Return the page with router addresses and the seconds to cache them."""
 
 
 class FleetRouter:
-    """A router without its command line.
+    """A router of the fleet, independent of command line and platform.
 
     Parameters
     ----------
     settings : FleetSettings
-        Where it is and what it may use.
+        Location, addresses and limits of this router.
     store : StateStore
-        What lasts.
-    dialect : Dialect
-        Names of headers.
+        Store of the configuration, the endpoints and the routers' rows.
+    dialect : HeaderCodec
+        Names and formats of headers.
     pages : PageFormats
-        Formats of the small pages.
+        Formats of the pages served to callers and the platform.
     decode : callable
-        Reads a configuration; None where it can't.
+        Decodes a configuration; returns None if it is invalid.
     """
 
     def __init__(
@@ -109,19 +110,19 @@
             relay_port=_port(settings.listeners.relays),
         )
         self._members = Members(own)
-        self._busyness = EventLoopMonitor(settings.cores)
-        self._busyness.on_tick = self._note_load
-        self._belief = StoreCache(place.vm, decode)
+        self._event_loop = EventLoopMonitor(settings.cores)
+        self._event_loop.on_tick = self._update_load
+        self._store_cache = StoreCache(place.vm, decode)
         self._pool = ConnectionPool()
-        self._budget = RetryBudget(_limits(settings))
-        self._placer = FleetPlacer(self._belief.view, place.zone, settings.zones)
-        self._placer.set_sample_filter(lambda at: self._busyness.responsive_since(at))
+        self._budget = RetryBudget(_retry_limits(settings))
+        self._placer = FleetPlacer(self._store_cache.view, place.zone, settings.zones)
+        self._placer.set_sample_filter(lambda at: self._event_loop.responsive_since(at))
         self._metrics = FleetMetrics()
         self._server = RequestProxy(
             dialect, self._pool, self._placer, self._budget, self._metrics
         )
         self._server.is_overloaded = lambda: (
-            self._busyness.recently_blocked or self._busyness.overloaded
+            self._event_loop.recently_blocked or self._event_loop.overloaded
         )
         limits = CallerLimits()
         self._front = FrontServer(
@@ -130,39 +131,41 @@
             limits.body_bytes,
             limits.idle_seconds,
         )
-        self._front.reconnect_probability = lambda: self._busyness.rebalance_fraction
+        self._front.reconnect_probability = lambda: self._event_loop.rebalance_fraction
         acceptor = self._front.acceptor
-        acceptor.version = lambda: self._belief.version
-        self._offloading = ConnectionOffloader(self._members)
-        acceptor.choose_relay_target = self._choose_router
-        self._passing = OffloadLimiter()
-        acceptor.peers_have_capacity = lambda: self._passing.allowed
-        acceptor.on_relayed = self._note_passed_on
-        acceptor.on_relay_refused = self._passing.record_refusal
-        self._limit = ConnectionLimit()
-        acceptor.has_capacity = lambda: self._limit.allows(self._front.running)
-        asks_seeds = bool(settings.seeds) and own.peer_address not in settings.seeds
-        self._follower = StorePoller(place.vm, store, self._belief, asks_seeds)
-        self._registration = Registration(store, self._members, self._belief)
+        acceptor.version = lambda: self._store_cache.version
+        self._offloader = ConnectionOffloader(self._members)
+        acceptor.choose_relay_target = self._choose_relay_target
+        self._offload_limiter = OffloadLimiter()
+        acceptor.peers_have_capacity = lambda: self._offload_limiter.allowed
+        acceptor.on_relayed = self._record_offload
+        acceptor.on_relay_refused = self._offload_limiter.record_refusal
+        self._connection_limit = ConnectionLimit()
+        acceptor.has_capacity = lambda: self._connection_limit.allows(
+            self._front.running
+        )
+        has_seeds = bool(settings.seeds) and own.peer_address not in settings.seeds
+        self._store_poller = StorePoller(place.vm, store, self._store_cache, has_seeds)
+        self._registration = Registration(store, self._members, self._store_cache)
         self._socket = PeerSocket()
         admission = AdmissionController()
         coordinators = Coordinators(self._members)
         self._placer.load.coordinated_load = admission.total_load
-        self._asking = AdmissionRpc(
+        self._admission_rpc = AdmissionRpc(
             self._members,
-            self._belief.view,
+            self._store_cache.view,
             self._placer.load,
             admission,
             self._socket,
             coordinators,
         )
-        self._placer.set_admission_check(self._asking.request_admission)
+        self._placer.set_admission_check(self._admission_rpc.request_admission)
         self._placer.set_locator(
             PrefixLocator(self._members, self._socket, coordinators)
         )
-        self._spreading = Gossip(
+        self._gossip = Gossip(
             self._members,
-            self._belief,
+            self._store_cache,
             settings.seeds,
             self._placer.load,
             admission,
@@ -170,58 +173,58 @@
             self._socket,
             coordinators,
         )
-        self._spreading.on_membership_change = self._note_members
-        self._leaving = GracefulShutdown(
+        self._gossip.on_membership_change = self._update_router_count
+        self._shutdown = GracefulShutdown(
             settings.grace_seconds, self._front, self._server
         )
         self._page_servers: list[PageServer] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._belief.on_change.append(self._take_belief)
+        self._store_cache.on_change.append(self._apply_store_cache)
 
     async def start(self) -> None:
-        """Open the listeners and begin."""
+        """Open the listeners and start all tasks."""
         listeners = self._settings.listeners
         self._front.listen(*_split(listeners.callers))
         if listeners.relays:
             self._front.acceptor.listen_for_relays(*_split(listeners.relays))
-        self._listen(listeners.ready, self._answer_ready)
+        self._listen(listeners.ready, self._serve_ready)
         if listeners.addresses:
-            self._listen(listeners.addresses, self._answer_addresses)
-        self._listen(listeners.peers, self._answer_peers)
+            self._listen(listeners.addresses, self._serve_addresses)
+        self._listen(listeners.peers, self._serve_peers)
         if listeners.metrics:
-            self._listen(listeners.metrics, self._answer_metrics)
+            self._listen(listeners.metrics, self._serve_metrics)
         await self._socket.listen(*_split(listeners.peers))
         self._tasks = [
-            asyncio.create_task(self._spreading.run()),
-            asyncio.create_task(self._asking.run()),
-            asyncio.create_task(self._follower.run()),
+            asyncio.create_task(self._gossip.run()),
+            asyncio.create_task(self._admission_rpc.run()),
+            asyncio.create_task(self._store_poller.run()),
             asyncio.create_task(self._registration.run()),
-            asyncio.create_task(self._busyness.run()),
+            asyncio.create_task(self._event_loop.run()),
         ]
         _log.info("router started", vm=self._settings.place.vm)
 
     def apply_settings(self, settings: FleetSettings) -> None:
-        """Take what may change in the settings while the process runs."""
-        self._spreading.set_seeds(settings.seeds)
-        self._budget.set_limits(_limits(settings))
-        _log.info("settings taken", seeds=list(settings.seeds))
+        """Apply the settings that may change while the process runs."""
+        self._gossip.set_seeds(settings.seeds)
+        self._budget.set_limits(_retry_limits(settings))
+        _log.info("settings applied", seeds=list(settings.seeds))
 
     def begin_shutdown(self) -> None:
-        """Begin to leave."""
+        """Begin a graceful shutdown."""
         _log.info("router stops", running=self._front.running)
         self._members.set_state(MemberState.LEAVING)
-        self._spreading.send_heartbeats()
-        self._leaving.start()
+        self._gossip.send_heartbeats()
+        self._shutdown.start()
 
     async def wait_closed(self) -> None:
-        """Wait until nothing is left to be done."""
-        await self._leaving.wait()
+        """Wait for the end of the graceful shutdown, and close the router."""
+        await self._shutdown.wait()
         await self._registration.deregister()
         await self.close()
         _log.info("router stopped", running=self._front.running)
 
     async def close(self) -> None:
-        """End at once, without a word to anybody."""
+        """Close at once, without notifying other routers."""
         for task in self._tasks:
             task.cancel()
         self._front.stop()
@@ -229,129 +232,134 @@
         for server in self._page_servers:
             await server.close()
         self._pool.close()
-        self._spreading.close()
+        self._gossip.close()
         self._socket.close()
 
-    def _note_load(self) -> None:
-        """Tell how busy this router is, and limit its connections by its time."""
-        self._members.set_utilisation(self._busyness.utilisation)
-        self._passing.start_tick()
-        longest, used = (
-            self._busyness.pop_longest_iteration(),
-            self._busyness.loop_utilisation,
+    def _update_load(self) -> None:
+        """Report this router's utilisation, and adapt its limit of connections."""
+        self._members.set_utilisation(self._event_loop.utilisation)
+        self._offload_limiter.start_tick()
+        longest, utilisation = (
+            self._event_loop.pop_longest_iteration(),
+            self._event_loop.loop_utilisation,
         )
-        limited = math.isfinite(self._limit.limit)
-        self._limit.update(longest, used, self._front.running)
-        if limited == math.isfinite(self._limit.limit):
+        limited = math.isfinite(self._connection_limit.limit)
+        self._connection_limit.update(longest, utilisation, self._front.running)
+        if limited == math.isfinite(self._connection_limit.limit):
             return
-        # a warning, as ordinary lines give way on a crowded router
+        # a warning, as an overloaded router drops lines of lower levels
         _log.warning(
             "connections not limited" if limited else "connections limited",
-            limit=None if limited else round(self._limit.limit),
+            limit=None if limited else round(self._connection_limit.limit),
             running=self._front.running,
             longest_turn_ms=round(longest * 1000),
             refused=self._front.acceptor.refused,
         )
 
-    def _choose_router(self) -> str | None:
+    def _choose_relay_target(self) -> str | None:
         if self._server.leaving:
-            # a request that is passed on now might not end before this router does
+            # a connection offloaded now might not end before this router stops
             return None
-        return self._offloading.choose(self._busyness)
+        return self._offloader.choose(self._event_loop)
 
-    def _note_passed_on(self, router: str) -> None:
-        self._passing.record_offload()
-        self._offloading.record_offload(router)
+    def _record_offload(self, router: str) -> None:
+        self._offload_limiter.record_offload()
+        self._offloader.record_offload(router)
 
-    def _listen(self, address: str, answer: "object") -> None:
-        server = PageServer(answer)  # type: ignore[arg-type]
+    def _listen(self, address: str, handler: "object") -> None:
+        server = PageServer(handler)  # type: ignore[arg-type]
         server.listen(*_split(address))
         self._page_servers.append(server)
 
-    def _take_belief(self) -> None:
-        routing = self._belief.routing
+    def _apply_store_cache(self) -> None:
+        routing = self._store_cache.routing
         if routing is not None and routing is not self._server.routing:
             self._server.routing = routing
             self._placer.apply_routing(routing)
         self._placer.retain_endpoints()
-        self._share_connections()
-        if self._members.own.state is MemberState.STARTING and self._belief.version:
-            _log.info("router ready", version=self._belief.version)
+        self._limit_endpoint_connections()
+        if (
+            self._members.own.state is MemberState.STARTING
+            and self._store_cache.version
+        ):
+            _log.info("router ready", version=self._store_cache.version)
             self._members.set_state(MemberState.READY)
 
-    def _note_members(self) -> None:
+    def _update_router_count(self) -> None:
         self._budget.update_router_count(len(self._members.peers) + 1)
-        self._share_connections()
+        self._limit_endpoint_connections()
 
-    def _share_connections(self) -> None:
-        """Keep this router's part of the connections that each endpoint accepts."""
-        routing = self._belief.routing
+    def _limit_endpoint_connections(self) -> None:
+        """Limit this router to its fraction of each endpoint's connections."""
+        routing = self._store_cache.routing
         if routing is None:
             return
         routers = len(self._members.peers) + 1
-        caps = {}
-        for endpoint in self._belief.view.endpoints:
+        limits = {}
+        for endpoint in self._store_cache.view.endpoints:
             service = routing.services.get(endpoint.service)
             if service is not None:
-                part = CONNECTIONS_KEPT * service.max_connections / routers
-                caps[endpoint.address] = max(1, int(part))
-        self._pool.set_connection_limits(caps)
+                limit = POOLED_CONNECTIONS_FRACTION * service.max_connections / routers
+                limits[endpoint.address] = max(1, int(limit))
+        self._pool.set_connection_limits(limits)
 
-    def _answer_ready(self, path: str, arguments: dict[str, str]) -> Page:
+    def _serve_ready(self, path: str, arguments: dict[str, str]) -> Page:
         ready = self._members.own.state is MemberState.READY
         return Page(200 if ready else 503)
 
-    def _answer_addresses(self, path: str, arguments: dict[str, str]) -> Page:
+    def _serve_addresses(self, path: str, arguments: dict[str, str]) -> Page:
         if path != self._pages.addresses_path:
             return Page(404)
-        if self._busyness.recently_blocked:
-            # it can't tell who is silent; another router answers better
+        if self._event_loop.recently_blocked:
+            # its own delay makes other routers look silent; the caller tries another
             return Page(503)
         zone, region = self._pages.caller_location(arguments)
-        found = addresses_for(self._members.ready, self._settings.zones, zone, region)
-        if not found:
+        addresses = addresses_for(
+            self._members.ready, self._settings.zones, zone, region
+        )
+        if not addresses:
             return Page(503)
-        return self._pages.addresses_page(found, ADDRESS_SECONDS)
+        return self._pages.addresses_page(addresses, ADDRESS_CACHE_SECONDS)
 
-    def _answer_peers(self, path: str, arguments: dict[str, str]) -> Page:
+    def _serve_peers(self, path: str, arguments: dict[str, str]) -> Page:
         if path == STATE_PATH:
-            body = encode_state(self._spreading.snapshot())
+            body = encode_state(self._gossip.snapshot())
             return Page(200, body, "application/octet-stream")
         return Page(404)
 
-    def _answer_metrics(self, path: str, arguments: dict[str, str]) -> Page:
+    def _serve_metrics(self, path: str, arguments: dict[str, str]) -> Page:
         if path != METRICS_PATH:
             return Page(404)
         metrics = self._metrics
-        age = self._belief.age
+        age = self._store_cache.age
         metrics.set("running", self._front.running)
-        metrics.set("busy", self._busyness.utilisation)
+        metrics.set("busy", self._event_loop.utilisation)
         metrics.set("caller_connections", self._front.acceptor.accepted)
         metrics.set("connections_passed_on", self._front.acceptor.relayed)
         metrics.set("connections_refused", self._front.acceptor.refused)
-        metrics.set("version", self._belief.version)
+        metrics.set("version", self._store_cache.version)
         metrics.set("store_age_seconds", -1.0 if age is None else age)
-        metrics.set("store_era", self._belief.era or 0)
+        metrics.set("store_era", self._store_cache.era or 0)
         metrics.set("routers_answering", len(self._members.alive))
         metrics.set("routers_advertised", len(self._members.ready))
-        metrics.set("store_calls", self._follower.calls)
+        metrics.set("store_calls", self._store_poller.calls)
         metrics.set("endpoint_connections", self._pool.opened)
-        metrics.set("admissions_asked", self._asking.queries_sent)
-        metrics.set("admissions_unanswered", self._asking.queries_timed_out)
+        metrics.set("admissions_asked", self._admission_rpc.queries_sent)
+        metrics.set("admissions_unanswered", self._admission_rpc.queries_timed_out)
         metrics.set("peer_sent_bytes", self._socket.sent_bytes)
         metrics.set("peer_malformed", self._socket.malformed_count)
-        page = import_module(METRICS_PAGE).metrics_page(metrics)
-        return Page(200, page, METRICS_TYPE)
+        page = import_module(METRICS_PAGE_MODULE).metrics_page(metrics)
+        return Page(200, page, METRICS_CONTENT_TYPE)
 
 
-def _limits(settings: FleetSettings) -> RetryLimits:
+def _retry_limits(settings: FleetSettings) -> RetryLimits:
     return RetryLimits(
         settings.repeat_ratio, settings.repeat_extra, settings.repeat_window
     )
 
 
 def _port(address: str) -> int:
-    """Return the port of an address, 0 for none."""
+    """Return the port of an address, 0 for an empty one."""
     return _split(address)[1] if address else 0
 
 
--- a/packages/fleet/src/teaselledge_fleet/process/settings.py
+++ b/packages/fleet/src/teaselledge_fleet/process/settings.py
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True)
 class Place:
-    """Which VM this is and where.
+    """Name and location of the VM of this router.
 
     Attributes
     ----------
     vm : str
         Name of the VM.
     host : str
-        Its IP number.
+        Its IP address.
     zone, region : str
         Availability zone and region.
     """
@@ -33,17 +33,17 @@
     Attributes
     ----------
     callers : str
-        Requests to services.
+        For requests to services.
     ready : str
-        Whether this router takes requests.
+        For readiness checks.
     peers : str
-        Other routers, over UDP and over HTTP.
+        For other routers, over UDP and HTTP.
     addresses : str
-        Which routers callers should use.
+        For callers that request router addresses.
     metrics : str
-        Metrics as text; empty where they are not served.
+        For the metrics page; empty if it is not served.
     relays : str
-        Callers' connections that other routers pass on; empty where none are taken.
+        For connections that other routers offload; empty if none are accepted.
     """
 
     callers: str
@@ -61,31 +61,31 @@
     Attributes
     ----------
     place : Place
-        Where it is.
+        Name and location of its VM.
     zones : mapping of str to str
         Region of each availability zone.
     listeners : Listeners
-        Where it listens.
+        Addresses on which it listens.
     peer_ports : tuple of int
-        First and last port that are free for traffic between routers.
+        First and last port of the range for traffic between routers.
     seeds : tuple of str
-        Peer addresses of some routers; they may be stale.
+        Peer addresses of some routers, which may be out of date.
     memory_bytes, descriptors : int
-        Limits of the process.
+        Limits of the process: memory and open file descriptors.
     cores : float
-        Processor time a second.
+        CPU seconds that the process may use each second.
     grace_seconds : float
-        Time from the signal to stop to the kill.
+        Time between the signal to shut down and the kill.
     address_seconds : float
-        Longest time for which callers keep an answer of the address list.
+        Maximum time for which callers cache router addresses.
     repeat_ratio, repeat_window, repeat_extra : float
-        The fleet's budget of repeated sends; see `RetryLimits`.
+        The fleet's retry budget; see `RetryLimits`.
     share_window : float
-        Seconds over which organisations' shares are counted.
+        Seconds over which the token usage of organisations is counted.
     drain_seconds : float
-        Time within which a leaving endpoint must get no new work.
+        Time after which a leaving endpoint must get no new requests.
     beat_seconds : float
-        Time between two writes of an endpoint's entry.
+        Time between two writes of an endpoint's row.
     """
 
     place: Place
--- a/packages/fleet/tests/test_relay.py
+++ b/packages/fleet/tests/test_relay.py
@@ -89,7 +89,7 @@
 
 
 async def test_connection_is_served_locally_when_the_neighbour_is_unreachable(pair):
-    pair.overloaded.router._busyness.overloaded = False
+    pair.overloaded.router._event_loop.overloaded = False
     await pair.neighbour.router.close()
     response = await ask(pair.overloaded.port)
     assert (response.status, response.body) == (200, EVENT)
@@ -123,7 +123,7 @@
 
 async def test_neighbour_without_capacity_refuses(pair):
     """Several routers choose the same neighbour before it reports its utilisation."""
-    pair.neighbour.router._limit._limit = 0
+    pair.neighbour.router._connection_limit._limit = 0
     response = await ask(pair.overloaded.port)
     assert response.status == 503
     assert not pair.engine.received
@@ -132,10 +132,13 @@
 
 async def test_fewer_connections_are_relayed_after_the_neighbour_refuses(pair):
     """Otherwise two routers work on a request that neither serves, and callers wait."""
-    pair.neighbour.router._limit._limit = 0
+    pair.neighbour.router._connection_limit._limit = 0
     overloaded = pair.overloaded.router
     # the test calls start_tick itself
-    relay_rate, overloaded._passing.start_tick = overloaded._passing, lambda: None
+    relay_rate, overloaded._offload_limiter.start_tick = (
+        overloaded._offload_limiter,
+        lambda: None,
+    )
     for _ in range(REFUSED_REQUESTS):
         assert (await ask(pair.overloaded.port)).status == 503
     OffloadLimiter.start_tick(relay_rate)
--- a/packages/standins/src/teaselledge_standins/fleetrouters.py
+++ b/packages/standins/src/teaselledge_standins/fleetrouters.py
@@ -61,7 +61,7 @@
 
     def use_up(self) -> None:
         """Take all its processor time from it."""
-        self.router._busyness = UsedUp()  # type: ignore[assignment]
+        self.router._event_loop = UsedUp()  # type: ignore[assignment]
 
 
 def _settings(number: int, seeds: tuple[str, ...]) -> FleetSettings:
