--- a/packages/wire/fleet.thrift
+++ b/packages/wire/fleet.thrift
@@ -1,7 +1,7 @@
 // Messages between the routers of a fleet. Add fields with new numbers only: two
-// releases run side by side during an upgrade.
+// releases run side by side during an upgrade. "Hash" means the 31-bit hash of a name.
 
-// State is 0 starting, 1 ready, 2 leaving.
+// A router. State is 0 starting, 1 ready, 2 leaving.
 struct RouterInfo {
   1: string vm,
   2: i64 incarnation,
@@ -10,19 +10,19 @@
   5: string callers,
   6: string peers,
   7: i8 state,
-  // thousandths of a core that it may use, and the part in use in percent
+  // CPU time that it may use in thousandths of a core, and its utilisation in percent
   8: i32 cores,
   9: i8 busy,
-  // milliseconds since it was last heard itself, as far as the sender of this knows;
-  // absent where nobody that the sender knows of has heard it
+  // milliseconds since any router received a heartbeat from it, as known to the sender;
+  // absent if no router is known to have received one
   10: optional i32 silent_ms,
-  // port at which it takes over connections of callers, on the host of callers
+  // port for callers' connections that other routers offload, on the host in callers
   11: optional i32 relay_port,
 }
 
-// An endpoint's entry as of a revision of the store. The store's eras begin when it is
-// restored from a copy; sequence and born tell which of the endpoint's own statements
-// this is, also where it is gone.
+// An endpoint's entry at a revision of the store. The store's era rises with each
+// restore from a backup. born (start of the endpoint, Unix time in milliseconds) and
+// sequence identify its announcement, also if the entry is that of a deleted endpoint.
 struct EndpointState {
   1: string id,
   2: i64 revision,
@@ -37,7 +37,7 @@
   11: optional i64 sequence,
 }
 
-// Sent a few times a second. Ages are in milliseconds, -1 where unknown.
+// Heartbeat, sent a few times a second. Ages are in milliseconds, -1 if unknown.
 struct Pulse {
   1: i16 protocol,
   2: RouterInfo sender,
@@ -47,31 +47,32 @@
   6: i32 store_age,
   7: string follower,
   8: list<EndpointState> changes,
-  // whose work it tells of: 0 the sender's, 1 its zone's, 2 that of all but the receiver,
-  // 3 that of all, 4 nobody's
+  // routers whose load it contains: 0 the sender, 1 the sender's zone, 2 all but the
+  // receiver, 3 all, 4 none
   9: i8 scope,
-  // packed by teaselledge_fleet.connection.figures, to fit a datagram
+  // load and token usage, packed by teaselledge_fleet.connection.figures to fit a
+  // datagram
   10: binary work,
   11: binary uses,
   12: list<RouterInfo> others,
-  // routers of the sender's zone that answer it, packed
+  // status of the alive routers of the sender's zone, packed
   13: binary alive,
-  // the routers of one zone that admit to its endpoints, in some pulses
+  // coordinators of the endpoints of one zone, in some heartbeats
   14: list<RouterInfo> admitting,
-  // how long ago each router of alive was heard, packed
+  // time since the last heartbeat of each router in alive, packed
   15: optional binary alive_ages,
-  // with scope 3, which pulse of each router of alive is in the sums, a byte each; 0 for
-  // none. The router leaves out what it told in that pulse.
+  // with scope 3, one byte for each router in alive: the mark of its heartbeat that the
+  // totals include, 0 for none. The router subtracts what it sent in that heartbeat.
   16: optional binary alive_marks,
-  // numbers of routers to which the receiver passes this pulse on
+  // hashes of the routers to which the receiver forwards this heartbeat
   17: optional list<i32> pass_to,
-  // how many routers have passed it on already
+  // number of routers that have forwarded it so far
   18: optional i8 hops,
-  // newest era of the store that the sender knows of
+  // highest era of the store that the sender knows
   19: optional i32 era,
 }
 
-// Everything, for a router that knows less.
+// Snapshot of the sender's full state, fetched by a router whose state is older.
 struct WholeState {
   1: i16 protocol,
   2: RouterInfo sender,
@@ -84,8 +85,8 @@
   9: optional i32 era,
 }
 
-// Sent some times a second to each router that admits for endpoints at which the
-// sender has work. Senders are random numbers, new with each life of a process.
+// Load report, sent some times a second to each coordinator of endpoints at which the
+// sender has load. sender is a random number, new with each start of a process.
 struct WorkReport {
   1: i32 sender,
   2: i64 sequence,
@@ -93,52 +94,54 @@
   3: binary work,
 }
 
-// May the sender send a request to an endpoint? Times are in milliseconds.
+// Asks the coordinator of an endpoint to admit a request. Times are in milliseconds.
 struct AdmissionRequest {
   1: i32 sender,
-  // of the same row as those of reports; the reply bears it
+  // counted together with the sequence of WorkReport; repeated in the reply
   2: i64 sequence,
+  // hash of the endpoint
   3: i32 endpoint,
   4: i32 slots,
-  // what the sender has there without this request
+  // the sender's requests and their prefill time at the endpoint, without this request
   5: i32 running,
   6: i32 reading,
-  // how long the endpoint reads this request's prompt
+  // prefill time of this request's prompt
   7: i32 added,
-  // longest wait behind others that the request bears; under 0 where it is over
+  // maximum queueing time of the request; negative if it is exceeded already
   8: i32 most_wait,
 }
 
 struct AdmissionReply {
   1: i64 sequence,
   2: bool admitted,
-  // what others have at the endpoint
+  // other routers' requests and their prefill time at the endpoint
   3: i32 running,
   4: i32 reading,
 }
 
-// Which endpoints keep a part of prompts? Asked of the router that admits to the
-// part's first choice by hash.
+// Asks which endpoints cache a segment of prompts. Sent to the coordinator of the
+// segment's first choice of endpoint by hash.
 struct PartRequest {
   1: i64 sequence,
+  // hash of the segment
   2: i32 part,
-  // the part's first choice
+  // hash of the segment's first choice
   3: i32 endpoint,
 }
 
 struct PartReply {
   1: i64 sequence,
-  // keys of endpoints, the one that used it last first
+  // hashes of endpoints, the most recently used first
   2: list<i32> endpoints,
 }
 
-// An endpoint was given a prompt with the part. Not answered.
+// Reports that a prompt with the segment was sent to an endpoint. There is no reply.
 struct PartNote {
   1: i32 part,
   2: i32 endpoint,
 }
 
-// One datagram; one of the fields after the first is set.
+// One datagram; exactly one of the fields after the first is set.
 struct PeerMessage {
   1: i16 protocol,
   2: optional Pulse pulse,
--- a/packages/wire/router.thrift
+++ b/packages/wire/router.thrift
@@ -12,7 +12,7 @@
   8: optional i64 prefix,
   9: bool repeatable,
   10: list<string> excluded,
-  // the ingress, where a dispatcher passes the entry on
+  // the ingress, if a dispatcher forwards the entry
   11: optional string owner_vm,
   12: optional i64 owner_incarnation,
 }
@@ -28,7 +28,7 @@
   2: i64 grant,
   3: string endpoint,
   4: double charged,
-  // life of the ingress that asked; a later life numbers anew
+  // incarnation of the ingress of the request; each one numbers its requests anew
   5: optional i64 incarnation,
 }
 
@@ -45,11 +45,11 @@
   3: bool failed,
   4: double seconds,
   5: optional i64 request,
-  // another dispatcher counts it from now on
+  // set if another dispatcher counts the request from now on
   6: optional bool moved,
 }
 
-// Cost of a stream so far, sent when it has passed what was charged.
+// Cost of a stream so far, sent once it exceeds the charged cost.
 struct Progress {
   1: i64 grant,
   2: i64 request,
@@ -66,18 +66,18 @@
   7: optional string kind,
 }
 
-// What an ingress holds for one shard; repeated so that a new dispatcher
-// rebuilds itself.
+// Requests of an ingress in one shard; sent repeatedly so that a new dispatcher can
+// rebuild its state.
 struct Snapshot {
   1: list<Register> waiting,
   2: list<Running> running,
-  // count and digest of the request numbers; without full the lists are empty
+  // count and digest of the request numbers; the lists are empty unless full is set
   3: optional i32 count,
   4: optional i64 digest,
   5: optional bool full,
 }
 
-// Answers a digest; asks for the full snapshot where it did not match.
+// Response to a snapshot's digest; wanted requests the full snapshot after a mismatch.
 struct SnapshotReply { 1: bool wanted }
 
 struct Account {
@@ -88,28 +88,28 @@
   5: double oldest,
 }
 
-// Cumulative service counted by one dispatcher incarnation.
+// Cumulative service counted by one incarnation of a dispatcher.
 struct Report {
   1: string zone,
   2: i64 incarnation,
   3: i64 sequence,
   4: list<Account> accounts,
   5: i32 free_slots,
-  // set where it is the sum of a region, relayed by its representative
+  // set in the total of a region, which the region's representative sends
   6: optional string region,
   7: optional string vm,
 }
 
-// Asks the dispatcher of another zone for waiting work.
+// Asks the dispatcher of another zone for waiting requests.
 struct Fetch {
   1: string zone,
   2: string endpoint,
   3: list<string> organisations,
   4: i64 fetch,
   5: optional i32 count,
-  // who asks, where another dispatcher passed the message on
+  // VM of the requesting dispatcher, if another one forwarded the message
   6: optional string vm,
-  // how many of the count would start at once
+  // number of requests, out of count, that would start at once
   7: optional i32 idle,
 }
 
@@ -142,18 +142,19 @@
   21: optional string receiver,
 }
 
-// Sections of the document, asked for and given by digest.
+// Sections of the document, requested and returned by digest.
 struct SectionRequest { 1: list<string> digests }
 struct SectionAnswer { 1: map<string, binary> sections }
-// Without a head it only tells the number; the age is that of the last answer
-// of the store that any router told of.
+// Announces a version of the document; without a head, only its number. confirmed_ms
+// is the age of the latest response of the store that any router has reported.
 struct HeadNotice {
   1: i64 version,
   2: binary head,
   3: optional i32 confirmed_ms,
 }
 
-// One router's state as the sender knows it. State is 0 alive, 1 suspect, 2 dead.
+// Member report: the state of a router as known to the sender. State is 0 alive, 1
+// suspect, 2 dead.
 struct Rumour {
   1: string vm,
   2: i64 incarnation,
@@ -169,7 +170,7 @@
   12: optional string operator_address,
 }
 
-// What one router noticed about an endpoint, valid for some seconds.
+// Observation of an endpoint by one router, valid for the given seconds.
 struct EndpointNews {
   1: string service_name,
   2: string endpoint,
@@ -179,7 +180,7 @@
   6: i64 number,
 }
 
-// Sent every period to the neighbours; ask wants one in return.
+// Sent to the neighbours in each period; ask requests a Beat in return.
 struct Beat {
   1: i64 beat,
   2: i64 digest,
@@ -189,8 +190,8 @@
   6: bool ask,
 }
 
-// News, passed on by whoever learns something from it; ask wants all that the
-// receiver knows.
+// Changes, forwarded by each router to which they are new; ask requests the receiver's
+// full state.
 struct Gossip {
   1: list<Rumour> rumours,
   2: list<EndpointNews> endpoints,
@@ -219,7 +220,7 @@
   21: SnapshotReply snapshot_reply,
 }
 
-// One message. The service and zone name the shard that it is about.
+// One message. The service and zone identify the shard that it concerns.
 struct Message {
   1: Body body,
   2: optional string service_name,
