--- a/packages/fleet/src/teaselledge_fleet/process/gossip.py
+++ b/packages/fleet/src/teaselledge_fleet/process/gossip.py
@@ -66,8 +66,8 @@
 """Heartbeats that carry the same change, in case some of them are lost."""
 
 CHANGE_RESEND_SECONDS = 0.1
-"""Time between these heartbeats where routers forward them to others. A lost datagram
-then delays the change for a whole zone."""
+"""Time between these heartbeats if routers forward them to others. A lost datagram then
+delays the change for a whole zone."""
 
 REPORT_COUNT = 2
 """Member reports in a heartbeat that carries any."""
--- a/packages/fleet/src/teaselledge_fleet/process/registration.py
+++ b/packages/fleet/src/teaselledge_fleet/process/registration.py
@@ -28,7 +28,7 @@
 ROWS_PER_ZONE = 2
 """Number of routers in each zone that keep a row."""
 
-DEREGISTER_SECONDS = 0.5
+DEREGISTER_TIMEOUT_SECONDS = 0.5
 
 
 class Registration:
@@ -94,7 +94,7 @@
         if self._written_era is None:
             return
         try:
-            async with asyncio.timeout(DEREGISTER_SECONDS):
+            async with asyncio.timeout(DEREGISTER_TIMEOUT_SECONDS):
                 await self._store.delete_router(self._members.own.vm)
         except TimeoutError:
             _log.info("row not deleted in time", vm=self._members.own.vm)
--- a/packages/fleet/src/teaselledge_fleet/process/router.py
+++ b/packages/fleet/src/teaselledge_fleet/process/router.py
@@ -111,7 +111,7 @@
         )
         self._members = Members(own)
         self._event_loop = EventLoopMonitor(settings.cores)
-        self._event_loop.on_tick = self._update_load
+        self._event_loop.on_tick = self._update_utilisation
         self._store_cache = StoreCache(place.vm, decode)
         self._pool = ConnectionPool()
         self._budget = RetryBudget(_retry_limits(settings))
@@ -235,7 +235,7 @@
         self._gossip.close()
         self._socket.close()
 
-    def _update_load(self) -> None:
+    def _update_utilisation(self) -> None:
         """Report this router's utilisation, and adapt its limit of connections."""
         self._members.set_utilisation(self._event_loop.utilisation)
         self._offload_limiter.start_tick()
--- a/packages/fleet/src/teaselledge_fleet/process/sources.py
+++ b/packages/fleet/src/teaselledge_fleet/process/sources.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Generic, Protocol, Self, TypeVar
 
-__all__ = ["EXPIRY_SECONDS", "SUM_EXPIRY_SECONDS", "Addable", "StatsBySource"]
+__all__ = ["EXPIRY_SECONDS", "TOTAL_EXPIRY_SECONDS", "Addable", "StatsBySource"]
 
 EXPIRY_SECONDS = 2.0
 """Time after which the statistics of a silent router expire.
@@ -14,7 +14,7 @@
 its endpoints would look loaded and its organisations would look served for ever.
 """
 
-SUM_EXPIRY_SECONDS = 4.0
+TOTAL_EXPIRY_SECONDS = 4.0
 """The same time for a total that an aggregator sent. If it dies, the next aggregator
 takes 2 to 3 s to get the heartbeats of all routers; until then an old total is a better
 estimate than none."""
--- a/packages/fleet/src/teaselledge_fleet/process/storecache.py
+++ b/packages/fleet/src/teaselledge_fleet/process/storecache.py
@@ -25,8 +25,8 @@
 OUTAGE_SECONDS = 2.4
 """Time between two successful reads after which a store outage is assumed.
 
-A row expires after three heartbeat periods of 1.2 s. At most one of them has passed
-when the outage begins, so rows can't expire earlier.
+An endpoint writes its row every 1.2 s, and the row expires after three such periods. At
+most one of them has passed when an outage begins, so no row expires earlier.
 """
 
 CONFIRM_SECONDS = 6.0
@@ -35,8 +35,8 @@
 3.6 s."""
 
 POLLER_TIMEOUT_SECONDS = 1.0
-"""Age of a poller's last read after which it no longer counts as the poller: its period
-of 0.7 s and the time until its heartbeat arrives."""
+"""Age of a poller's last read after which it no longer counts as the poller: the poll
+period of 0.7 s plus the time until the heartbeat arrives."""
 
 MIN_AGE_DECREASE_SECONDS = 0.02
 """Minimum by which a reported age must be lower to be applied. A smaller difference
--- a/packages/fleet/src/teaselledge_fleet/process/sums.py
+++ b/packages/fleet/src/teaselledge_fleet/process/sums.py
@@ -6,7 +6,7 @@
 from teaselledge_fleet.process.members import Member
 from teaselledge_fleet.process.sent import NO_MARK, LoadStats, SentLoadStats, mark_of
 from teaselledge_fleet.process.shares import OrganisationShares, TokenUsage
-from teaselledge_fleet.process.sources import EXPIRY_SECONDS, SUM_EXPIRY_SECONDS
+from teaselledge_fleet.process.sources import EXPIRY_SECONDS, TOTAL_EXPIRY_SECONDS
 from teaselledge_fleet.process.topology import Scope
 from teaselledge_fleet.process.work import EndpointLoad, FleetLoad
 
@@ -91,13 +91,13 @@
     def update_zone(self, zone: str, stats: LoadStats) -> None:
         """Apply the total of a zone, sent by its aggregator."""
         self._zones.add(zone)
-        self._update(_zone_source(zone), stats, SUM_EXPIRY_SECONDS)
+        self._update(_zone_source(zone), stats, TOTAL_EXPIRY_SECONDS)
 
     def update_others(self, stats: LoadStats) -> None:
         """Apply the total of all other routers, sent by this zone's aggregator."""
         self._load.retain_only_source(OTHERS_SOURCE)
         self._shares.retain_only_source(OTHERS_SOURCE)
-        self._update(OTHERS_SOURCE, stats, SUM_EXPIRY_SECONDS)
+        self._update(OTHERS_SOURCE, stats, TOTAL_EXPIRY_SECONDS)
 
     def update_fleet(self, stats: LoadStats, mark: int) -> None:
         """Apply the total of the fleet, sent by this zone's aggregator.
--- a/packages/fleet/src/teaselledge_fleet/process/topology.py
+++ b/packages/fleet/src/teaselledge_fleet/process/topology.py
@@ -101,7 +101,7 @@
         self._aggregator: Member | None = None
         self._aggregator_at = -math.inf
         self._rounds = 0
-        self._recorded: dict[str, tuple[float, str]] = {}
+        self._last_totals: dict[str, tuple[float, str]] = {}
         """By zone, the loop time of its last total and the router that sent it."""
 
     @property
@@ -193,7 +193,7 @@
     def record_aggregator(self, member: Member) -> None:
         """Record a router that sent the total of its zone."""
         now = asyncio.get_running_loop().time()
-        self._recorded[member.zone] = (now, member.vm)
+        self._last_totals[member.zone] = (now, member.vm)
 
     def _other_aggregators(self) -> list[Member]:
         """Return the routers of other zones to which this zone's total is sent."""
@@ -201,14 +201,18 @@
         for member in self._members.peers:
             by_zone.setdefault(member.zone, []).append(member)
         by_zone.pop(self._members.own.zone, None)
-        return [m for members in by_zone.values() for m in self._candidates(members)]
+        return [
+            m
+            for members in by_zone.values()
+            for m in self._aggregator_candidates(members)
+        ]
 
-    def _candidates(self, members: Sequence[Member]) -> list[Member]:
+    def _aggregator_candidates(self, members: Sequence[Member]) -> list[Member]:
         """Return the aggregator of a zone, or candidates if it is not known.
 
         A router that is not the aggregator forwards the total to it.
         """
-        recorded_at, vm = self._recorded.get(members[0].zone, (-math.inf, ""))
+        recorded_at, vm = self._last_totals.get(members[0].zone, (-math.inf, ""))
         if asyncio.get_running_loop().time() - recorded_at <= AGGREGATOR_EXPIRY_SECONDS:
             recorded = [member for member in members if member.vm == vm]
             if recorded:
--- a/packages/fleet/tests/test_forwarding.py
+++ b/packages/fleet/tests/test_forwarding.py
@@ -117,8 +117,10 @@
         first, second = fleet.routers[:2]
         for scope in (*Scope, 9):
             sender = second.members.own.to_wire()
-            pulse = Pulse(PROTOCOL, sender, scope=int(scope), work=b"x", pass_to=[7])
-            first.take(encode_datagram(pulse), second.members.own.peer_address)
+            heartbeat = Pulse(
+                PROTOCOL, sender, scope=int(scope), work=b"x", pass_to=[7]
+            )
+            first.take(encode_datagram(heartbeat), second.members.own.peer_address)
         await asyncio.sleep(1)
         assert len(first.members.peers) == 19
 
