--- a/packages/fleet/src/teaselledge_fleet/process/admission.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admission.py
@@ -1,4 +1,4 @@
-"""Admit requests to the endpoints for which this router answers."""
+"""Admit requests to the endpoints that this router coordinates."""
 
 import asyncio
 from collections import defaultdict
@@ -10,36 +10,37 @@
 
 __all__ = ["AdmissionController", "AdmissionDecision", "AdmissionQuery"]
 
-FORGET_SECONDS = 1.5
-"""Time after which the work that a silent router told counts no more.
+LOAD_EXPIRY_SECONDS = 1.5
+"""Time after which the load reported by a router that went silent expires.
 
-Routers tell all their work each 0.6 s, so two reports in a row must be lost.
+Routers report their whole load every 0.6 s, so it expires only if two reports in a row
+are lost.
 """
 
-NOBODY = -1
-"""No router has this number."""
+NO_SENDER_ID = -1
+"""Sender id that no router has."""
 
 
 @dataclass(frozen=True)
 class AdmissionQuery:
-    """Whether a router may send a request to an endpoint.
+    """Request of a router to send a prompt to an endpoint.
 
     Attributes
     ----------
     sender : int
-        Number of the router.
+        Random id of the router.
     sequence : int
-        Place of the question among all that the router tells.
+        Sequence number among all messages of the router.
     endpoint_hash : int
-        Key of the endpoint.
+        Hash of the endpoint's id.
     slots : int
-        Requests that it runs at once.
+        Requests that the endpoint runs at once.
     sender_load : EndpointLoad
-        What the router has there, without this request.
+        Load of the router at the endpoint, without this request.
     prefill_seconds : float
-        Seconds in which the endpoint reads this request's prompt.
+        Expected prefill time of this request's prompt.
     max_wait : float
-        Seconds that the request may wait behind others.
+        Maximum queueing time of the request, in seconds.
     """
 
     sender: int
@@ -53,14 +54,14 @@
 
 @dataclass(frozen=True)
 class AdmissionDecision:
-    """What a router may do, and why.
+    """Response to an admission query.
 
     Attributes
     ----------
     admitted : bool
-        Whether it may send the request.
+        Whether the router may send the request.
     remote_load : EndpointLoad
-        What all other routers have at the endpoint.
+        Load of all other routers at the endpoint.
     """
 
     admitted: bool
@@ -68,95 +69,95 @@
 
 
 @dataclass(frozen=True)
-class _Record:
-    at: float
+class _SenderLoad:
+    received_at: float
     sequence: int
-    work: EndpointLoad
+    load: EndpointLoad
 
 
 class AdmissionController:
-    """Knows the work of all routers at some endpoints, and admits to them.
+    """Tracks the load of all routers at some endpoints and admits requests to them.
 
-    When each router decides by what it heard some tenths of a second ago, all of them
-    send to the endpoint that looked idle, and it is given more prompts than it can
-    read in time: first tokens come late for all, and parts are copied to engines that
-    were not to keep them. One router that hears of each request before it is sent
+    If each router decided by load that is some tenths of a second old, all would send
+    to the endpoint that looked idle. It would get more prompts than it can process in
+    time: first tokens would be late for all, and prefixes would be copied to engines
+    that should not cache them. A single coordinator sees each request before it is sent and
     counts them one after another.
     """
 
     def __init__(self) -> None:
-        self._records: defaultdict[int, dict[int, _Record]] = defaultdict(dict)
+        self._records: defaultdict[int, dict[int, _SenderLoad]] = defaultdict(dict)
 
     def record_load(
-        self, sender: int, sequence: int, work: Mapping[int, EndpointLoad]
+        self, sender: int, sequence: int, loads: Mapping[int, EndpointLoad]
     ) -> None:
-        """Take what a router has at endpoints; 0 requests where it has ended."""
-        for endpoint, each in work.items():
-            self._note(endpoint, sender, sequence, each)
-
-    def decide(self, question: AdmissionQuery) -> AdmissionDecision:
-        """Decide on a request, and count it if it is admitted."""
-        others = self._others(question.endpoint_hash, question.sender)
-        work = self._known(question)
-        wait = engine_queue_wait(others + work, question.slots)
-        admitted = wait <= question.max_wait
+        """Record a router's load by endpoint; 0 requests once all have ended."""
+        for endpoint, load in loads.items():
+            self._store_load(endpoint, sender, sequence, load)
+
+    def decide(self, query: AdmissionQuery) -> AdmissionDecision:
+        """Decide on a request and count it if it is admitted."""
+        remote_load = self._remote_load(query.endpoint_hash, query.sender)
+        load = self._sender_load(query)
+        wait = engine_queue_wait(remote_load + load, query.slots)
+        admitted = wait <= query.max_wait
         if admitted:
-            work = EndpointLoad(
-                work.in_flight + 1, work.prefill_seconds + question.prefill_seconds
+            load = EndpointLoad(
+                load.in_flight + 1, load.prefill_seconds + query.prefill_seconds
             )
-        self._note(question.endpoint_hash, question.sender, question.sequence, work)
-        return AdmissionDecision(admitted, others)
+        self._store_load(query.endpoint_hash, query.sender, query.sequence, load)
+        return AdmissionDecision(admitted, remote_load)
 
     def total_load(self, endpoint: int) -> EndpointLoad:
-        """Return what all routers together have at an endpoint, as far as told here."""
-        return self._others(endpoint, NOBODY)
+        """Return the load of all routers at an endpoint, as reported to this one."""
+        return self._remote_load(endpoint, NO_SENDER_ID)
 
     def total_loads(self) -> dict[int, EndpointLoad]:
-        """Return what all routers together have at the endpoints known here."""
-        oldest = self._now() - FORGET_SECONDS
+        """Return the load of all routers at each endpoint that has any."""
+        oldest_valid = self._now() - LOAD_EXPIRY_SECONDS
         totals = {}
         for endpoint, records in list(self._records.items()):
             for sender, record in list(records.items()):
-                if record.at < oldest:
+                if record.received_at < oldest_valid:
                     del records[sender]
             if not records:
                 del self._records[endpoint]
                 continue
-            total = sum((record.work for record in records.values()), EndpointLoad())
+            total = sum((record.load for record in records.values()), EndpointLoad())
             if total.in_flight:
                 totals[endpoint] = total
         return totals
 
-    def _known(self, question: AdmissionQuery) -> EndpointLoad:
-        """Return what the router that asks has at the endpoint without this request.
+    def _sender_load(self, query: AdmissionQuery) -> EndpointLoad:
+        """Return the load of the querying router without this request.
 
-        What was counted here goes before what it says: it may have asked for several
-        requests at once, and does not know yet which of them are admitted.
+        The load counted here takes precedence over the one in the query: the router may
+        have sent several queries at once and not know yet which were admitted.
         """
-        record = self._records[question.endpoint_hash].get(question.sender)
-        if record is None or record.at < self._now() - FORGET_SECONDS:
-            return question.sender_load
-        return record.work
+        record = self._records[query.endpoint_hash].get(query.sender)
+        if record is None or record.received_at < self._now() - LOAD_EXPIRY_SECONDS:
+            return query.sender_load
+        return record.load
 
-    def _others(self, endpoint: int, sender: int) -> EndpointLoad:
+    def _remote_load(self, endpoint: int, sender: int) -> EndpointLoad:
         records = self._records.get(endpoint)
         if not records:
             return EndpointLoad()
-        oldest = self._now() - FORGET_SECONDS
-        others = EndpointLoad()
-        for name, record in records.items():
-            if name != sender and record.at >= oldest:
-                others = others + record.work
-        return others
-
-    def _note(
-        self, endpoint: int, sender: int, sequence: int, work: EndpointLoad
+        oldest_valid = self._now() - LOAD_EXPIRY_SECONDS
+        remote_load = EndpointLoad()
+        for other_sender, record in records.items():
+            if other_sender != sender and record.received_at >= oldest_valid:
+                remote_load = remote_load + record.load
+        return remote_load
+
+    def _store_load(
+        self, endpoint: int, sender: int, sequence: int, load: EndpointLoad
     ) -> None:
-        known = self._records[endpoint].get(sender)
-        if known is not None and known.sequence > sequence:
-            # datagrams overtake one another; the later word holds
+        previous = self._records[endpoint].get(sender)
+        if previous is not None and previous.sequence > sequence:
+            # datagrams may arrive out of order; the latest report wins
             return
-        self._records[endpoint][sender] = _Record(self._now(), sequence, work)
+        self._records[endpoint][sender] = _SenderLoad(self._now(), sequence, load)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -1,4 +1,4 @@
-"""Ask the router that admits to an endpoint, and tell it of this router's work."""
+"""Request admission from endpoints' coordinators and report load to them."""
 
 import asyncio
 import secrets
@@ -27,35 +27,37 @@
 
 __all__ = ["AdmissionRpc", "PeerTransport"]
 
-REPORT_SECONDS = 0.1
-"""Time between two reports to a router. An answer that has begun counts as reading for
-half of it longer, an eighth of what requests wait at the bound."""
+REPORT_INTERVAL_SECONDS = 0.1
+"""Interval between two reports to a coordinator while load changes.
 
-REFRESH_SECONDS = 0.6
-"""Time after which all work is told again, against losses and for a router that has
-just become the one to ask."""
+On average, a response that has begun counts as prefill for half of it too long, an eighth
+of the queueing time at the limit."""
 
-SENDER_BITS = 31
-MILLISECONDS = 1000
-UNKNOWN = EndpointLoad(-1)
-"""Unlike any work that there can be."""
+FULL_REPORT_SECONDS = 0.6
+"""Interval at which all load is reported again, to make up for lost datagrams and for
+routers that have just become coordinators."""
+
+SENDER_ID_BITS = 31
+MS_PER_SECOND = 1000
+UNKNOWN_LOAD = EndpointLoad(-1)
+"""Differs from every possible load, so that the load is reported again."""
 
 
 class PeerTransport(Protocol):
-    """Carries messages to other routers."""
+    """Sends messages to other routers and dispatches those received."""
 
-    def on(self, kind: type, take: Callable[..., None]) -> None:
-        """Have messages of a kind taken, with the address of their sender."""
+    def on(self, message_type: type, handler: Callable[..., None]) -> None:
+        """Set the handler of a type of message; it also gets the sender's address."""
 
     def send(self, address: str, content: Datagram) -> None:
         """Send a message; it may be lost."""
 
     def send_all(self, addresses: Iterable[str], content: Datagram) -> None:
-        """Send the same message to some addresses."""
+        """Send the same message to several addresses."""
 
 
 class AdmissionRpc:
-    """This router's side of admission, and its answers to others.
+    """Client and server of admission queries between routers.
 
     Parameters
     ----------
@@ -63,117 +65,122 @@
         The routers.
     view : EndpointView
         The endpoints.
-    work : FleetLoad
-        What is under way.
+    load : FleetLoad
+        Load at the endpoints.
     admission : AdmissionController
-        Decides for the endpoints for which others ask this router.
+        Decides for the endpoints that this router coordinates.
     socket : PeerTransport
-        The way to other routers.
+        Connection to other routers.
     coordinators : Coordinators
-        Who admits to which endpoint.
+        Finds the coordinator of an endpoint.
 
     Attributes
     ----------
     queries_sent, queries_timed_out : int
-        Questions to other routers, and those without an answer in time.
+        Queries to other routers, and those without a reply in time.
     """
 
     def __init__(
         self,
         members: Members,
         view: EndpointView,
-        work: FleetLoad,
+        load: FleetLoad,
         admission: AdmissionController,
         socket: PeerTransport,
         coordinators: Coordinators,
     ) -> None:
         self._members = members
         self._view = view
-        self._work = work
+        self._load = load
         self._admission = admission
         self._socket = socket
         self._coordinators = coordinators
-        self._number = secrets.randbits(SENDER_BITS)
+        self._sender_id = secrets.randbits(SENDER_ID_BITS)
         self._sequence = 0
         self._replies: PendingReplies[AdmissionDecision] = PendingReplies()
-        self._known: dict[str, EndpointLoad] = {}
-        """What the routers that admit know of this router's work, by endpoint."""
+        self._reported_load: dict[str, EndpointLoad] = {}
+        """Load of this router that each endpoint's coordinator knows, by endpoint."""
         self.queries_sent = 0
         self.queries_timed_out = 0
-        socket.on(WorkReport, self._take_report)
-        socket.on(AdmissionRequest, self._take_request)
-        socket.on(AdmissionReply, self._take_reply)
+        socket.on(WorkReport, self._handle_report)
+        socket.on(AdmissionRequest, self._handle_request)
+        socket.on(AdmissionReply, self._handle_reply)
 
     async def request_admission(
-        self, endpoint: Endpoint, added: float, most_wait: float
+        self, endpoint: Endpoint, prefill_seconds: float, max_wait: float
     ) -> AdmissionDecision | None:
-        """Ask whether a request may be sent.
+        """Ask the coordinator whether a request may be sent.
 
         Parameters
         ----------
         endpoint : Endpoint
-            Where to; this router's work there counts the request already.
-        added : float
-            Seconds in which it reads the prompt.
-        most_wait : float
-            Seconds that the request may wait behind others.
+            The endpoint; this router's load there already includes the request.
+        prefill_seconds : float
+            Expected prefill time of the prompt.
+        max_wait : float
+            Maximum queueing time of the request, in seconds.
 
         Returns
         -------
-        Answer or None
-            None where nobody answered in time.
+        AdmissionDecision or None
+            None if no reply arrived in time.
         """
         coordinator = self._coordinators.for_endpoint(endpoint)
         if coordinator is None:
             return None
-        question = self._question(endpoint, added, most_wait)
+        query = self._make_query(endpoint, prefill_seconds, max_wait)
         if coordinator.vm == self._members.own.vm:
-            return self._noted(endpoint, added, self._admission.decide(question))
+            return self._record_decision(
+                endpoint, prefill_seconds, self._admission.decide(query)
+            )
         self.queries_sent += 1
-        self._socket.send(coordinator.peer_address, _to_wire(question))
-        answer = None
+        self._socket.send(coordinator.peer_address, _to_wire(query))
+        decision = None
         try:
-            answer = await self._coordinators.wait_for_reply(
-                coordinator, self._replies, question.sequence
+            decision = await self._coordinators.wait_for_reply(
+                coordinator, self._replies, query.sequence
             )
         finally:
-            if answer is None:
-                # it may have counted the request all the same: report in any case
-                self._known[endpoint.id] = UNKNOWN
-        if answer is None:
+            if decision is None:
+                # it may have counted the request nevertheless: report in any case
+                self._reported_load[endpoint.id] = UNKNOWN_LOAD
+        if decision is None:
             self.queries_timed_out += 1
             return None
-        return self._noted(endpoint, added, answer)
+        return self._record_decision(endpoint, prefill_seconds, decision)
 
-    def _noted(
-        self, endpoint: Endpoint, added: float, answer: AdmissionDecision
+    def _record_decision(
+        self, endpoint: Endpoint, prefill_seconds: float, decision: AdmissionDecision
     ) -> AdmissionDecision:
-        """Note that whoever admitted a request has counted it, and need not be told.
+        """Record that the coordinator has counted an admitted request.
 
-        Also where this router admits itself: a request that ends before the next report
-        would look as if it had never been counted, and would stay counted.
+        It needs no report of it. This also holds if this router is the coordinator: a
+        request that ended before the next report would otherwise cause none, and would
+        stay counted.
         """
-        if answer.admitted:
-            known = self._known.get(endpoint.id, EndpointLoad())
-            self._known[endpoint.id] = known + EndpointLoad(1, added)
-        return answer
+        if decision.admitted:
+            reported = self._reported_load.get(endpoint.id, EndpointLoad())
+            self._reported_load[endpoint.id] = reported + EndpointLoad(
+                1, prefill_seconds
+            )
+        return decision
 
     async def run(self) -> None:
-        """Report changes for ever, and everything from time to time."""
+        """Report changes of load, and regularly all load, until cancelled."""
         loop = asyncio.get_running_loop()
-        refreshed = loop.time()
+        last_full_report = loop.time()
         while True:
-            await self._work.wait_for_change(REFRESH_SECONDS)
-            await asyncio.sleep(REPORT_SECONDS)
-            changed = {n for n in self._work.pop_changed() if self._is_news(n)}
-            if loop.time() - refreshed >= REFRESH_SECONDS:
-                refreshed = loop.time()
-                changed |= set(self._work.active_endpoints)
-                self._forget()
+            await self._load.wait_for_change(FULL_REPORT_SECONDS)
+            await asyncio.sleep(REPORT_INTERVAL_SECONDS)
+            changed = {n for n in self._load.pop_changed() if self._needs_report(n)}
+            if loop.time() - last_full_report >= FULL_REPORT_SECONDS:
+                last_full_report = loop.time()
+                changed |= set(self._load.active_endpoints)
+                self._retain_endpoints()
             self.report_load(changed)
 
     def report_load(self, endpoints: Iterable[str]) -> None:
-        """Tell of this router's work at some endpoints."""
+        """Report this router's load at some endpoints to their coordinators."""
         reports: defaultdict[str, dict[int, EndpointLoad]] = defaultdict(dict)
         addresses: dict[str, str] = {}
         for name in endpoints:
@@ -184,86 +191,98 @@
             if coordinator is None:
                 continue
             addresses[coordinator.vm] = coordinator.peer_address
-            self._known[name] = self._work.local(name)
-            reports[coordinator.vm][name_hash(name)] = self._work.local(name)
-        for vm, work in reports.items():
+            self._reported_load[name] = self._load.local(name)
+            reports[coordinator.vm][name_hash(name)] = self._load.local(name)
+        for vm, load in reports.items():
             self._sequence += 1
             if vm == self._members.own.vm:
-                self._admission.record_load(self._number, self._sequence, work)
+                self._admission.record_load(self._sender_id, self._sequence, load)
                 continue
-            report = WorkReport(self._number, self._sequence, pack_work(work))
+            report = WorkReport(self._sender_id, self._sequence, pack_work(load))
             self._socket.send(addresses[vm], report)
 
-    def _is_news(self, name: str) -> bool:
-        """Whether the router that admits to an endpoint knows other work of this one.
+    def _needs_report(self, name: str) -> bool:
+        """Whether an endpoint's coordinator knows another load than the current one.
 
-        Of four changes that a request makes, it knows two from its own answers.
+        Of the four changes that a request causes, it knows two from its own decisions.
         """
-        own, known = self._work.local(name), self._known.get(name, EndpointLoad())
-        apart = abs(own.prefill_seconds - known.prefill_seconds)
-        return own.in_flight != known.in_flight or apart * MILLISECONDS >= 1
+        local_load, reported = (
+            self._load.local(name),
+            self._reported_load.get(name, EndpointLoad()),
+        )
+        difference = abs(local_load.prefill_seconds - reported.prefill_seconds)
+        return (
+            local_load.in_flight != reported.in_flight
+            or difference * MS_PER_SECOND >= 1
+        )
 
-    def _forget(self) -> None:
-        """Forget endpoints that are gone."""
+    def _retain_endpoints(self) -> None:
+        """Drop the state of endpoints that no longer exist."""
         names = {endpoint.id for endpoint in self._view.endpoints}
         self._coordinators.retain_endpoints(names)
-        self._known = {n: w for n, w in self._known.items() if n in names}
+        self._reported_load = {
+            n: load for n, load in self._reported_load.items() if n in names
+        }
 
-    def _question(
-        self, endpoint: Endpoint, added: float, most_wait: float
+    def _make_query(
+        self, endpoint: Endpoint, prefill_seconds: float, max_wait: float
     ) -> AdmissionQuery:
         self._sequence += 1
-        own = self._work.local(endpoint.id).subtract(EndpointLoad(1, added))
+        local_load = self._load.local(endpoint.id).subtract(
+            EndpointLoad(1, prefill_seconds)
+        )
         return AdmissionQuery(
-            self._number,
+            self._sender_id,
             self._sequence,
             name_hash(endpoint.id),
             endpoint.slots,
-            own,
-            added,
-            most_wait,
+            local_load,
+            prefill_seconds,
+            max_wait,
         )
 
-    def _take_report(self, report: WorkReport, sender: str) -> None:
-        work = unpack_work(report.work or b"")
-        self._admission.record_load(report.sender or 0, report.sequence or 0, work)
+    def _handle_report(self, report: WorkReport, sender: str) -> None:
+        load = unpack_work(report.work or b"")
+        self._admission.record_load(report.sender or 0, report.sequence or 0, load)
 
-    def _take_request(self, request: AdmissionRequest, sender: str) -> None:
-        answer = self._admission.decide(_from_wire(request))
-        others = answer.remote_load
-        reading = int(others.prefill_seconds * MILLISECONDS)
+    def _handle_request(self, request: AdmissionRequest, sender: str) -> None:
+        decision = self._admission.decide(_from_wire(request))
+        remote_load = decision.remote_load
+        prefill_ms = int(remote_load.prefill_seconds * MS_PER_SECOND)
         reply = AdmissionReply(
-            request.sequence, answer.admitted, others.in_flight, reading
+            request.sequence, decision.admitted, remote_load.in_flight, prefill_ms
         )
         self._socket.send(sender, reply)
 
-    def _take_reply(self, reply: AdmissionReply, sender: str) -> None:
-        others = EndpointLoad(reply.running or 0, (reply.reading or 0) / MILLISECONDS)
-        answer = AdmissionDecision(bool(reply.admitted), others)
-        self._replies.resolve(reply.sequence or 0, answer)
+    def _handle_reply(self, reply: AdmissionReply, sender: str) -> None:
+        remote_load = EndpointLoad(
+            reply.running or 0, (reply.reading or 0) / MS_PER_SECOND
+        )
+        decision = AdmissionDecision(bool(reply.admitted), remote_load)
+        self._replies.resolve(reply.sequence or 0, decision)
 
 
-def _to_wire(question: AdmissionQuery) -> AdmissionRequest:
+def _to_wire(query: AdmissionQuery) -> AdmissionRequest:
     return AdmissionRequest(
-        question.sender,
-        question.sequence,
-        question.endpoint_hash,
-        question.slots,
-        question.sender_load.in_flight,
-        int(question.sender_load.prefill_seconds * MILLISECONDS),
-        int(question.prefill_seconds * MILLISECONDS),
-        int(question.max_wait * MILLISECONDS),
+        query.sender,
+        query.sequence,
+        query.endpoint_hash,
+        query.slots,
+        query.sender_load.in_flight,
+        int(query.sender_load.prefill_seconds * MS_PER_SECOND),
+        int(query.prefill_seconds * MS_PER_SECOND),
+        int(query.max_wait * MS_PER_SECOND),
     )
 
 
 def _from_wire(request: AdmissionRequest) -> AdmissionQuery:
-    work = EndpointLoad(request.running or 0, (request.reading or 0) / MILLISECONDS)
+    load = EndpointLoad(request.running or 0, (request.reading or 0) / MS_PER_SECOND)
     return AdmissionQuery(
         request.sender or 0,
         request.sequence or 0,
         request.endpoint or 0,
         request.slots or 1,
-        work,
-        (request.added or 0) / MILLISECONDS,
-        (request.most_wait or 0) / MILLISECONDS,
+        load,
+        (request.added or 0) / MS_PER_SECOND,
+        (request.most_wait or 0) / MS_PER_SECOND,
     )
--- a/packages/fleet/src/teaselledge_fleet/process/choosing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/choosing.py
@@ -26,68 +26,73 @@
 ]
 
 DELAY_WEIGHT = 0.1
-"""What a second of delay weighs against a second of an engine's time.
+"""Weight of a second of delay relative to a second of engine time.
 
-An answer within the objective is worth the same whether it came early or late, so
-delay alone must not scatter prompts over engines that then read their parts again.
+A response within the latency objective is worth the same whether it is early or late,
+so delay alone must not spread prompts over engines that would repeat the prefill of
+their prefixes.
 """
 
 TOLERATED_DELAY_FRACTION = 0.3
-"""Part of the objective up to which a delay harms nobody; see `waiting.WAIT_FRACTION`
-for where requests are refused."""
+"""Fraction of the latency objective below which a delay costs nothing extra.
+
+`waiting.WAIT_FRACTION` is the limit at which requests are refused."""
 
 OVERRUN_WEIGHT = 3.0
-"""What a second of delay beyond that weighs besides."""
+"""Additional weight of a second of delay beyond the tolerated one."""
 
-FETCH_SECONDS = 0.0025
+COPY_SETUP_SECONDS = 0.0025
 COPY_SECONDS_PER_TOKEN = 3.2e-5
-"""Price of having parts copied from another engine: 2.5 ms to set up, and a token 1.4
-us on the engines' link of 740 Gbit/s and 3.1 us for what the copy is billed. The second
-copy also pushes as many tokens of other parts out of a memory that is always full,
-and most of them are read again, at 13.5 us of an engine's time and as much billed.
+"""Cost of copying a prefix from another engine.
+
+The set-up takes 2.5 ms. A token takes 1.4 us on the engines' link of 740 Gbit/s and is
+billed as much as 3.1 us of engine time. A second copy also evicts as many tokens of
+other prefixes from a cache that is always full. Most of them are computed again, at
+13.5 us of engine time a token, and as much again is billed.
 """
 
-FULLNESS_SECONDS = 0.06
-"""Price of a place on an engine whose slots are all taken, against an empty one.
+OCCUPANCY_COST_SECONDS = 0.06
+"""Cost of an engine whose slots are all in use, compared with an idle one.
 
-Each running request makes the tokens of all others slower, by 0.2 ms of 12 ms. A
-prompt with little to share goes where few run; one with a long shared part stays. It
-grows with the square, so that engines with room are not evened out for the price of
-bytes between zones.
+Each running request slows down the token generation of all others by 0.2 ms of 12 ms.
+Prompts with a short shared prefix therefore go to engines with few requests, and those
+with a long one stay where it is cached. The cost grows with the square of the
+occupancy, so that load is not balanced between engines with room at the price of
+traffic between zones.
 """
 
-FAILING_SECONDS = 0.6
-"""Detour that avoiding an endpoint whose every attempt fails is worth."""
+FAILURE_COST_SECONDS = 0.6
+"""Cost of an endpoint at which every attempt fails."""
 
 MAX_CANDIDATES = 12
-"""Engines that are looked at for a prompt, the first that should keep its shared part.
+"""Maximum number of engines considered for a prompt, in rendezvous order.
 
-One of twelve has room if any has, and twelve are in every zone of six by twos. Looking
-at all 45 took 1.6 ms a request, a tenth of a small router's processor time.
+If any engine has room, one of twelve has. Twelve are two for each of six zones.
+Considering all 45 took 1.6 ms a request, a tenth of a small router's CPU time.
 """
 
-ANSWER_BYTES_PER_TOKEN = 20
+RESPONSE_BYTES_PER_TOKEN = 20
 BYTES_PER_KILOBYTE = 1024
 
 
 @dataclass(frozen=True)
 class Candidate:
-    """An endpoint that an attempt could be sent to.
+    """An endpoint to which an attempt could be sent.
 
     Attributes
     ----------
     endpoint : Endpoint
-        Where.
+        The endpoint.
     prefill_seconds : float
-        Seconds in which it reads the prompt; 0 at a plain service.
+        Expected prefill time of the prompt; 0 at a plain service.
     wait : float
-        Seconds until it begins.
+        Expected queueing time in seconds; at a plain service, time to the response.
     cost : float
-        What sending it there costs, in seconds of an engine's time.
+        Cost of sending the attempt there, in seconds of engine time.
     fetch_from : str or None
-        Address of an engine that may keep the shared parts.
+        Address of an engine that may have the shared prefix cached.
     has_prefix : bool
-        Whether it is taken to keep them itself.
+        Whether the endpoint itself is assumed to have it cached.
     """
 
     endpoint: Endpoint
@@ -100,20 +105,20 @@
 
 @dataclass(frozen=True)
 class PromptRequirements:
-    """What a prompt asks of an engine.
+    """Properties of a prompt that determine its cost at each engine.
 
     Attributes
     ----------
     prefix_id : str or None
-        The longest shared part of the prompt.
+        Id of the prompt's longest shared prefix.
     prefix_tokens, suffix_tokens : int
-        Tokens up to the end of that part, and after it.
+        Tokens in that prefix, and after it.
     kilobytes : float
-        Size of request and answer.
+        Size of request and response.
     ranked_engines : list of Endpoint
-        In the order in which they should keep the part.
+        Candidate engines in the rendezvous order of the prefix.
     holders : tuple of int
-        Keys of the engines that keep the part, the one that used it last first.
+        Hashes of the engines that have the prefix cached, most recently used first.
     """
 
     prefix_id: str | None
@@ -127,24 +132,26 @@
     def from_context(
         cls, context: RequestContext, endpoints: Sequence[Endpoint]
     ) -> "PromptRequirements":
-        """Return the demand of a request with a prompt; its holders are not known."""
+        """Return the requirements of a request with a prompt, without holders."""
         prompt = context.request.prompt
         assert prompt is not None
-        part = shared_prefix_id(prompt)
-        shared = shared_prefix_tokens(prompt)
-        answer = expected_output_tokens(prompt) * ANSWER_BYTES_PER_TOKEN
+        prefix_id = shared_prefix_id(prompt)
+        prefix_tokens = shared_prefix_tokens(prompt)
+        response_bytes = expected_output_tokens(prompt) * RESPONSE_BYTES_PER_TOKEN
         return cls(
-            part,
-            shared,
-            prompt.input_tokens - shared,
-            (len(context.body) + answer) / BYTES_PER_KILOBYTE,
-            rendezvous_order(part or context.request.id, endpoints)[:MAX_CANDIDATES],
+            prefix_id,
+            prefix_tokens,
+            prompt.input_tokens - prefix_tokens,
+            (len(context.body) + response_bytes) / BYTES_PER_KILOBYTE,
+            rendezvous_order(prefix_id or context.request.id, endpoints)[
+                :MAX_CANDIDATES
+            ],
         )
 
     def fetch_source(self, endpoint: Endpoint) -> Endpoint | None:
-        """Return the engine from which another one should copy the part.
+        """Return the engine from which an endpoint should copy the prefix.
 
-        Where nobody is known to keep it, the first choice may have it still.
+        If no holder is known, the first choice may still have it cached.
         """
         if self.prefix_id is None:
             return None
@@ -157,88 +164,101 @@
 
 
 class EndpointChooser:
-    """Weighs endpoints by delay, bytes, failures and what they must read.
+    """Ranks endpoints by delay, transfer cost, failures, occupancy and cached prefix.
 
     Attributes
     ----------
     response_times : ResponseTimeModel
-        Learns how long plain services take.
+        Estimates the response times of plain services.
     prefill : PrefillModel
-        Learns how long model engines read.
+        Estimates the prefill times of engines.
     """
 
     def __init__(
-        self, distance: Distance, work: FleetLoad, results: OutlierDetector
+        self, distance: Distance, load: FleetLoad, outliers: OutlierDetector
     ) -> None:
         self._distance = distance
-        self._work = work
-        self._results = results
+        self._load = load
+        self._outliers = outliers
         self.response_times = ResponseTimeModel()
         self.prefill = PrefillModel()
 
     def best_plain_endpoint(
         self, context: RequestContext, endpoints: Sequence[Endpoint]
     ) -> Candidate:
-        """Return the best endpoint of a plain service."""
+        """Return the endpoint of a plain service with the lowest cost."""
         kilobytes = len(context.body) / BYTES_PER_KILOBYTE
         candidates = []
         for endpoint in endpoints:
-            work = self._work.total(endpoint.id)
-            wait = self.response_times.predict(endpoint.id, work, endpoint.slots)
-            cost = self._detour(endpoint, context, kilobytes, wait)
+            load = self._load.total(endpoint.id)
+            wait = self.response_times.predict(endpoint.id, load, endpoint.slots)
+            cost = self._overhead_cost(endpoint, context, kilobytes, wait)
             candidates.append(Candidate(endpoint, 0.0, wait, cost + _tie_break()))
         return min(candidates, key=lambda candidate: candidate.cost)
 
     def rank_engines(
-        self, context: RequestContext, demand: PromptRequirements
+        self, context: RequestContext, requirements: PromptRequirements
     ) -> list[Candidate]:
-        """Return the engines for a prompt, the best first."""
+        """Return the candidate engines for a prompt, lowest cost first."""
         candidates = [
-            self._engine(each, context, demand) for each in demand.ranked_engines
+            self._weigh_engine(endpoint, context, requirements)
+            for endpoint in requirements.ranked_engines
         ]
         return sorted(candidates, key=lambda candidate: candidate.cost)
 
-    def _engine(
-        self, endpoint: Endpoint, context: RequestContext, demand: PromptRequirements
+    def _weigh_engine(
+        self,
+        endpoint: Endpoint,
+        context: RequestContext,
+        requirements: PromptRequirements,
     ) -> Candidate:
-        holds = name_hash(endpoint.id) in demand.holders
-        first = endpoint is demand.ranked_engines[0]
-        unread = (
-            demand.suffix_tokens
-            if demand.holders
-            else demand.prefix_tokens + demand.suffix_tokens
+        has_prefix = name_hash(endpoint.id) in requirements.holders
+        is_first_choice = endpoint is requirements.ranked_engines[0]
+        uncached_tokens = (
+            requirements.suffix_tokens
+            if requirements.holders
+            else requirements.prefix_tokens + requirements.suffix_tokens
         )
-        tokens = demand.prefix_tokens + demand.suffix_tokens
-        reading = self.prefill.predict(endpoint.service, tokens, unread)
-        work = self._work.total(endpoint.id)
-        wait = engine_queue_wait(work, endpoint.slots)
-        cost = self._detour(endpoint, context, demand.kilobytes, wait)
-        cost += FULLNESS_SECONDS * (work.in_flight / endpoint.slots) ** 2
-        if demand.prefix_id is not None and not (
-            holds or (first and not demand.holders)
+        input_tokens = requirements.prefix_tokens + requirements.suffix_tokens
+        prefill_seconds = self.prefill.predict(
+            endpoint.service, input_tokens, uncached_tokens
+        )
+        load = self._load.total(endpoint.id)
+        wait = engine_queue_wait(load, endpoint.slots)
+        cost = self._overhead_cost(endpoint, context, requirements.kilobytes, wait)
+        cost += OCCUPANCY_COST_SECONDS * (load.in_flight / endpoint.slots) ** 2
+        if requirements.prefix_id is not None and not (
+            has_prefix or (is_first_choice and not requirements.holders)
         ):
-            # where nobody keeps the part, its first choice should be the one to read it
-            cost += FETCH_SECONDS + demand.prefix_tokens * COPY_SECONDS_PER_TOKEN
-        source = demand.fetch_source(endpoint)
+            # without a holder, the first choice should be the one to compute the prefix
+            cost += (
+                COPY_SETUP_SECONDS + requirements.prefix_tokens * COPY_SECONDS_PER_TOKEN
+            )
+        source = requirements.fetch_source(endpoint)
         address = source.address if source is not None else None
         cost += _tie_break()
-        return Candidate(endpoint, reading, wait, cost, address, holds)
+        return Candidate(endpoint, prefill_seconds, wait, cost, address, has_prefix)
 
-    def _detour(
+    def _overhead_cost(
         self, endpoint: Endpoint, context: RequestContext, kilobytes: float, wait: float
     ) -> float:
-        """Return what delay, failures and bytes on the way cost, in seconds."""
-        failing = self._results.failure_rate(endpoint.id) * FAILING_SECONDS
+        """Return the cost of delay, failures and transfer, in engine seconds."""
+        failure_cost = self._outliers.failure_rate(endpoint.id) * FAILURE_COST_SECONDS
         delay = wait + self._distance.round_trip_seconds(endpoint.zone)
         overrun = max(
             0.0, delay - TOLERATED_DELAY_FRACTION * context.route.latency_objective
         )
-        paid = self._distance.transfer_cost(endpoint.zone, kilobytes)
-        return failing + paid + DELAY_WEIGHT * delay + OVERRUN_WEIGHT * overrun
+        transfer_cost = self._distance.transfer_cost(endpoint.zone, kilobytes)
+        return (
+            failure_cost
+            + transfer_cost
+            + DELAY_WEIGHT * delay
+            + OVERRUN_WEIGHT * overrun
+        )
 
 
 def expected_output_tokens(prompt: Prompt) -> int:
-    """Return how many tokens an answer is expected to have."""
+    """Return the expected number of tokens in a response."""
     if prompt.expected_output_tokens is not None:
         return min(
             prompt.expected_output_tokens,
@@ -248,5 +268,5 @@
 
 
 def _tie_break() -> float:
-    """Return up to 0.2 ms, so that routers don't all choose the same of two."""
+    """Return up to 0.2 ms, so that routers don't all choose the same of two equals."""
     return random.random() * 0.0002
--- a/packages/fleet/src/teaselledge_fleet/process/placing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/placing.py
@@ -35,84 +35,93 @@
 
 _log = get_log("placing")
 
-SHARE_TOLERANCE = 1.1
-"""Organisations within a tenth of the level count as inside; the views of two
-routers differ by about that much."""
+SHARE_TOLERANCE_FACTOR = 1.1
+"""Factor by which an organisation may exceed its share and still count as inside it.
+
+The views of two routers differ by about a tenth."""
 
 MIN_LOOKUP_TOKENS = 1000
-"""Length of a shared part from which on the fleet's directory is asked for it.
+"""Minimum length of a shared prefix for which the fleet's directory is queried.
 
-An engine reads fewer tokens in 15 ms, about as long as asking and copying take.
+For fewer tokens an engine needs less than 15 ms of prefill, which is about as long as
+the query and the copy take.
 """
 
 MAX_ADMISSION_QUERIES = 3
-"""Endpoints that are asked for one request. Each may be 40 ms away, and one that finds
-three of its likeliest full is not going to be served in time."""
+"""Maximum number of endpoints whose coordinator is queried for one request.
+
+Each coordinator may be 40 ms away; a request that finds its three best endpoints full
+would not be served in time."""
 
-RETRY_SOONEST = 0.3
-RETRY_LATEST = 1.2
-"""Seconds in which refused callers come back, spread evenly.
+MIN_RETRY_AFTER_SECONDS = 0.3
+MAX_RETRY_AFTER_SECONDS = 1.2
+"""Range from which the Retry-After of refused callers is drawn uniformly.
 
-A backlog at the bound is read within 0.4 s; callers that came back all at once
-would make the next one. Callers of an organisation over its share come back until
-its use has left the window, up to 4 s: before that they would be refused again.
+Engines work off a backlog at the limit within 0.4 s; callers that all retried at once
+would cause the next one. For organisations over their share the range extends to
+the time at which their usage has left the window, up to 4 s: before that they would be
+refused again.
 """
 
 
 @dataclass(frozen=True)
-class _Sent:
-    """A request at an endpoint.
+class _SentRequest:
+    """A request in flight at an endpoint.
 
     Attributes
     ----------
-    reading : float
-        Seconds of reading that it counts for; 0 once its answer has begun.
-    at : float
-        Loop time of its sending.
+    prefill_seconds : float
+        Expected prefill time; 0 once the response has begun.
+    sent_at : float
+        Loop time at which it was sent.
     wait : float
-        Seconds that it was to wait behind others.
+        Expected queueing time, in seconds.
     """
 
-    reading: float
-    at: float
+    prefill_seconds: float
+    sent_at: float
     wait: float = 0.0
 
 
 class AdmissionCheck(Protocol):
-    """Asks whether a prompt may be sent to an endpoint."""
+    """Checks with the coordinator whether a prompt may be sent to an endpoint."""
 
     async def __call__(
-        self, endpoint: Endpoint, added: float, most_wait: float
+        self, endpoint: Endpoint, prefill_seconds: float, max_wait: float
     ) -> AdmissionDecision | None:
-        """Return the answer, None where nobody gave one in time."""
+        """Return the decision; None if no reply arrived in time."""
 
 
-async def _nobody(
-    endpoint: Endpoint, added: float, most_wait: float
+async def _skip_admission_check(
+    endpoint: Endpoint, prefill_seconds: float, max_wait: float
 ) -> AdmissionDecision | None:
     return None
 
 
 class Locator(Protocol):
-    """Finds the endpoints that keep a shared part of prompts."""
+    """Finds the endpoints that have a shared prefix cached."""
 
-    async def locate(self, part: str, first_choice: Endpoint) -> list[int] | None:
-        """Return their keys, the latest user first; None where nobody answers."""
+    async def locate(self, prefix: str, first_choice: Endpoint) -> list[int] | None:
+        """Return their hashes, most recently used first; None if there is no reply."""
 
-    def report_use(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
-        """Tell that an endpoint was given a prompt with the part."""
+    def report_use(
+        self, prefix: str, first_choice: Endpoint, endpoint: Endpoint
+    ) -> None:
+        """Report that a prompt with the prefix was sent to an endpoint."""
 
 
 class _NoLocator:
-    async def locate(self, part: str, first_choice: Endpoint) -> list[int] | None:
+    async def locate(self, prefix: str, first_choice: Endpoint) -> list[int] | None:
         return None
 
-    def report_use(self, part: str, first_choice: Endpoint, endpoint: Endpoint) -> None:
+    def report_use(
+        self, prefix: str, first_choice: Endpoint, endpoint: Endpoint
+    ) -> None:
         pass
 
 
 class FleetPlacer:
-    """Decides by what all routers have told of their work.
+    """Places requests on endpoints by the load and usage that all routers report.
 
     Parameters
     ----------
@@ -127,279 +136,293 @@
     def __init__(self, view: EndpointView, zone: str, zones: Mapping[str, str]) -> None:
         self._view = view
         self._distance = Distance(zone, zones)
-        self._work = FleetLoad()
+        self._load = FleetLoad()
         self._shares = OrganisationShares()
-        self._parts = PrefixDirectory()
-        """Where this router had parts read; goes where the fleet's is not asked."""
-        self._results = OutlierDetector()
-        self._bounds = QueueWaitLimits()
-        self._chooser = EndpointChooser(self._distance, self._work, self._results)
+        self._local_prefixes = PrefixDirectory()
+        """Prefixes that this router placed; used if the fleet's directory is not."""
+        self._outliers = OutlierDetector()
+        self._wait_limits = QueueWaitLimits()
+        self._chooser = EndpointChooser(self._distance, self._load, self._outliers)
         self._locator: Locator = _NoLocator()
-        self._sent: dict[tuple[str, str], _Sent] = {}
-        self._ask: AdmissionCheck = _nobody
-        self._prompt_since: Callable[[float], bool] = lambda at: True
+        self._sent: dict[tuple[str, str], _SentRequest] = {}
+        self._check_admission: AdmissionCheck = _skip_admission_check
+        self._is_sample_valid: Callable[[float], bool] = lambda sent_at: True
 
-    def set_admission_check(self, ask: AdmissionCheck) -> None:
-        """Have the router that admits to an endpoint asked."""
-        self._ask = ask
+    def set_admission_check(self, check_admission: AdmissionCheck) -> None:
+        """Set the function that queries an endpoint's coordinator."""
+        self._check_admission = check_admission
 
-    def set_sample_filter(self, prompt_since: Callable[[float], bool]) -> None:
-        """Learn from an answer only if this router was prompt since it was asked for.
+    def set_sample_filter(self, is_sample_valid: Callable[[float], bool]) -> None:
+        """Use response times only if this router was responsive since the request.
 
-        A router without time would take engines for many times slower than they are,
-        refuse what they have room for, and tell others that they have more to read.
+        An overloaded router would estimate engines as many times slower than they are,
+        refuse requests for which they have room, and report too much prefill to others.
         """
-        self._prompt_since = prompt_since
+        self._is_sample_valid = is_sample_valid
 
     def apply_routing(self, routing: RoutingConfiguration) -> None:
-        """Take a version of the configuration."""
-        self._bounds.apply_routing(routing)
+        """Apply a version of the configuration."""
+        self._wait_limits.apply_routing(routing)
         self._shares.set_guaranteed_rate(routing.limits.capacity_tokens_per_second)
 
     def set_locator(self, locator: "Locator") -> None:
-        """Have the fleet's directory of parts asked."""
+        """Set the client of the fleet's prefix directory."""
         self._locator = locator
 
     def record_demand(
         self, call: CallerRequest, organisation: Organisation | None, weight: int = 1
     ) -> None:
-        """Count the work that a request asks for."""
+        """Count the tokens that a request asks for."""
         if call.prompt is not None:
             owner = organisation.name if organisation is not None else ""
-            self._shares.record_request(owner, weight * _weight(call.prompt))
+            self._shares.record_request(owner, weight * _token_cost(call.prompt))
 
     async def place(self, context: RequestContext) -> Result[Placement, Fault]:
         """Return the endpoint for the next attempt."""
         prompt = context.request.prompt
-        endpoints = self._usable(context)
+        endpoints = self._available_endpoints(context)
         if not endpoints:
             return Error(Fault(FaultKind.NO_ENDPOINT, 0.5))
         if prompt is None:
             best = self._chooser.best_plain_endpoint(context, endpoints)
-            self._begin(context, best)
+            self._record_attempt(context, best)
             return Ok(self._placement(context, best))
-        demand = await self._demand(context, endpoints)
+        requirements = await self._requirements(context, endpoints)
         if context.send_count:
-            best = self._chooser.rank_engines(context, demand)[0]
-            self._begin(context, best)
-            return Ok(self._placement_of_prompt(context, best, demand))
-        return await self._place_prompt(context, demand)
+            best = self._chooser.rank_engines(context, requirements)[0]
+            self._record_attempt(context, best)
+            return Ok(self._placement_of_prompt(context, best, requirements))
+        return await self._place_prompt(context, requirements)
 
-    async def _demand(
+    async def _requirements(
         self, context: RequestContext, endpoints: list[Endpoint]
     ) -> PromptRequirements:
-        """Find out which engines keep the prompt's shared part."""
-        demand = PromptRequirements.from_context(context, endpoints)
-        if demand.prefix_id is None:
-            return demand
-        first = demand.ranked_engines[0]
+        """Return the prompt's requirements with the engines that cache its prefix."""
+        requirements = PromptRequirements.from_context(context, endpoints)
+        if requirements.prefix_id is None:
+            return requirements
+        first_choice = requirements.ranked_engines[0]
         holders = None
-        if demand.prefix_tokens >= MIN_LOOKUP_TOKENS:
-            holders = await self._locator.locate(demand.prefix_id, first)
+        if requirements.prefix_tokens >= MIN_LOOKUP_TOKENS:
+            holders = await self._locator.locate(requirements.prefix_id, first_choice)
         if holders is None:
-            # the first choice is taken to keep what it should keep
+            # without a directory, assume that the first choice has the prefix cached
             holders = [
-                *self._parts.holders(name_hash(demand.prefix_id)),
-                name_hash(first.id),
+                *self._local_prefixes.holders(name_hash(requirements.prefix_id)),
+                name_hash(first_choice.id),
             ]
-        return replace(demand, holders=tuple(holders))
+        return replace(requirements, holders=tuple(holders))
 
     async def _place_prompt(
-        self, context: RequestContext, demand: PromptRequirements
+        self, context: RequestContext, requirements: PromptRequirements
     ) -> Result[Placement, Fault]:
-        """Ask for the best engine, and then for the next best ones with room.
+        """Request admission to the best engine, then to the next best ones with room.
 
-        The engine that keeps a long part is by far the best while the others are
-        weighed with a copy of it. It must not be the only one that is asked: callers
-        would be refused while engines beside it have nothing to do.
+        The engine that caches a long prefix ranks far ahead, as the cost of the others
+        includes a copy. It must not be the only one queried: callers would be refused
+        while other engines are idle.
         """
-        standing = self._shares.status(context.organisation_name, SHARE_TOLERANCE)
-        over = standing is not ShareStatus.INSIDE
-        bound = self._bounds.max_wait(context.route, context.service, standing)
-        asked: set[str] = set()
-        best = self._chooser.rank_engines(context, demand)[0]
-        while len(asked) < MAX_ADMISSION_QUERIES:
-            asked.add(best.endpoint.id)
-            left = context.arrived_at + bound - self._now()
-            admitted = await self._admit(context, best, left)
+        share_status = self._shares.status(
+            context.organisation_name, SHARE_TOLERANCE_FACTOR
+        )
+        over_share = share_status is not ShareStatus.INSIDE
+        max_wait = self._wait_limits.max_wait(
+            context.route, context.service, share_status
+        )
+        queried: set[str] = set()
+        best = self._chooser.rank_engines(context, requirements)[0]
+        while len(queried) < MAX_ADMISSION_QUERIES:
+            queried.add(best.endpoint.id)
+            remaining_wait = context.arrived_at + max_wait - self._now()
+            admitted = await self._admit(context, best, remaining_wait)
             if admitted is not None:
-                return Ok(self._placement_of_prompt(context, admitted, demand))
-            roomy = [
+                return Ok(self._placement_of_prompt(context, admitted, requirements))
+            with_room = [
                 candidate
-                for candidate in self._chooser.rank_engines(context, demand)
-                if candidate.endpoint.id not in asked and candidate.wait <= left
+                for candidate in self._chooser.rank_engines(context, requirements)
+                if candidate.endpoint.id not in queried
+                and candidate.wait <= remaining_wait
             ]
-            if not roomy:
+            if not with_room:
                 break
-            best = roomy[0]
-        kind = FaultKind.OVER_SHARE if over else FaultKind.OVER_CAPACITY
+            best = with_room[0]
+        fault_kind = FaultKind.OVER_SHARE if over_share else FaultKind.OVER_CAPACITY
         _log.info(
             "request not placed",
             id=context.request.id,
-            fault=kind.value,
+            fault=fault_kind.value,
             endpoint=best.endpoint.id,
-            asked=len(asked),
-            standing=standing.name.lower(),
-            **self._reasons(best),
+            asked=len(queried),
+            standing=share_status.name.lower(),
+            **self._log_fields(best),
         )
-        return Error(Fault(kind, self._retry_after(context, over)))
-
-    def _retry_after(self, context: RequestContext, over: bool) -> float:
-        """Return when a refused caller should come back, in seconds."""
-        latest = RETRY_LATEST
-        if over:
-            latest = max(
-                latest,
+        return Error(Fault(fault_kind, self._retry_after(context, over_share)))
+
+    def _retry_after(self, context: RequestContext, over_share: bool) -> float:
+        """Return the delay after which a refused caller should retry, in seconds."""
+        max_retry_after = MAX_RETRY_AFTER_SECONDS
+        if over_share:
+            max_retry_after = max(
+                max_retry_after,
                 self._shares.seconds_until_within_share(context.organisation_name),
             )
-        return random.uniform(RETRY_SOONEST, latest)
+        return random.uniform(MIN_RETRY_AFTER_SECONDS, max_retry_after)
 
     async def _admit(
-        self, context: RequestContext, best: Candidate, most: float
+        self, context: RequestContext, best: Candidate, max_wait: float
     ) -> Candidate | None:
-        """Count a request at an endpoint if the router that admits there agrees.
+        """Count a request at an endpoint if the endpoint's coordinator admits it.
 
-        Returns the candidate with the wait as that router sees it.
+        Returns the candidate with the queueing time that follows from the coordinator's
+        reply.
         """
         name = best.endpoint.id
-        self._begin(context, best)
+        self._record_attempt(context, best)
         admitted = None
         try:
-            answer = await self._ask(best.endpoint, best.prefill_seconds, most)
-            if answer is None:
-                admitted = best if best.wait <= most else None
+            decision = await self._check_admission(
+                best.endpoint, best.prefill_seconds, max_wait
+            )
+            if decision is None:
+                admitted = best if best.wait <= max_wait else None
                 return admitted
-            self._work.record_remote(name, answer.remote_load)
-            if answer.admitted:
-                own = EndpointLoad(1, best.prefill_seconds)
-                before = self._work.total(name).subtract(own)
+            self._load.record_remote(name, decision.remote_load)
+            if decision.admitted:
+                own_request = EndpointLoad(1, best.prefill_seconds)
+                before = self._load.total(name).subtract(own_request)
                 wait = engine_queue_wait(before, best.endpoint.slots)
                 admitted = replace(best, wait=wait)
-                sent = _Sent(best.prefill_seconds, self._now(), wait)
+                sent = _SentRequest(best.prefill_seconds, self._now(), wait)
                 self._sent[context.request.id, name] = sent
             return admitted
         finally:
-            # also where the caller leaves while the answer is awaited
+            # also if the caller disconnects before the reply arrives
             if admitted is None:
-                self._count_out(context, best.endpoint)
+                self._remove_attempt(context, best.endpoint)
 
     def _placement(self, context: RequestContext, best: Candidate) -> Placement:
-        return Placement(best.endpoint, best.fetch_from, self._reasons(best))
+        return Placement(best.endpoint, best.fetch_from, self._log_fields(best))
 
     def _placement_of_prompt(
-        self, context: RequestContext, best: Candidate, demand: PromptRequirements
+        self, context: RequestContext, best: Candidate, requirements: PromptRequirements
     ) -> Placement:
         prompt = context.request.prompt
         assert prompt is not None
         context.prefill_seconds = best.prefill_seconds
-        if demand.prefix_id is not None:
-            self._parts.record_use(
-                name_hash(demand.prefix_id), name_hash(best.endpoint.id)
+        if requirements.prefix_id is not None:
+            self._local_prefixes.record_use(
+                name_hash(requirements.prefix_id), name_hash(best.endpoint.id)
             )
-            if demand.prefix_tokens >= MIN_LOOKUP_TOKENS:
+            if requirements.prefix_tokens >= MIN_LOOKUP_TOKENS:
                 self._locator.report_use(
-                    demand.prefix_id, demand.ranked_engines[0], best.endpoint
+                    requirements.prefix_id,
+                    requirements.ranked_engines[0],
+                    best.endpoint,
                 )
         if not context.send_count:
-            self._shares.record_allocation(context.organisation_name, _weight(prompt))
+            self._shares.record_allocation(
+                context.organisation_name, _token_cost(prompt)
+            )
         return self._placement(context, best)
 
     def accepts_requests(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is there still and not leaving."""
+        """Whether an endpoint is still known and not leaving."""
         known = self._view.get(endpoint.id)
         return known is not None and not known.leaving
 
     def on_response_started(self, context: RequestContext, endpoint: Endpoint) -> None:
-        """Note the first part of an answer."""
+        """Record the beginning of a response."""
         key = (context.request.id, endpoint.id)
         sent = self._sent.get(key)
         if sent is None:
             return
-        if self._prompt_since(sent.at):
-            self._learn(context, endpoint, sent)
-        self._work.add_local(endpoint.id, 0, -sent.reading)
-        self._sent[key] = replace(sent, reading=0.0)
-
-    def _learn(self, context: RequestContext, endpoint: Endpoint, sent: _Sent) -> None:
-        """Learn how long an endpoint took to begin an answer."""
-        taken = self._now() - sent.at
+        if self._is_sample_valid(sent.sent_at):
+            self._record_response_time(context, endpoint, sent)
+        self._load.add_local(endpoint.id, 0, -sent.prefill_seconds)
+        self._sent[key] = replace(sent, prefill_seconds=0.0)
+
+    def _record_response_time(
+        self, context: RequestContext, endpoint: Endpoint, sent: _SentRequest
+    ) -> None:
+        """Record how long an endpoint took to begin its response."""
+        elapsed = self._now() - sent.sent_at
         if context.request.prompt is None:
-            self._chooser.response_times.observe(endpoint.id, taken)
+            self._chooser.response_times.observe(endpoint.id, elapsed)
             return
-        reading = sent.wait * PREFILL_TIME_FRACTION + sent.reading
-        taken -= self._distance.round_trip_seconds(endpoint.zone)
-        self._chooser.prefill.observe(endpoint.service, reading, taken)
+        prefill_seconds = sent.wait * PREFILL_TIME_FRACTION + sent.prefill_seconds
+        elapsed -= self._distance.round_trip_seconds(endpoint.zone)
+        self._chooser.prefill.observe(endpoint.service, prefill_seconds, elapsed)
 
     def on_attempt_ended(
         self, context: RequestContext, endpoint: Endpoint, outcome: Outcome
     ) -> None:
-        """Note the end of an attempt."""
-        self._count_out(context, endpoint)
+        """Record the end of an attempt."""
+        self._remove_attempt(context, endpoint)
         if outcome is Outcome.UNSENT:
-            self._results.record_connect_failure(endpoint.id)
+            self._outliers.record_connect_failure(endpoint.id)
         elif outcome is Outcome.WHOLE:
-            self._results.record_outcome(endpoint.id, True)
+            self._outliers.record_outcome(endpoint.id, True)
         elif outcome in (Outcome.LOST, Outcome.FAILED, Outcome.BROKEN):
-            self._results.record_outcome(endpoint.id, False)
+            self._outliers.record_outcome(endpoint.id, False)
 
     @property
     def load(self) -> FleetLoad:
-        """What the fleet has under way, as far as it is told."""
-        return self._work
+        """Load of the fleet at each endpoint, as reported to this router."""
+        return self._load
 
     @property
     def shares(self) -> OrganisationShares:
-        """What organisations received, as far as it is told."""
+        """Token usage and shares of organisations, as reported to this router."""
         return self._shares
 
     def retain_endpoints(self) -> None:
-        """Forget endpoints that are gone."""
+        """Drop the state of endpoints that no longer exist."""
         names = {endpoint.id for endpoint in self._view.endpoints}
-        self._work.retain_endpoints(names)
-        self._results.retain_endpoints(names)
+        self._load.retain_endpoints(names)
+        self._outliers.retain_endpoints(names)
 
-    def _usable(self, context: RequestContext) -> list[Endpoint]:
-        fresh = [
+    def _available_endpoints(self, context: RequestContext) -> list[Endpoint]:
+        untried = [
             endpoint
             for endpoint in self._view.of_service(context.service)
             if endpoint.id not in context.attempted_endpoints
         ]
-        reached = [e for e in fresh if not self._results.is_ejected(e.id)]
-        return reached or fresh
+        reachable = [e for e in untried if not self._outliers.is_ejected(e.id)]
+        return reachable or untried
 
-    def _reasons(self, best: Candidate) -> dict[str, float]:
-        """Return the figures that decided, for the log."""
-        work = self._work.total(best.endpoint.id)
+    def _log_fields(self, best: Candidate) -> dict[str, float]:
+        """Return the values behind a decision, as fields of the log line."""
+        load = self._load.total(best.endpoint.id)
         return {
             "wait_ms": round(best.wait * 1000),
-            "running": work.in_flight,
-            "reading_before_ms": round(work.prefill_seconds * 1000),
-            "failing": round(self._results.failure_rate(best.endpoint.id), 2),
+            "running": load.in_flight,
+            "reading_before_ms": round(load.prefill_seconds * 1000),
+            "failing": round(self._outliers.failure_rate(best.endpoint.id), 2),
             "keeps_part": best.has_prefix,
             "reading_factor": round(
                 self._chooser.prefill.slowdown(best.endpoint.service), 2
             ),
         }
 
-    def _begin(self, context: RequestContext, best: Candidate) -> None:
-        self._work.add_local(best.endpoint.id, 1, best.prefill_seconds)
-        sent = _Sent(best.prefill_seconds, self._now(), best.wait)
+    def _record_attempt(self, context: RequestContext, best: Candidate) -> None:
+        self._load.add_local(best.endpoint.id, 1, best.prefill_seconds)
+        sent = _SentRequest(best.prefill_seconds, self._now(), best.wait)
         self._sent[context.request.id, best.endpoint.id] = sent
 
-    def _count_out(self, context: RequestContext, endpoint: Endpoint) -> None:
+    def _remove_attempt(self, context: RequestContext, endpoint: Endpoint) -> None:
         sent = self._sent.pop((context.request.id, endpoint.id), None)
         if sent is not None:
-            self._work.add_local(endpoint.id, -1, -sent.reading)
+            self._load.add_local(endpoint.id, -1, -sent.prefill_seconds)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
 
-def _weight(prompt: Prompt) -> int:
-    """Return the work of a request: a token read counts one, one generated two.
+def _token_cost(prompt: Prompt) -> int:
+    """Return the cost of a request: 1 per prompt token and 2 per generated token.
 
-    Shared parts are kept and not read again; counted, they would make organisations
-    whose prompts share much look as if they had received more than the others.
+    Shared prefixes are not counted: engines cache them, and organisations whose prompts
+    share long ones would seem to have received more than the others.
     """
     return (
         prompt.input_tokens
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of the router that admits to an endpoint, and of those that ask it."""
+"""Tests of endpoints' coordinators, and of routers that query them."""
 
 import asyncio
 
@@ -19,43 +19,48 @@
 from tornado.httputil import HTTPHeaders
 
 VIRTUAL_CLOCK = True
-SMALL, LARGE = 9, 40
+SMALL_FLEET_ROUTERS, LARGE_FLEET_ROUTERS = 9, 40
 SLOTS = 48
-OBJECTIVE = 0.8
+LATENCY_OBJECTIVE_SECONDS = 0.8
 ENGINES = [Endpoint(f"e{n}", "books", f"10.0.0.{n}:1", f"z{n}", SLOTS) for n in (0, 1)]
 
 
 def make_context(number: int) -> RequestContext:
-    """Return a prompt that an engine reads in 45 ms."""
+    """Return a request whose prompt takes 45 ms of prefill."""
     parts = (PromptPart("p1", 13_000), PromptPart(f"own{number}", 3_700))
     prompt = Prompt(16_700, 120, parts)
     call = CallerRequest(
         f"q{number}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt
     )
     route = make_route(
-        RetryPolicy.NEVER, stream=True, carries_prompt=True, latency_objective=OBJECTIVE
+        RetryPolicy.NEVER,
+        stream=True,
+        carries_prompt=True,
+        latency_objective=LATENCY_OBJECTIVE_SECONDS,
     )
     now = asyncio.get_running_loop().time()
-    owner = Organisation("cellar", ())
-    return RequestContext(call, b"", route, "books", owner, now, now + 8.0)
+    organisation = Organisation("cellar", ())
+    return RequestContext(call, b"", route, "books", organisation, now, now + 8.0)
 
 
-def question(sender: int, sequence: int, running: int = 0, **more) -> AdmissionQuery:
+def make_query(
+    sender: int, sequence: int, in_flight: int = 0, **options
+) -> AdmissionQuery:
     return AdmissionQuery(
         sender,
         sequence,
         1,
         SLOTS,
-        EndpointLoad(running, 0.1 * running),
-        more.get("added", 0.1),
-        more.get("most_wait", 0.4),
+        EndpointLoad(in_flight, 0.1 * in_flight),
+        options.get("prefill_seconds", 0.1),
+        options.get("max_wait", 0.4),
     )
 
 
-async def burst(fleet: SpreadFleet, each: int) -> int:
-    """Let each router place so many prompts at the same moment; count the sent."""
-    total = len(fleet.routers) * each
-    placed = await asyncio.gather(
+async def place_concurrently(fleet: SpreadFleet, per_router: int) -> int:
+    """Let each router place prompts at the same moment; return how many were sent."""
+    total = len(fleet.routers) * per_router
+    results = await asyncio.gather(
         *(
             fleet.routers[number % len(fleet.routers)].placer.place(
                 make_context(number)
@@ -63,181 +68,196 @@
             for number in range(total)
         )
     )
-    return sum(result.is_ok() for result in placed)
+    return sum(result.is_ok() for result in results)
 
 
 async def test_requests_are_counted_one_after_another():
-    """Two routers ask within the time of a pulse; the second must see the first."""
+    """Two routers query between two heartbeats; the second must see the first."""
     admission = AdmissionController()
-    assert admission.decide(question(1, 1, added=0.4)).admitted
-    second = admission.decide(question(2, 1))
+    assert admission.decide(make_query(1, 1, prefill_seconds=0.4)).admitted
+    second = admission.decide(make_query(2, 1))
     assert not second.admitted
     assert second.remote_load == EndpointLoad(1, 0.4)
     assert admission.total_load(1) == EndpointLoad(1, 0.4)
 
 
-async def test_what_was_not_admitted_does_not_count():
+async def test_requests_that_were_not_admitted_are_not_counted():
     admission = AdmissionController()
-    admission.decide(question(1, 1, added=0.4))
-    admission.decide(question(2, 1))
+    admission.decide(make_query(1, 1, prefill_seconds=0.4))
+    admission.decide(make_query(2, 1))
     admission.record_load(1, 2, {1: EndpointLoad(1, 0.0)})
-    assert admission.decide(question(2, 2)).admitted
+    assert admission.decide(make_query(2, 2)).admitted
 
 
-async def test_requests_asked_for_together_count_once_each():
-    """A router asks for ten requests at once, and most of them are not admitted.
+async def test_concurrent_queries_of_one_router_count_once_each():
+    """A router sends ten queries at once, and most of them are not admitted.
 
-    Those must not stand in the way of the next ones.
+    Those must not be counted against later queries.
     """
     admission = AdmissionController()
-    answers = [admission.decide(question(1, n, running=n)) for n in range(10)]
-    assert sum(answer.admitted for answer in answers) == 4
+    decisions = [admission.decide(make_query(1, n, in_flight=n)) for n in range(10)]
+    assert sum(decision.admitted for decision in decisions) == 4
     assert admission.total_load(1).in_flight == 4
 
 
-async def test_an_engine_that_is_slower_than_believed_shows_in_the_reports():
-    """An engine reads at a fifth of its speed; no first event comes.
+async def test_reports_show_an_engine_that_is_slower_than_estimated():
+    """An engine runs at a fifth of its speed and sends no first event.
 
-    By the time that has gone by it would have read everything, and callers would go on
-    being sent to it.
+    By elapsed time alone its prefill would count as finished, and it would be sent more
+    prompts.
     """
     admission = AdmissionController()
     for sequence in range(8):
-        admission.decide(question(1, sequence, running=sequence, most_wait=9.0))
+        admission.decide(make_query(1, sequence, in_flight=sequence, max_wait=9.0))
     await asyncio.sleep(1.0)
     admission.record_load(1, 8, {1: EndpointLoad(8, 0.8)})
-    assert not admission.decide(question(2, 1)).admitted
+    assert not admission.decide(make_query(2, 1)).admitted
 
 
-async def test_a_request_whose_time_to_wait_is_just_over_is_refused():
-    """A request was held up until a millisecond after it might wait at most.
+async def test_a_request_with_a_slightly_negative_max_wait_is_refused():
+    """A request was delayed until a millisecond after its maximum queueing time.
 
-    Told as -1 it was taken for one that may wait for ever, and sent to an engine that
-    is a second behind: it came late, and so did those after it.
+    Sent as -1, the remaining time was taken for no limit, and the prompt was sent to an
+    engine with a backlog of a second: it was late, and so were those after it.
     """
-    async with spread_fleet(store_of(ENGINES[:1]), SMALL, decode_number) as fleet:
+    async with spread_fleet(
+        store_of(ENGINES[:1]), SMALL_FLEET_ROUTERS, decode_number
+    ) as fleet:
         await asyncio.sleep(5)
         engine = ENGINES[0]
         name = fleet.routers[0].asking._coordinators.for_endpoint(engine).vm
         coordinator = next(r for r in fleet.routers if r.vm == name)
         coordinator.work.add_local(engine.id, 5, 1.0)
         coordinator.asking.report_load([engine.id])
-        asker = next(r for r in fleet.routers if r.vm != name)
-        for left in (-0.0015, -0.001, 0.0):
-            answer = await asker.asking.request_admission(engine, 0.05, left)
-            assert not answer.admitted
+        querying_router = next(r for r in fleet.routers if r.vm != name)
+        for max_wait in (-0.0015, -0.001, 0.0):
+            decision = await querying_router.asking.request_admission(
+                engine, 0.05, max_wait
+            )
+            assert not decision.admitted
 
 
-async def test_a_report_that_was_overtaken_changes_nothing():
-    """Datagrams arrive in another order; work that ended must not come back."""
+async def test_an_outdated_report_is_ignored():
+    """Datagrams arrive out of order; load that has ended must not come back."""
     admission = AdmissionController()
     admission.record_load(1, 3, {1: EndpointLoad(0, 0.0)})
     admission.record_load(1, 2, {1: EndpointLoad(5, 0.5)})
     assert admission.total_load(1) == EndpointLoad()
 
 
-async def test_the_work_of_a_dead_router_is_forgotten():
-    """A router dies with requests under way; nobody tells that they have ended."""
+async def test_the_load_of_a_dead_router_expires():
+    """A router dies with requests in flight; no report says that they have ended."""
     admission = AdmissionController()
     admission.record_load(1, 1, {1: EndpointLoad(SLOTS, 2.0)})
-    assert not admission.decide(question(2, 1)).admitted
+    assert not admission.decide(make_query(2, 1)).admitted
     await asyncio.sleep(2)
-    assert admission.decide(question(2, 2)).admitted
+    assert admission.decide(make_query(2, 2)).admitted
     assert admission.total_loads() == {1: EndpointLoad(1, 0.1)}
 
 
 async def test_many_routers_do_not_overfill_an_engine():
-    """Forty routers get two prompts each at the same moment, for the same part.
+    """Forty routers get two prompts each at the same moment, with the same prefix.
 
-    Each sees an idle engine. Deciding alone they send it all 80, and the last waits
-    4.5 s for its first token where 0.8 s are asked for. Counted by one router, what is
-    sent can be read within the bound, and the others are told to come back.
+    Each sees an idle engine. Without admission they send it all 80, and the last waits
+    4.5 s for its first token with a latency objective of 0.8 s. With a coordinator, the
+    admitted ones meet the objective, and the others are refused with a retry delay.
     """
-    for alone in (True, False):
-        async with spread_fleet(store_of(ENGINES[:1]), LARGE, decode_number) as fleet:
+    for without_admission in (True, False):
+        async with spread_fleet(
+            store_of(ENGINES[:1]), LARGE_FLEET_ROUTERS, decode_number
+        ) as fleet:
             await asyncio.sleep(6)
-            if alone:
+            if without_admission:
                 for router in fleet.routers:
-                    router.placer.set_admission_check(nobody)
-            # the engine keeps the part already
+                    router.placer.set_admission_check(no_reply)
+            # the engine already has the prefix cached
             fleet.routers[0].placer._locator.report_use("p1", ENGINES[0], ENGINES[0])
             await asyncio.sleep(0.1)
-            sent = await burst(fleet, 2)
+            sent = await place_concurrently(fleet, 2)
             await asyncio.sleep(0.2)
-            reading = sum(
+            prefill_seconds = sum(
                 router.work.local("e0").prefill_seconds for router in fleet.routers
             )
-            if alone:
-                assert sent == 2 * LARGE
+            if without_admission:
+                assert sent == 2 * LARGE_FLEET_ROUTERS
                 continue
             assert 4 <= sent <= 8
-            last = reading / sent
-            assert (reading - last) / PREFILL_TIME_FRACTION <= WAIT_FRACTION * OBJECTIVE
+            last_prefill_seconds = prefill_seconds / sent
+            assert (
+                prefill_seconds - last_prefill_seconds
+            ) / PREFILL_TIME_FRACTION <= WAIT_FRACTION * LATENCY_OBJECTIVE_SECONDS
             assert (
-                reading / PREFILL_TIME_FRACTION + INITIAL_OVERHEAD_SECONDS <= OBJECTIVE
+                prefill_seconds / PREFILL_TIME_FRACTION + INITIAL_OVERHEAD_SECONDS
+                <= LATENCY_OBJECTIVE_SECONDS
             )
 
 
-async def nobody(endpoint: Endpoint, added: float, most_wait: float) -> None:
+async def no_reply(endpoint: Endpoint, prefill_seconds: float, max_wait: float) -> None:
     return None
 
 
-async def test_the_next_router_admits_when_one_dies():
-    """The router that admits to an engine is killed under load.
+async def test_another_coordinator_takes_over_when_one_dies():
+    """The coordinator of an engine is killed under load.
 
-    Those that ask it wait in vain twice at most; then all of them agree on another.
+    The others time out at most twice; then all of them agree on another coordinator.
     """
-    async with spread_fleet(store_of(ENGINES[:1]), SMALL, decode_number) as fleet:
+    async with spread_fleet(
+        store_of(ENGINES[:1]), SMALL_FLEET_ROUTERS, decode_number
+    ) as fleet:
         await asyncio.sleep(5)
         engine = ENGINES[0]
         coordinators = {
             r.asking._coordinators.for_endpoint(engine).vm for r in fleet.routers
         }
         assert len(coordinators) == 1
-        first = coordinators.pop()
-        next(r for r in fleet.routers if r.vm == first).kill()
-        living = [r for r in fleet.routers if not r.frozen]
+        killed = coordinators.pop()
+        next(r for r in fleet.routers if r.vm == killed).kill()
+        alive = [r for r in fleet.routers if not r.frozen]
         loop = asyncio.get_running_loop()
         started = loop.time()
         for number in range(3):
-            places = [router.placer.place(make_context(number)) for router in living]
-            await asyncio.gather(*places)
-        # two waits in vain, and three times the answers of two routers 40 ms away
+            placements = [router.placer.place(make_context(number)) for router in alive]
+            await asyncio.gather(*placements)
+        # two timeouts, and three times the replies of two routers 40 ms away
         assert loop.time() - started < 2 * 0.1 + 3 * 2 * 0.05
         await asyncio.sleep(1.5)
-        coordinators = {r.asking._coordinators.for_endpoint(engine).vm for r in living}
+        coordinators = {r.asking._coordinators.for_endpoint(engine).vm for r in alive}
         assert len(coordinators) == 1
-        assert first not in coordinators
+        assert killed not in coordinators
 
 
-async def test_a_cut_router_decides_alone():
-    """Nothing passes to or from a router; its callers must be served all the same."""
-    async with spread_fleet(store_of(ENGINES), SMALL, decode_number) as fleet:
+async def test_an_isolated_router_decides_alone():
+    """No message reaches or leaves a router; its callers must still be served."""
+    async with spread_fleet(
+        store_of(ENGINES), SMALL_FLEET_ROUTERS, decode_number
+    ) as fleet:
         await asyncio.sleep(5)
-        lonely = fleet.routers[4]
-        fleet.cut = lambda sender, receiver: lonely.vm in (sender, receiver)
+        isolated = fleet.routers[4]
+        fleet.cut = lambda sender, receiver: isolated.vm in (sender, receiver)
         loop = asyncio.get_running_loop()
         for number in range(6):
             started = loop.time()
-            placed = await lonely.placer.place(make_context(number))
-            assert placed.is_ok()
+            result = await isolated.placer.place(make_context(number))
+            assert result.is_ok()
             assert loop.time() - started <= 0.31
             context = make_context(number)
-            engine = placed.ok.endpoint
-            lonely.placer.on_response_started(context, engine)
-            lonely.placer.on_attempt_ended(context, engine, Outcome.WHOLE)
+            engine = result.ok.endpoint
+            isolated.placer.on_response_started(context, engine)
+            isolated.placer.on_attempt_ended(context, engine, Outcome.WHOLE)
 
 
-async def test_a_caller_that_leaves_while_asking_leaves_nothing_behind():
-    """The caller closes its connection before the answer to the question comes."""
-    async with spread_fleet(store_of(ENGINES), SMALL, decode_number) as fleet:
+async def test_a_caller_that_disconnects_during_admission_leaves_no_load():
+    """The caller closes its connection before the reply to the query arrives."""
+    async with spread_fleet(
+        store_of(ENGINES), SMALL_FLEET_ROUTERS, decode_number
+    ) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
             context = make_context(1)
             task = asyncio.create_task(router.placer.place(context))
             await asyncio.sleep(0.01)
             if task.done():
-                # it admits there itself and asks nobody: its request has begun
+                # it is the coordinator and sends no query: its request has begun
                 sent = task.result().ok.endpoint
                 router.placer.on_attempt_ended(context, sent, Outcome.ABANDONED)
             task.cancel()
@@ -248,7 +268,8 @@
                 for r in fleet.routers
                 if r.work
             )
-            key = name_hash(engine.id)
+            endpoint_hash = name_hash(engine.id)
             assert all(
-                r.work.coordinated_load(key).in_flight == 0 for r in fleet.routers
+                r.work.coordinated_load(endpoint_hash).in_flight == 0
+                for r in fleet.routers
             )
