--- a/packages/fleet/src/teaselledge_fleet/process/shares.py
+++ b/packages/fleet/src/teaselledge_fleet/process/shares.py
@@ -1,4 +1,4 @@
-"""Each organisation's fair share of what the model engines can do."""
+"""Fair shares of the engines' capacity for organisations."""
 
 from collections import defaultdict, deque
 from collections.abc import Iterable
@@ -11,58 +11,58 @@
 __all__ = ["OrganisationShares", "ShareStatus", "TokenUsage", "max_min_share"]
 
 WINDOW_SECONDS = 4.0
-"""Time over which use is counted; shares are owed over windows of 4 s."""
+"""Length of the sliding window; fair shares are guaranteed over windows of 4 s."""
 
-SLICE_SECONDS = 0.5
-"""A window is made of slices, so that it moves on without keeping each request."""
+SAMPLE_INTERVAL_SECONDS = 0.5
+"""Interval of counter samples, so that a window need not retain each request."""
 
 
 def max_min_share(demands: Iterable[float], capacity: float) -> float:
-    """Return the max-min level: what a demand above it is cut to.
+    """Return the max-min fair level, to which larger demands are cut.
 
     Parameters
     ----------
     demands : iterable of float
-        What each organisation asks for.
+        Demand of each organisation.
     capacity : float
-        What there is for all.
+        Capacity to divide.
 
     Returns
     -------
     float
-        Infinity where all demands fit.
+        Infinity if all demands fit.
     """
-    left = capacity
-    rising = sorted(demands)
-    for position, demand in enumerate(rising):
-        level = left / (len(rising) - position)
+    remaining = capacity
+    ascending = sorted(demands)
+    for index, demand in enumerate(ascending):
+        level = remaining / (len(ascending) - index)
         if demand > level:
             return level
-        left -= demand
+        remaining -= demand
     return float("inf")
 
 
 class ShareStatus(IntEnum):
-    """What an organisation received, against what all ask for."""
+    """Usage of an organisation relative to its fair shares."""
 
     INSIDE = 0
-    """No more than its share of what is promised."""
+    """Within its share of the guaranteed rate."""
 
     OVER = 1
-    """More than that."""
+    """Above its share of the guaranteed rate."""
 
     AHEAD = 2
-    """More than its share of all that engines give, where they give more."""
+    """Above its share of all allocated tokens, if those exceed the guaranteed rate."""
 
 
 @dataclass(frozen=True)
 class TokenUsage:
-    """Tokens within the last window.
+    """Token usage within the sliding window.
 
     Attributes
     ----------
     requested, allocated : int
-        Of requests that came, and of those that were sent to an engine.
+        Tokens of requests that arrived, and of those that were sent to an engine.
     """
 
     requested: int = 0
@@ -74,139 +74,148 @@
         )
 
     def subtract(self, other: "TokenUsage") -> "TokenUsage":
-        """Return what is left without another's part, never below nothing."""
-        received = max(0, self.allocated - other.allocated)
-        return TokenUsage(max(0, self.requested - other.requested), received)
+        """Return the difference, each count at least 0."""
+        allocated = max(0, self.allocated - other.allocated)
+        return TokenUsage(max(0, self.requested - other.requested), allocated)
 
 
 @dataclass
-class _Counter:
-    asked: int = 0
-    received: int = 0
+class _TokenCounter:
+    requested: int = 0
+    allocated: int = 0
 
 
 @dataclass
-class _Window:
-    """Growth of a pair of counters over the last slices."""
+class _SlidingWindow:
+    """Increase of a pair of counters over the last samples."""
 
-    marks: deque[tuple[float, int, int]] = field(default_factory=deque)
+    samples: deque[tuple[float, int, int]] = field(default_factory=deque)
 
-    def mark(self, now: float, counter: _Counter) -> None:
-        """Note the counters."""
-        if self.marks and now - self.marks[-1][0] < SLICE_SECONDS:
+    def sample(self, now: float, counter: _TokenCounter) -> None:
+        """Sample the counters."""
+        if self.samples and now - self.samples[-1][0] < SAMPLE_INTERVAL_SECONDS:
             return
-        self.marks.append((now, counter.asked, counter.received))
-        while len(self.marks) > 1 and now - self.marks[1][0] >= WINDOW_SECONDS:
-            self.marks.popleft()
+        self.samples.append((now, counter.requested, counter.allocated))
+        while len(self.samples) > 1 and now - self.samples[1][0] >= WINDOW_SECONDS:
+            self.samples.popleft()
 
-    def growth(self, counter: _Counter) -> TokenUsage:
-        """Return how far the counters grew within the window."""
-        if not self.marks:
-            return TokenUsage(counter.asked, counter.received)
-        _, asked, received = self.marks[0]
-        return TokenUsage(counter.asked - asked, counter.received - received)
+    def growth(self, counter: _TokenCounter) -> TokenUsage:
+        """Return the increase of the counters within the window."""
+        if not self.samples:
+            return TokenUsage(counter.requested, counter.allocated)
+        _, requested, allocated = self.samples[0]
+        return TokenUsage(counter.requested - requested, counter.allocated - allocated)
 
 
 class OrganisationShares(StatsBySource[TokenUsage]):
-    """Counts what organisations ask for and receive over the whole fleet.
+    """Tracks requested and allocated tokens of organisations across the fleet.
 
-    Every source tells its use within the last window, in tokens of work: a token that
-    an engine reads counts one, and a token that it generates counts two.
+    Every source reports its usage within the last window. A prompt token counts one,
+    and a generated token counts two.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._counters: defaultdict[int, _Counter] = defaultdict(_Counter)
-        self._windows: defaultdict[int, _Window] = defaultdict(_Window)
-        self._names: dict[str, int] = {}
-        self._promised = float("inf")
-        self._level = float("inf")
-        self._given_level = float("inf")
-        """The same of all that engines give."""
-        self._fleet: dict[int, TokenUsage] = {}
-        self._levelled_at = -SLICE_SECONDS
+        self._counters: defaultdict[int, _TokenCounter] = defaultdict(_TokenCounter)
+        self._windows: defaultdict[int, _SlidingWindow] = defaultdict(_SlidingWindow)
+        self._hash_by_name: dict[str, int] = {}
+        self._guaranteed_tokens = float("inf")
+        self._guaranteed_level = float("inf")
+        self._allocated_level = float("inf")
+        """Max-min level of all allocated tokens, guaranteed or not."""
+        self._fleet_usage: dict[int, TokenUsage] = {}
+        self._refreshed_at = -SAMPLE_INTERVAL_SECONDS
 
     def set_guaranteed_rate(self, tokens_per_second: float) -> None:
-        """Take what the operator promises to all organisations together.
-
-        0 where nothing is promised.
-        """
-        self._promised = tokens_per_second * WINDOW_SECONDS or float("inf")
+        """Set the rate guaranteed to all organisations together; 0 for none."""
+        self._guaranteed_tokens = tokens_per_second * WINDOW_SECONDS or float("inf")
 
     def record_request(self, organisation: str, tokens: int) -> None:
-        """Count a request that arrives."""
-        self._counter(organisation).asked += tokens
+        """Count the tokens of a request that arrives."""
+        self._counter(organisation).requested += tokens
 
     def record_allocation(self, organisation: str, tokens: int) -> None:
-        """Count a request that is sent to an engine."""
-        self._counter(organisation).received += tokens
+        """Count the tokens of a request that is sent to an engine."""
+        self._counter(organisation).allocated += tokens
 
-    def status(self, organisation: str, margin: float) -> ShareStatus:
-        """Return where an organisation stands, with so much of a share as margin.
+    def status(self, organisation: str, tolerance_factor: float) -> ShareStatus:
+        """Return the share status of an organisation; inside while all demands fit.
 
-        Inside while all demands fit.
+        Its shares are multiplied by the tolerance factor.
         """
         self._refresh()
-        use = self._fleet.get(self._key(organisation), TokenUsage())
-        if use.allocated <= self._level * margin:
+        usage = self._fleet_usage.get(self._hash_of(organisation), TokenUsage())
+        if usage.allocated <= self._guaranteed_level * tolerance_factor:
             return ShareStatus.INSIDE
-        more_is_given = self._given_level > self._level
-        if more_is_given and use.allocated > self._given_level * margin:
+        exceeds_guarantee = self._allocated_level > self._guaranteed_level
+        if (
+            exceeds_guarantee
+            and usage.allocated > self._allocated_level * tolerance_factor
+        ):
             return ShareStatus.AHEAD
         return ShareStatus.OVER
 
-    def is_over_share(self, organisation: str, margin: float) -> bool:
-        """Whether an organisation received more than its share by a factor."""
-        return self.status(organisation, margin) is not ShareStatus.INSIDE
+    def is_over_share(self, organisation: str, tolerance_factor: float) -> bool:
+        """Whether an organisation exceeds its share times the tolerance factor."""
+        return self.status(organisation, tolerance_factor) is not ShareStatus.INSIDE
 
     def seconds_until_within_share(self, organisation: str) -> float:
-        """Return when an organisation that receives nothing more is inside its share.
+        """Return the seconds until an organisation is inside its share.
 
-        Its use leaves the window evenly; 0 where it is inside already.
+        Assumes that it is allocated nothing more and that its usage leaves the window
+        evenly; 0 if it is inside already.
         """
         self._refresh()
-        use = self._fleet.get(self._key(organisation), TokenUsage())
-        if use.allocated <= self._level:
+        usage = self._fleet_usage.get(self._hash_of(organisation), TokenUsage())
+        if usage.allocated <= self._guaranteed_level:
             return 0.0
-        return WINDOW_SECONDS * (1.0 - self._level / use.allocated)
+        return WINDOW_SECONDS * (1.0 - self._guaranteed_level / usage.allocated)
 
     def local(self) -> dict[int, TokenUsage]:
-        """Return this router's use by organisation."""
+        """Return this router's own usage by organisation hash."""
         now = self._now()
-        found = {}
-        for key, counter in self._counters.items():
-            window = self._windows[key]
-            window.mark(now, counter)
-            use = window.growth(counter)
-            if use.requested or use.allocated:
-                found[key] = use
-        return found
+        usage_by_hash = {}
+        for organisation_hash, counter in self._counters.items():
+            window = self._windows[organisation_hash]
+            window.sample(now, counter)
+            usage = window.growth(counter)
+            if usage.requested or usage.allocated:
+                usage_by_hash[organisation_hash] = usage
+        return usage_by_hash
 
     def _refresh(self) -> None:
         now = self._now()
-        if now - self._levelled_at < SLICE_SECONDS / 2:
+        if now - self._refreshed_at < SAMPLE_INTERVAL_SECONDS / 2:
             return
-        self._levelled_at = now
-        fleet: defaultdict[int, TokenUsage] = defaultdict(TokenUsage, self.local())
-        for key, use in self.sum_of_sources().items():
-            fleet[key] += use
-        self._fleet = dict(fleet)
-        received = sum(use.allocated for use in fleet.values())
-        asked = [use.requested for use in fleet.values()]
-        # engines that happen to do more than is promised raise nobody's share; what
-        # they do beyond it is divided by the same rule
-        self._level = max_min_share(asked, min(received, self._promised))
-        self._given_level = max_min_share(asked, received)
-
-    def _counter(self, organisation: str) -> _Counter:
-        key = self._key(organisation)
-        if key not in self._windows:
-            # before its first tokens, so that they count as growth
-            self._windows[key].mark(self._now(), self._counters[key])
-        return self._counters[key]
-
-    def _key(self, organisation: str) -> int:
-        key = self._names.get(organisation)
-        if key is None:
-            key = self._names[organisation] = name_hash(organisation)
-        return key
+        self._refreshed_at = now
+        fleet_usage: defaultdict[int, TokenUsage] = defaultdict(
+            TokenUsage, self.local()
+        )
+        for organisation_hash, usage in self.sum_of_sources().items():
+            fleet_usage[organisation_hash] += usage
+        self._fleet_usage = dict(fleet_usage)
+        allocated = sum(usage.allocated for usage in fleet_usage.values())
+        requested = [usage.requested for usage in fleet_usage.values()]
+        # capacity beyond the guaranteed rate raises no guaranteed share; the excess is
+        # divided by the same rule
+        self._guaranteed_level = max_min_share(
+            requested, min(allocated, self._guaranteed_tokens)
+        )
+        self._allocated_level = max_min_share(requested, allocated)
+
+    def _counter(self, organisation: str) -> _TokenCounter:
+        organisation_hash = self._hash_of(organisation)
+        if organisation_hash not in self._windows:
+            # sampled before its first tokens, so that they count as an increase
+            self._windows[organisation_hash].sample(
+                self._now(), self._counters[organisation_hash]
+            )
+        return self._counters[organisation_hash]
+
+    def _hash_of(self, organisation: str) -> int:
+        organisation_hash = self._hash_by_name.get(organisation)
+        if organisation_hash is None:
+            organisation_hash = self._hash_by_name[organisation] = name_hash(
+                organisation
+            )
+        return organisation_hash
