--- a/packages/fleet/src/teaselledge_fleet/process/admission.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admission.py
@@ -81,8 +81,8 @@
     If each router decided by load that is some tenths of a second old, all would send
     to the endpoint that looked idle. It would get more prompts than it can process in
     time: first tokens would be late for all, and prefixes would be copied to engines
-    that should not cache them. A single coordinator sees each request before it is sent and
-    counts them one after another.
+    that should not cache them. A single coordinator sees each request before it is
+    sent and counts them one after another.
     """
 
     def __init__(self) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -30,8 +30,8 @@
 REPORT_INTERVAL_SECONDS = 0.1
 """Interval between two reports to a coordinator while load changes.
 
-On average, a response that has begun counts as prefill for half of it too long, an eighth
-of the queueing time at the limit."""
+On average, a response that has begun counts as prefill for half of it too long, an
+eighth of the queueing time at the limit."""
 
 FULL_REPORT_SECONDS = 0.6
 """Interval at which all load is reported again, to make up for lost datagrams and for
