--- a/packages/fleet/src/teaselledge_fleet/process/connectionlimit.py
+++ b/packages/fleet/src/teaselledge_fleet/process/connectionlimit.py
@@ -1,4 +1,4 @@
-"""How many connections a router has time for."""
+"""Limit the connections of a router to those it can serve in time."""
 
 import math
 
@@ -6,87 +6,93 @@
 
 __all__ = ["ConnectionLimit"]
 
-LONG_TICKS = 2
-"""Ticks in a row that count. A VM that was paused has a single one with a long turn."""
+LIMIT_AFTER_TICKS = 2
+"""Consecutive long or saturated ticks after which the limit is lowered.
+
+A VM that was paused has a single one with a long iteration."""
 
 MIN_LIMIT = 20
-"""Connections that are always taken, so that the limit can be learnt again."""
+"""Lowest limit, so that enough connections remain to adapt it."""
 
-FEW = 50
-"""Connections up to which it is something else that uses the router's time up."""
+MIN_SATURATED_LIMIT = 50
+"""Lowest limit for a saturated loop; with fewer, other work is saturating it."""
 
-DEEPEST_CUT = 0.3
-"""Least part of the limit that one cut leaves."""
+MIN_CUT_FACTOR = 0.3
+"""Smallest factor by which the limit is multiplied in one step."""
 
 SATURATED_UTILISATION = 0.95
-"""Part of a tick in which the event loop has work, from which on no more connections
-are taken than run. What a connection costs comes in the second or two that it lasts."""
+"""Utilisation of the event loop from which no further connections are accepted.
+
+The cost of a connection is spread over the one or two seconds that it lasts."""
+
+MAX_GROWTH_FRACTION = 0.3
+"""Fraction by which the limit grows in a tick in which the event loop is idle.
 
-GROWTH = 0.3
-"""Part by which the limit grows in a tick in which the event loop has nothing to do; in
-others it grows by the part of that in which it has nothing to do."""
+In other ticks it grows in proportion to the idle time."""
 
 MAX_LIMIT = 4000
-"""Beyond this the limit is taken away; descriptors end there too."""
+"""Limit beyond which there is none; file descriptors run out there too."""
 
 
 class ConnectionLimit:
-    """Learns from the event loop's time how many connections to serve.
+    """Adapts a limit of connections to the load of the event loop.
 
-    Requests wait for turns: with more connections than it has time for, a router
-    serves none of them in time. The limit stops at what runs while the loop always has
-    work, falls with the length of its turns, and grows with the time that is left.
+    Requests wait for iterations of the loop: with too many connections, a router serves
+    none of them in time. The limit is capped at the open connections while the loop is
+    saturated, falls with the length of its iterations, and grows with its idle time.
     """
 
     def __init__(self) -> None:
         self._limit = math.inf
         self._long_ticks = 0
-        self._full_ticks = 0
+        self._saturated_ticks = 0
 
     @property
     def limit(self) -> float:
-        """Connections that may be open; infinite while there is time for all."""
+        """Maximum number of open connections; infinite if not limited."""
         return self._limit
 
     def allows(self, running: int) -> bool:
-        """Whether one more connection may be taken beside those that run."""
+        """Whether one more connection may be accepted beside those that run."""
         return running < self._limit
 
-    def update(self, longest_turn: float, used: float, running: int) -> None:
-        """Learn from a tick.
+    def update(
+        self, longest_iteration: float, loop_utilisation: float, running: int
+    ) -> None:
+        """Update the limit with the measurements of a tick.
 
         Parameters
         ----------
-        longest_turn : float
-            Seconds of the event loop's longest turn in it.
-        used : float
-            Part of it in which the event loop had work, 0 to 1.
+        longest_iteration : float
+            Longest iteration of the event loop in the tick, in seconds.
+        loop_utilisation : float
+            Fraction of the tick in which the event loop was not idle, 0 to 1.
         running : int
-            Connections that are served or passed on.
+            Connections that are served or relayed.
         """
-        long, full = (
-            longest_turn >= LONG_ITERATION_SECONDS,
-            used >= SATURATED_UTILISATION,
+        is_long, is_saturated = (
+            longest_iteration >= LONG_ITERATION_SECONDS,
+            loop_utilisation >= SATURATED_UTILISATION,
         )
-        self._long_ticks = self._long_ticks + 1 if long else 0
-        self._full_ticks = self._full_ticks + 1 if full else 0
-        if self._long_ticks >= LONG_TICKS and self._settled(running):
-            cut = max(DEEPEST_CUT, LONG_ITERATION_SECONDS / longest_turn)
-            self._limit = max(MIN_LIMIT, min(self._limit, running) * cut)
-        elif self._full_ticks >= LONG_TICKS:
-            self._limit = min(self._limit, max(FEW, running))
-        elif not long:
-            self._grow(1.0 - used)
-
-    def _settled(self, running: int) -> bool:
-        """Whether no more runs than the limit allows.
-
-        What runs beyond it keeps turns long until it ends; another cut before that
-        would be for the same reason.
+        self._long_ticks = self._long_ticks + 1 if is_long else 0
+        self._saturated_ticks = self._saturated_ticks + 1 if is_saturated else 0
+        if self._long_ticks >= LIMIT_AFTER_TICKS and self._has_settled(running):
+            cut_factor = max(MIN_CUT_FACTOR, LONG_ITERATION_SECONDS / longest_iteration)
+            self._limit = max(MIN_LIMIT, min(self._limit, running) * cut_factor)
+        elif self._saturated_ticks >= LIMIT_AFTER_TICKS:
+            self._limit = min(self._limit, max(MIN_SATURATED_LIMIT, running))
+        elif not is_long:
+            self._grow(1.0 - loop_utilisation)
+
+    def _has_settled(self, running: int) -> bool:
+        """Whether no more connections run than the limit allows.
+
+        Those beyond it keep iterations long until they end; lowering the limit again
+        before that would count the same cause twice.
         """
         return running < self._limit + 1
 
-    def _grow(self, idle: float) -> None:
-        self._limit *= 1 + GROWTH * idle
+    def _grow(self, idle_fraction: float) -> None:
+        self._limit *= 1 + MAX_GROWTH_FRACTION * idle_fraction
         if self._limit > MAX_LIMIT:
             self._limit = math.inf
--- a/packages/fleet/src/teaselledge_fleet/process/offloading.py
+++ b/packages/fleet/src/teaselledge_fleet/process/offloading.py
@@ -1,4 +1,4 @@
-"""Which new connections another router of the zone should serve."""
+"""Choose which new connections another router of the zone should serve."""
 
 import asyncio
 import random
@@ -15,39 +15,40 @@
 _log = get_log("offloading")
 
 FULL_OFFLOAD_UTILISATION = 0.75
-"""Part of its processor time from which on a router passes all new connections on.
+"""Utilisation from which a router offloads all new connections.
 
-The rest is for the requests that it has and for passing on.
+The rest of its CPU time is for the requests it has and for relaying.
 """
 
-REMEMBERED_SECONDS = 0.1
-"""Time for which the candidates are not looked for again; routers tell how busy they
-are each 0.25 to 0.4 s."""
+CANDIDATE_CACHE_SECONDS = 0.1
+"""Time for which the candidates are cached.
+
+Routers report their utilisation every 0.25 to 0.4 s."""
 
 CANDIDATE_TTL_SECONDS = 10.0
-"""Time for which the last candidates are kept where none is left.
+"""Time for which the last candidates are retained if no peer appears ready.
 
-A crowded router reads the messages of others late, and all of them look silent to it
-just when it needs them. One that has really gone costs a try to connect.
+An overloaded router reads the messages of others late, so all of them appear silent
+just when it needs them. A candidate that is really gone costs one attempt to connect.
 """
 
-LOG_SECONDS = 1.0
+LOG_INTERVAL_SECONDS = 1.0
 
 
 class UtilisationSource(Protocol):
-    """How much of its processor time a router uses."""
+    """Provides the utilisation of a router."""
 
     @property
     def utilisation(self) -> float:
-        """The part that is used, 0 to 1."""
+        """Fraction of the CPU time that is used, 0 to 1."""
 
 
 class ConnectionOffloader:
-    """Chooses routers that take over connections while this one is crowded.
+    """Chooses routers to which this one offloads connections under high utilisation.
 
     All callers of an organisation in a zone may connect to one router, whichever
-    addresses they are told. It can't serve them alone, and refused here they would come
-    back here, while its neighbours have time.
+    addresses are advertised. It can't serve them alone, and if it refused them they
+    would return to it while its peers have room.
 
     Parameters
     ----------
@@ -58,50 +59,50 @@
     def __init__(self, members: Members) -> None:
         self._members = members
         self._candidates: list[Member] = []
-        self._looked_at = -REMEMBERED_SECONDS
-        self._found_at = -CANDIDATE_TTL_SECONDS
-        self._passed_on: Counter[str] = Counter()
+        self._checked_at = -CANDIDATE_CACHE_SECONDS
+        self._peers_seen_at = -CANDIDATE_TTL_SECONDS
+        self._offloaded: Counter[str] = Counter()
         self._logged_at = 0.0
 
-    def choose(self, load: UtilisationSource) -> str | None:
-        """Return where a new connection goes; None where it stays here."""
-        part = (load.utilisation - HIGH_UTILISATION) / (
+    def choose(self, source: UtilisationSource) -> str | None:
+        """Return the relay address for a new connection; None to serve it here."""
+        offload_fraction = (source.utilisation - HIGH_UTILISATION) / (
             FULL_OFFLOAD_UTILISATION - HIGH_UTILISATION
         )
-        if part <= 0.0 or random.random() >= part:
+        if offload_fraction <= 0.0 or random.random() >= offload_fraction:
             return None
-        candidates = self._find()
+        candidates = self._find_candidates()
         if not candidates:
             return None
         weights = [spare_cores(member) for member in candidates]
         return random.choices(candidates, weights)[0].relay_address
 
-    def _find(self) -> list[Member]:
-        """Return routers of the zone that are not crowded themselves."""
+    def _find_candidates(self) -> list[Member]:
+        """Return the peers in the zone whose utilisation is not high."""
         now = asyncio.get_running_loop().time()
-        if now - self._looked_at < REMEMBERED_SECONDS:
+        if now - self._checked_at < CANDIDATE_CACHE_SECONDS:
             return self._candidates
-        self._looked_at = now
+        self._checked_at = now
         own = self._members.own
         zone_peers = [
             member
             for member in self._members.ready
             if member.zone == own.zone and member.vm != own.vm and member.relay_address
         ]
-        if zone_peers or now - self._found_at > CANDIDATE_TTL_SECONDS:
-            self._found_at = now
+        if zone_peers or now - self._peers_seen_at > CANDIDATE_TTL_SECONDS:
+            self._peers_seen_at = now
             self._candidates = [
                 peer for peer in zone_peers if peer.utilisation < HIGH_UTILISATION
             ]
         return self._candidates
 
     def record_offload(self, router: str) -> None:
-        """Count a connection that is passed on, for the log."""
-        self._passed_on[router] += 1
+        """Count an offloaded connection, for the log."""
+        self._offloaded[router] += 1
         now = asyncio.get_running_loop().time()
-        if now - self._logged_at >= LOG_SECONDS:
+        if now - self._logged_at >= LOG_INTERVAL_SECONDS:
             self._logged_at = now
             vms = {member.relay_address: member.vm for member in self._candidates}
-            routers = {vms.get(r, r): n for r, n in self._passed_on.items()}
+            routers = {vms.get(r, r): n for r, n in self._offloaded.items()}
             _log.info("connections passed on", routers=routers)
-            self._passed_on.clear()
+            self._offloaded.clear()
--- a/packages/fleet/src/teaselledge_fleet/process/passingrate.py
+++ b/packages/fleet/src/teaselledge_fleet/process/passingrate.py
@@ -1,56 +1,57 @@
-"""How many connections other routers have room for."""
+"""Limit offloaded connections to those that other routers accept."""
 
 import math
 
 __all__ = ["OffloadLimiter"]
 
-WEIGHT = 0.3
-"""Weight of the latest tick: what is passed on follows within half a second."""
+SMOOTHING_FACTOR = 0.3
+"""Weight of the latest tick; averages follow a change within half a second."""
 
-MOSTLY_REFUSED = 0.5
-"""Part that others refuse, from which on fewer are passed on."""
+HIGH_REFUSAL_FRACTION = 0.5
+"""Refused fraction of offloaded connections above which offloading is limited."""
 
-MARGIN = 1.5
-"""Connections that are passed on for each that was not refused, so that it shows when
-others have more room."""
+PROBE_FACTOR = 1.5
+"""Connections offloaded for each accepted one, to detect when others have room."""
 
 MIN_OFFLOADS = 3.0
-"""Connections a tick that are always passed on, for the same reason."""
+"""Connections that may be offloaded in every tick, for the same reason."""
 
 
 class OffloadLimiter:
-    """Learns from their refusals how much other routers can take over.
+    """Limits the rate of offloading by the refusals of other routers.
 
-    A connection that is refused after it was passed on costs two routers more than its
-    request is worth, and its caller time. One that is refused here at once costs a
-    third of passing it on.
+    A connection that is refused after it was offloaded costs two routers more than its
+    request is worth, and delays its caller. Refusing it here at once costs a third of
+    offloading it.
     """
 
     def __init__(self) -> None:
-        self._passed = self._refused = 0
-        self._mean_passed = self._mean_refused = 0.0
-        self._left = math.inf
+        self._offloaded = self._refused = 0
+        self._mean_offloaded = self._mean_refused = 0.0
+        self._remaining = math.inf
 
     @property
     def allowed(self) -> bool:
-        """Whether one more connection may be passed on in this tick."""
-        return self._left > 0
+        """Whether one more connection may be offloaded in this tick."""
+        return self._remaining > 0
 
     def record_offload(self) -> None:
-        """Count a connection that is passed on."""
-        self._passed += 1
-        self._left -= 1
+        """Count an offloaded connection."""
+        self._offloaded += 1
+        self._remaining -= 1
 
     def record_refusal(self) -> None:
-        """Count one that the other router refused."""
+        """Count an offloaded connection that the other router refused."""
         self._refused += 1
 
     def start_tick(self) -> None:
-        """Begin a tick."""
-        self._mean_passed += WEIGHT * (self._passed - self._mean_passed)
-        self._mean_refused += WEIGHT * (self._refused - self._mean_refused)
-        self._passed = self._refused = 0
-        self._left = math.inf
-        if self._mean_refused > MOSTLY_REFUSED * self._mean_passed:
-            taken = max(0.0, self._mean_passed - self._mean_refused)
-            self._left = max(MIN_OFFLOADS, MARGIN * taken)
+        """Start a tick: update the averages and the limit."""
+        self._mean_offloaded += SMOOTHING_FACTOR * (
+            self._offloaded - self._mean_offloaded
+        )
+        self._mean_refused += SMOOTHING_FACTOR * (self._refused - self._mean_refused)
+        self._offloaded = self._refused = 0
+        self._remaining = math.inf
+        if self._mean_refused > HIGH_REFUSAL_FRACTION * self._mean_offloaded:
+            accepted = max(0.0, self._mean_offloaded - self._mean_refused)
+            self._remaining = max(MIN_OFFLOADS, PROBE_FACTOR * accepted)
--- a/packages/fleet/tests/test_connectionlimit.py
+++ b/packages/fleet/tests/test_connectionlimit.py
@@ -1,4 +1,4 @@
-"""Tests of how many connections a router takes."""
+"""Tests of how many connections a router accepts."""
 
 import math
 from collections import deque
@@ -10,47 +10,47 @@
     ConnectionLimit,
 )
 
-SHORT, LONG = LONG_ITERATION_SECONDS / 2, LONG_ITERATION_SECONDS * 10
+SHORT_SECONDS, LONG_SECONDS = LONG_ITERATION_SECONDS / 2, LONG_ITERATION_SECONDS * 10
 
 
-def test_router_with_short_turns_takes_every_connection():
+def test_router_with_short_iterations_accepts_every_connection():
     limit = ConnectionLimit()
     for running in range(0, 10_000, 100):
-        limit.update(SHORT, 0.5, running)
+        limit.update(SHORT_SECONDS, 0.5, running)
         assert limit.allows(running)
 
 
-def test_pause_of_the_whole_vm_limits_nothing():
-    """It shows as a single long turn, and the router has time for all that waited."""
+def test_pause_of_the_whole_vm_sets_no_limit():
+    """It shows as a single long iteration; the router can serve all that waited."""
     limit = ConnectionLimit()
     limit.update(5.0, 1.0, 300)
     assert limit.allows(300)
 
 
-def test_limit_falls_with_long_turns_and_comes_back():
+def test_limit_falls_with_long_iterations_and_recovers():
     limit = ConnectionLimit()
-    limit.update(LONG, 1.0, 600)
-    limit.update(LONG, 1.0, 600)
+    limit.update(LONG_SECONDS, 1.0, 600)
+    limit.update(LONG_SECONDS, 1.0, 600)
     assert MIN_LIMIT <= limit.limit < 300
     assert not limit.allows(600)
     for _ in range(200):
-        limit.update(SHORT, 0.5, 100)
+        limit.update(SHORT_SECONDS, 0.5, 100)
     assert math.isinf(limit.limit)
 
 
 def test_limit_falls_however_many_connections_run():
-    """A VM with many descriptors may run more than the limit ever grows to."""
+    """A VM with many file descriptors may run more than the maximum limit."""
     limit = ConnectionLimit()
-    limit.update(LONG, 1.0, 2 * MAX_LIMIT)
-    limit.update(LONG, 1.0, 2 * MAX_LIMIT)
+    limit.update(LONG_SECONDS, 1.0, 2 * MAX_LIMIT)
+    limit.update(LONG_SECONDS, 1.0, 2 * MAX_LIMIT)
     assert limit.limit < MAX_LIMIT
 
 
-class Loop:
-    """An event loop whose turns are as long as the connections that it serves need.
+class SimulatedLoop:
+    """An event loop whose iterations last as long as its connections need.
 
-    A connection takes a twentieth of its time in each turn; a refusal takes a tenth of
-    what a connection takes in all.
+    A connection takes a twentieth of its total time in each iteration; a refusal takes
+    a tenth of a connection's total time.
     """
 
     def __init__(self, connection_seconds: float) -> None:
@@ -58,92 +58,101 @@
         self._seconds = connection_seconds
         self._running = 0
 
-    def play(self, arrivals: float, seconds: float) -> tuple[float, float]:
-        """Return the connections served a second, and the longest turn at the end."""
-        clock = served = turn = 0.0
-        waiting = 0.0
+    def simulate(self, arrivals: float, seconds: float) -> tuple[float, float]:
+        """Return the connections served a second, and the last iteration's duration."""
+        clock = served = iteration = 0.0
+        pending = 0.0
         while clock < seconds:
-            waiting += arrivals * turn
-            taken = min(waiting, max(0.0, self.limit.limit - self._running))
-            turn = 0.005 + self._running * self._seconds / 20
-            turn += (waiting - taken) * self._seconds / 10
+            pending += arrivals * iteration
+            accepted = min(pending, max(0.0, self.limit.limit - self._running))
+            iteration = 0.005 + self._running * self._seconds / 20
+            iteration += (pending - accepted) * self._seconds / 10
             ended = self._running / 20
-            self._running += taken - ended
+            self._running += accepted - ended
             served += ended
-            waiting = 0.0
-            clock += turn
-            self.limit.update(turn, 1.0, round(self._running))
-        return served / seconds, turn
+            pending = 0.0
+            clock += iteration
+            self.limit.update(iteration, 1.0, round(self._running))
+        return served / seconds, iteration
 
 
-def test_flooded_router_goes_on_serving_what_it_has_time_for():
-    """Without a limit its turns grow until nothing is answered in time."""
-    served, turn = Loop(0.002).play(arrivals=1400, seconds=20)
-    assert turn < 3 * LONG_ITERATION_SECONDS
-    # a router can serve 500 a second; refusing the others takes a part of its time
+def test_overloaded_router_continues_to_serve_connections():
+    """Without a limit its iterations grow until no response is in time."""
+    served, iteration = SimulatedLoop(0.002).simulate(arrivals=1400, seconds=20)
+    assert iteration < 3 * LONG_ITERATION_SECONDS
+    # it can serve 500 a second; refusing the others takes some of its time
     assert served > 125
 
 
-class FloodedRouter:
-    """A router that passes connections on, each of which lasts for a while.
+class SimulatedRouter:
+    """A router that relays connections, each of which lasts for some ticks.
 
-    What it takes too much of ends late: its turns are long until then, whatever it
-    refuses.
+    Excess connections end late: iterations are long until then, whatever it refuses.
     """
 
     TICK_SECONDS = 0.1
-    LASTING_TICKS = 15
-    TIME = 0.5
-    """Processor time that it has a second."""
-    TAKING, PASSING, REFUSING = 0.0005, 0.0005, 0.0003
-    """Seconds that it takes to take over a connection, pass it on to its end, or refuse
-    it."""
+    CONNECTION_TICKS = 15
+    CPU_SECONDS_PER_SECOND = 0.5
+    """CPU time available a second."""
+    ACCEPT_SECONDS, RELAY_SECONDS, REFUSE_SECONDS = 0.0005, 0.0005, 0.0003
+    """CPU time to accept a connection, to relay it until its end, or to refuse it."""
 
     def __init__(self) -> None:
         self.limit = ConnectionLimit()
-        self.turns: list[float] = []
-        self._ending = deque([0] * self.LASTING_TICKS)
+        self.iterations: list[float] = []
+        self._accepted_by_tick = deque([0] * self.CONNECTION_TICKS)
         self._backlog = 0.0
 
-    def play(self, arrivals: float, seconds: float) -> list[int]:
-        """Return the connections taken in each tick."""
+    def simulate(self, arrivals: float, seconds: float) -> list[int]:
+        """Return the connections accepted in each tick."""
         return [
             self._tick(round(arrivals * self.TICK_SECONDS))
             for _ in range(round(seconds / self.TICK_SECONDS))
         ]
 
     def _tick(self, arrivals: int) -> int:
-        self._ending.popleft()
-        running = sum(self._ending)
-        taken = 0
-        while taken < arrivals and self.limit.allows(running + taken):
-            taken += 1
-        self._ending.append(taken)
-        work = taken * self.TAKING + (arrivals - taken) * self.REFUSING
-        work += running * self.PASSING / self.LASTING_TICKS
-        asked, time = self._backlog + work, self.TIME * self.TICK_SECONDS
-        self._backlog = max(0.0, asked - time)
-        self.turns.append(0.01 + self._backlog / self.TIME)
-        self.limit.update(self.turns[-1], min(1.0, asked / time), running + taken)
-        return taken
-
-
-def test_flooded_router_uses_the_time_that_it_has():
-    """A limit that is cut again before the cut shows leaves time and callers unused."""
-    router = FloodedRouter()
-    router.play(arrivals=50, seconds=5)
-    taken = router.play(arrivals=850, seconds=18)
-    # it can take 350 a second and refuse the others
-    most = (router.TIME - 850 * router.REFUSING) / 0.0007
-    assert sum(taken[:60]) >= 6 * most / 2, sum(taken[:60])
-    assert sum(taken[60:]) >= 12 * most * 0.7, sum(taken[60:])
-    # a request takes about five turns, of an objective of 0.8 s
-    assert max(router.turns) < 2 * LONG_ITERATION_SECONDS
-
-
-def test_router_that_is_used_up_by_something_else_takes_connections():
-    """A large configuration keeps the loop at work for some ticks, at start as well."""
+        self._accepted_by_tick.popleft()
+        running = sum(self._accepted_by_tick)
+        accepted = 0
+        while accepted < arrivals and self.limit.allows(running + accepted):
+            accepted += 1
+        self._accepted_by_tick.append(accepted)
+        work = (
+            accepted * self.ACCEPT_SECONDS + (arrivals - accepted) * self.REFUSE_SECONDS
+        )
+        work += running * self.RELAY_SECONDS / self.CONNECTION_TICKS
+        requested_seconds, available_seconds = (
+            self._backlog + work,
+            self.CPU_SECONDS_PER_SECOND * self.TICK_SECONDS,
+        )
+        self._backlog = max(0.0, requested_seconds - available_seconds)
+        self.iterations.append(0.01 + self._backlog / self.CPU_SECONDS_PER_SECOND)
+        self.limit.update(
+            self.iterations[-1],
+            min(1.0, requested_seconds / available_seconds),
+            running + accepted,
+        )
+        return accepted
+
+
+def test_overloaded_router_uses_its_cpu_time():
+    """A limit lowered again before the first cut takes effect would leave CPU idle."""
+    router = SimulatedRouter()
+    router.simulate(arrivals=50, seconds=5)
+    accepted = router.simulate(arrivals=850, seconds=18)
+    # it can accept 350 a second and refuse the others
+    max_accepted = (
+        router.CPU_SECONDS_PER_SECOND - 850 * router.REFUSE_SECONDS
+    ) / 0.0007
+    assert sum(accepted[:60]) >= 6 * max_accepted / 2, sum(accepted[:60])
+    assert sum(accepted[60:]) >= 12 * max_accepted * 0.7, sum(accepted[60:])
+    # a request takes about five iterations, and its latency objective is 0.8 s
+    assert max(router.iterations) < 2 * LONG_ITERATION_SECONDS
+
+
+def test_router_saturated_by_other_work_accepts_connections():
+    """A large configuration saturates the loop for some ticks, also at start."""
     limit = ConnectionLimit()
     for _ in range(5):
-        limit.update(SHORT, 1.0, 10)
+        limit.update(SHORT_SECONDS, 1.0, 10)
     assert limit.allows(40)
--- a/packages/fleet/tests/test_offloading.py
+++ b/packages/fleet/tests/test_offloading.py
@@ -1,4 +1,4 @@
-"""Tests of which connections a crowded router passes on, and where to."""
+"""Tests of which connections a router offloads, and to which routers."""
 
 import asyncio
 from collections import Counter
@@ -14,12 +14,12 @@
 )
 
 VIRTUAL_CLOCK = True
-TRIES = 1000
+TRIALS = 1000
 
 
 @dataclass(frozen=True)
-class Used:
-    """A load."""
+class FixedUtilisation:
+    """A source with a fixed utilisation."""
 
     utilisation: float
 
@@ -34,44 +34,48 @@
     yield Members(router("r1"))
 
 
-def choices(offloading: ConnectionOffloader, busy: float) -> Counter:
-    return Counter(offloading.choose(Used(busy)) for _ in range(TRIES))
+def count_choices(offloading: ConnectionOffloader, utilisation: float) -> Counter:
+    return Counter(
+        offloading.choose(FixedUtilisation(utilisation)) for _ in range(TRIALS)
+    )
 
 
-async def test_more_connections_are_passed_on_the_busier_a_router_is(members):
+async def test_more_connections_are_offloaded_with_higher_utilisation(members):
     members.update_from_heartbeat(router("r2"))
     offloading = ConnectionOffloader(members)
-    assert choices(offloading, HIGH_UTILISATION) == {None: TRIES}
-    half = choices(offloading, (HIGH_UTILISATION + FULL_OFFLOAD_UTILISATION) / 2)
-    assert 0.4 * TRIES < half["r2:82"] < 0.6 * TRIES
-    assert choices(offloading, FULL_OFFLOAD_UTILISATION) == {"r2:82": TRIES}
+    assert count_choices(offloading, HIGH_UTILISATION) == {None: TRIALS}
+    choices = count_choices(
+        offloading, (HIGH_UTILISATION + FULL_OFFLOAD_UTILISATION) / 2
+    )
+    assert 0.4 * TRIALS < choices["r2:82"] < 0.6 * TRIALS
+    assert count_choices(offloading, FULL_OFFLOAD_UTILISATION) == {"r2:82": TRIALS}
 
 
-async def test_routers_with_more_room_take_more(members):
+async def test_routers_with_more_spare_cores_are_chosen_more_often(members):
     members.update_from_heartbeat(router("large", cores=2.0))
     members.update_from_heartbeat(router("small", cores=0.5))
-    found = choices(ConnectionOffloader(members), 1.0)
-    assert found["large:82"] > 3 * found["small:82"]
+    choices = count_choices(ConnectionOffloader(members), 1.0)
+    assert choices["large:82"] > 3 * choices["small:82"]
 
 
-async def test_only_routers_of_the_zone_with_time_take_connections_over(members):
+async def test_only_routers_of_the_zone_with_low_utilisation_are_chosen(members):
     members.update_from_heartbeat(router("elsewhere", zone="y"))
     members.update_from_heartbeat(router("crowded", utilisation=HIGH_UTILISATION))
     members.update_from_heartbeat(replace(router("older"), relay_port=0))
     members.update_from_heartbeat(replace(router("leaving"), state=MemberState.LEAVING))
-    assert choices(ConnectionOffloader(members), 1.0) == {None: TRIES}
+    assert count_choices(ConnectionOffloader(members), 1.0) == {None: TRIALS}
 
 
-async def test_router_that_hears_nobody_goes_on_with_those_it_knew(members):
-    """A flooded router reads the pulses of its neighbours seconds late.
+async def test_candidates_are_retained_while_all_peers_appear_silent(members):
+    """An overloaded router reads the heartbeats of its peers seconds late.
 
-    All of them look silent, and it would refuse everything while they have time.
+    All of them appear silent, and it would refuse everything while they have room.
     """
     members.update_from_heartbeat(router("r2"))
     offloading = ConnectionOffloader(members)
-    assert offloading.choose(Used(1.0)) == "r2:82"
+    assert offloading.choose(FixedUtilisation(1.0)) == "r2:82"
     await asyncio.sleep(CANDIDATE_TTL_SECONDS / 2)
     assert members.ready == [members.own]
-    assert offloading.choose(Used(1.0)) == "r2:82"
+    assert offloading.choose(FixedUtilisation(1.0)) == "r2:82"
     await asyncio.sleep(CANDIDATE_TTL_SECONDS)
-    assert offloading.choose(Used(1.0)) is None
+    assert offloading.choose(FixedUtilisation(1.0)) is None
