--- a/packages/fleet/src/teaselledge_fleet/process/budget.py
+++ b/packages/fleet/src/teaselledge_fleet/process/budget.py
@@ -1,4 +1,4 @@
-"""A budget of repeats that holds for the whole fleet without asking it."""
+"""Retry budget of the whole fleet, enforced without coordination."""
 
 import asyncio
 from collections import defaultdict, deque
@@ -9,19 +9,19 @@
 
 @dataclass(frozen=True)
 class RetryLimits:
-    """How many sends beyond the first the whole fleet may make.
+    """Limits of the retries of the whole fleet.
 
     Attributes
     ----------
     ratio : float
-        Repeats for each request, in a window.
+        Retries for each request, in a window.
     base_retries : float
-        Repeats in a window besides, for the whole fleet.
+        Additional retries in a window, for the whole fleet.
     window : float
         Length of the sliding window, in seconds.
     safety_factor : float
-        Part of both that is used. Clients' counts and the router's differ by what
-        is on the way, and members may be more than this router knows.
+        Fraction of both that is used. Counts of clients and routers differ by the
+        requests in transit, and there may be more routers than this one knows.
     """
 
     ratio: float = 0.2
@@ -31,49 +31,50 @@
 
 
 class RetryBudget:
-    """Counts the sends of this router and allows a part of them to be repeats.
+    """Counts attempts of this router and allows a fraction of them to be retries.
 
-    When a service fails, each request would go to several endpoints, and the load
-    of the repeats would keep the service down after it has come back. Each router
-    stays inside its own part: its own requests times the ratio, and an even part of
-    the extra. The parts add up to the fleet's budget, also when routers can't hear
-    one another.
+    When a service fails, each request would go to several endpoints, and the load of
+    the retries would keep the service down after it has recovered. Each router has its
+    own budget: its own requests times the ratio, and an equal share of the base
+    retries. The budgets add up to that of the fleet, even if routers can't communicate.
     """
 
     def __init__(self, limits: RetryLimits | None = None) -> None:
         self._limits = limits or RetryLimits()
-        self._firsts: defaultdict[str, deque[float]] = defaultdict(deque)
-        self._repeats: defaultdict[str, deque[float]] = defaultdict(deque)
-        self._routers = 1
+        self._first_attempts: defaultdict[str, deque[float]] = defaultdict(deque)
+        self._retries: defaultdict[str, deque[float]] = defaultdict(deque)
+        self._router_count = 1
 
     def set_limits(self, limits: RetryLimits) -> None:
-        """Take other limits."""
+        """Apply other limits."""
         self._limits = limits
 
     def update_router_count(self, count: int) -> None:
-        """Take the number of routers; the highest ever told counts.
+        """Update the number of routers; the highest one ever reported counts.
 
-        A router that is cut off sees few others, but they still repeat.
+        An isolated router sees few others, but those still retry.
         """
-        self._routers = max(self._routers, count)
+        self._router_count = max(self._router_count, count)
 
     def record_first_attempt(self, service: str) -> None:
-        """Count the first send of a request."""
-        self._firsts[service].append(self._now())
+        """Count the first attempt of a request."""
+        self._first_attempts[service].append(self._now())
 
     def try_acquire(self, service: str) -> bool:
-        """Take one repeat; False where none is left."""
+        """Use one retry of the budget; return False if none is left."""
         now = self._now()
         limits = self._limits
-        firsts = self._trim(self._firsts[service], now)
-        repeats = self._trim(self._repeats[service], now)
-        extra = limits.base_retries / self._routers
-        if repeats + 1 > limits.safety_factor * (limits.ratio * firsts + extra):
+        first_attempts = self._count_in_window(self._first_attempts[service], now)
+        retries = self._count_in_window(self._retries[service], now)
+        router_base_retries = limits.base_retries / self._router_count
+        if retries + 1 > limits.safety_factor * (
+            limits.ratio * first_attempts + router_base_retries
+        ):
             return False
-        self._repeats[service].append(now)
+        self._retries[service].append(now)
         return True
 
-    def _trim(self, times: deque[float], now: float) -> int:
+    def _count_in_window(self, times: deque[float], now: float) -> int:
         while times and now - times[0] > self._limits.window:
             times.popleft()
         return len(times)
--- a/packages/fleet/src/teaselledge_fleet/process/coordinators.py
+++ b/packages/fleet/src/teaselledge_fleet/process/coordinators.py
@@ -1,4 +1,4 @@
-"""Which router admits requests to an endpoint."""
+"""Choose the coordinator of each endpoint: the router that admits its requests."""
 
 import asyncio
 from collections.abc import Iterable, Sequence
@@ -20,148 +20,161 @@
 ReplyT = TypeVar("ReplyT")
 
 COORDINATORS_PER_ZONE = 4
-"""Routers of a zone that admit to its endpoints.
+"""Routers of a zone that coordinate its endpoints.
 
-All routers must know them by address, 90 bytes each. In a fleet of 89 routers and 1,500
-requests a second each of 24 is asked 60 times a second, about 2 KB/s.
+All routers must know their addresses, 90 bytes each. In a fleet of 89 routers with
+1,500 requests a second, each of 24 coordinators gets 60 queries a second, about 2 KB/s.
 """
 
-TOLD_SECONDS = 25.0
-"""Time for which a zone's routers, as told, are taken for those that admit. They are
-told each 0.8 s times the zones."""
+ZONE_COORDINATORS_TTL_SECONDS = 25.0
+"""Time for which the reported coordinators of a zone are valid.
 
-REMEMBERED_SECONDS = 0.3
-"""Time for which a choice is not made again; membership changes in about 1 s."""
+They are reported at an interval of 0.8 s times the number of zones."""
 
-MISSES = 2
-"""Questions in a row without an answer, before another router is asked.
+CHOICE_CACHE_SECONDS = 0.3
+"""Time for which a choice is cached; a change of members takes effect in about 1 s."""
 
-One datagram of 30 is lost on a bad link, and a change of router for an endpoint
-makes both count a part of its work for a moment.
+MISSED_REPLY_LIMIT = 2
+"""Consecutive queries without a reply after which another router is chosen.
+
+One datagram of 30 is lost on a bad link, and when the coordinator of an endpoint
+changes, both count only a part of its load for a moment.
 """
 
-SILENT_SECONDS = 3.0
-"""Time for which a router that did not answer is not asked; most troubles of a VM
-last 2 to 6 s, and each try costs some requests 50 to 100 ms."""
+COORDINATOR_EXCLUSION_SECONDS = 3.0
+"""Time for which a router that did not reply is not queried.
+
+Most faults of a VM last 2 to 6 s, and each try delays some requests by 50 to 100 ms."""
 
+SAME_REGION_REPLY_TIMEOUT_SECONDS = 0.05
+OTHER_REGION_REPLY_TIMEOUT_SECONDS = 0.1
+"""Reply timeouts within a region and between regions.
 
-NEAR_SECONDS = 0.05
-FAR_SECONDS = 0.1
-"""Time for an answer from the own region and from another: 3 and 40 ms on the way, and
-up to 40 ms in the queues of two busy processes. A request that got none is decided by
-what was heard before."""
+The round trip takes 3 and 40 ms, and queues of two busy processes up to 40 ms. A
+request without a reply is decided by the load that was reported before."""
 
 
 @dataclass(frozen=True)
-class _Told:
-    at: float
+class _ZoneCoordinators:
+    reported_at: float
     members: list[Member]
 
 
 @dataclass(frozen=True)
 class _Choice:
-    at: float
+    chosen_at: float
     member: Member
 
 
 class Coordinators:
-    """Finds the router that admits to an endpoint, the same one on every router.
+    """Finds the coordinator of an endpoint, the same one on every router.
 
-    It is the first by a hash of some in the endpoint's zone. Nobody is appointed: a
-    router that does not answer is passed over by all who ask it, each by itself, and
-    two routers that admit for one endpoint for a moment each count a part.
+    It is the first by rendezvous hashing of some routers in the endpoint's zone. There
+    is no election: each router excludes a coordinator that does not reply to it. While
+    an endpoint has two coordinators, each counts only a part of its load.
     """
 
     def __init__(self, members: Members) -> None:
         self._members = members
         self._choices: dict[str, _Choice] = {}
-        self._misses: dict[str, int] = {}
-        self._silent: dict[str, float] = {}
-        self._told: dict[str, _Told] = {}
+        self._missed_replies: dict[str, int] = {}
+        self._excluded_until: dict[str, float] = {}
+        self._zone_coordinators: dict[str, _ZoneCoordinators] = {}
 
-    def set_zone_coordinators(self, admitting: Sequence[Member]) -> None:
-        """Take which routers of a zone admit to its endpoints."""
-        if admitting:
-            self._told[admitting[0].zone] = _Told(self._now(), list(admitting))
+    def set_zone_coordinators(self, coordinators: Sequence[Member]) -> None:
+        """Set the routers that coordinate the endpoints of a zone."""
+        if coordinators:
+            self._zone_coordinators[coordinators[0].zone] = _ZoneCoordinators(
+                self._now(), list(coordinators)
+            )
 
     def for_zone(self, zone: str) -> list[Member]:
-        """Return the routers that admit to the endpoints of a zone."""
+        """Return the routers that coordinate the endpoints of a zone."""
         own = self._members.own
-        told = self._told.get(zone)
-        fresh = told is not None and self._now() - told.at <= TOLD_SECONDS
+        reported = self._zone_coordinators.get(zone)
+        fresh = (
+            reported is not None
+            and self._now() - reported.reported_at <= ZONE_COORDINATORS_TTL_SECONDS
+        )
         if zone == own.zone:
             members = [*self._members.alive, own]
-        elif told is not None and fresh:
-            members = told.members
+        elif reported is not None and fresh:
+            members = reported.members
         else:
             members = self._members.peers
-        taking = [
+        accepting = [
             member
             for member in members
             if member.zone == zone and member.state is not MemberState.LEAVING
         ]
-        return sorted(taking, key=rank)[:COORDINATORS_PER_ZONE]
+        return sorted(accepting, key=rank)[:COORDINATORS_PER_ZONE]
 
     def for_endpoint(self, endpoint: Endpoint) -> Member | None:
-        """Return the router that admits to an endpoint, None where none answers."""
+        """Return the coordinator of an endpoint; None if all are excluded."""
         now = self._now()
         choice = self._choices.get(endpoint.id)
-        if choice is not None and now - choice.at < REMEMBERED_SECONDS:
+        if choice is not None and now - choice.chosen_at < CHOICE_CACHE_SECONDS:
             return choice.member
-        candidates = [m for m in self._near(endpoint) if not self._is_silent(m)]
+        candidates = [
+            m for m in self._zone_candidates(endpoint) if not self._is_excluded(m)
+        ]
         if not candidates:
             return None
-        member = min(candidates, key=lambda m: _order(endpoint.id, m.vm))
+        member = min(candidates, key=lambda m: _rendezvous_hash(endpoint.id, m.vm))
         self._choices[endpoint.id] = _Choice(now, member)
         return member
 
     def retain_endpoints(self, endpoints: Iterable[str]) -> None:
-        """Forget endpoints that are gone."""
-        kept = set(endpoints)
-        self._choices = {n: c for n, c in self._choices.items() if n in kept}
+        """Drop the state of endpoints that no longer exist."""
+        retained = set(endpoints)
+        self._choices = {n: c for n, c in self._choices.items() if n in retained}
 
     async def wait_for_reply(
         self, member: Member, replies: PendingReplies[ReplyT], sequence: int
     ) -> ReplyT | None:
-        """Wait for a router's answer to a question, and note whether it came.
+        """Return a router's reply to a query and record whether it arrived.
 
-        None where it did not come in time.
+        Returns None if it did not arrive in time.
         """
-        near = member.region == self._members.own.region
-        seconds = NEAR_SECONDS if near else FAR_SECONDS
-        answer = await replies.wait(sequence, seconds)
-        if answer is None:
-            self._miss(member)
+        same_region = member.region == self._members.own.region
+        timeout = (
+            SAME_REGION_REPLY_TIMEOUT_SECONDS
+            if same_region
+            else OTHER_REGION_REPLY_TIMEOUT_SECONDS
+        )
+        reply = await replies.wait(sequence, timeout)
+        if reply is None:
+            self._record_missed_reply(member)
         else:
-            self._misses.pop(member.vm, None)
-        return answer
-
-    def _miss(self, member: Member) -> None:
-        """Pass over a router that did not answer some questions in a row."""
-        misses = self._misses.get(member.vm, 0) + 1
-        self._misses[member.vm] = misses
-        if misses < MISSES:
+            self._missed_replies.pop(member.vm, None)
+        return reply
+
+    def _record_missed_reply(self, member: Member) -> None:
+        """Exclude a router that did not reply to some queries in a row."""
+        missed_replies = self._missed_replies.get(member.vm, 0) + 1
+        self._missed_replies[member.vm] = missed_replies
+        if missed_replies < MISSED_REPLY_LIMIT:
             return
-        del self._misses[member.vm]
-        self._silent[member.vm] = self._now() + SILENT_SECONDS
+        del self._missed_replies[member.vm]
+        self._excluded_until[member.vm] = self._now() + COORDINATOR_EXCLUSION_SECONDS
         self._choices.clear()
-        _log.info("router does not admit", vm=member.vm, unanswered=misses)
+        _log.info("router does not admit", vm=member.vm, unanswered=missed_replies)
 
-    def _near(self, endpoint: Endpoint) -> list[Member]:
-        """Return the routers that admit in the endpoint's zone, or the next one."""
-        found = self.for_zone(endpoint.zone)
-        if found:
-            return found
+    def _zone_candidates(self, endpoint: Endpoint) -> list[Member]:
+        """Return the coordinators of the endpoint's zone, else of another zone."""
+        candidates = self.for_zone(endpoint.zone)
+        if candidates:
+            return candidates
         own = self._members.own
         zones = {m.zone for m in [*self._members.peers, own]}
-        return self.for_zone(min(zones, key=lambda z: _order(endpoint.id, z)))
+        return self.for_zone(min(zones, key=lambda z: _rendezvous_hash(endpoint.id, z)))
 
-    def _is_silent(self, member: Member) -> bool:
-        return self._silent.get(member.vm, 0.0) > self._now()
+    def _is_excluded(self, member: Member) -> bool:
+        return self._excluded_until.get(member.vm, 0.0) > self._now()
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
 
-def _order(endpoint: str, name: str) -> int:
+def _rendezvous_hash(endpoint: str, name: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{endpoint}\0{name}".encode())
--- a/packages/fleet/src/teaselledge_fleet/process/results.py
+++ b/packages/fleet/src/teaselledge_fleet/process/results.py
@@ -1,4 +1,4 @@
-"""How attempts at each endpoint went lately."""
+"""Recent outcomes of attempts at each endpoint."""
 
 import asyncio
 from collections import defaultdict
@@ -6,81 +6,87 @@
 
 __all__ = ["OutlierDetector"]
 
-MEMORY_SECONDS = 4.0
-"""Time after which a result counts a third of what it did."""
+DECAY_SECONDS = 4.0
+"""Time in which the weight of an outcome falls to a third."""
 
-PRIOR = 2.0
-"""Good results that every endpoint is taken to have had.
+PRIOR_SUCCESS_COUNT = 2.0
+"""Successes that are assumed of every endpoint.
 
-A single failure among few requests then does not shut an endpoint out.
+A single failure among few requests then does not exclude an endpoint.
 """
 
-UNREACHED_SECONDS = 0.7
-UNREACHED_LONGEST = 4.0
-"""Pauses after an endpoint could not be connected to; they double."""
+MIN_EJECTION_SECONDS = 0.7
+MAX_EJECTION_SECONDS = 4.0
+"""Shortest and longest ejection after a failed connection; it doubles each time."""
 
 
 @dataclass
-class _Record:
-    good: float = 0.0
-    bad: float = 0.0
-    at: float = 0.0
-    avoid_until: float = 0.0
-    pause: float = UNREACHED_SECONDS
+class _EndpointRecord:
+    success_count: float = 0.0
+    failure_count: float = 0.0
+    updated_at: float = 0.0
+    ejected_until: float = 0.0
+    ejection_seconds: float = MIN_EJECTION_SECONDS
 
 
 class OutlierDetector:
-    """Weighs results by age, and avoids endpoints that can't be reached.
+    """Tracks failure rates, weighted by age, and ejects unreachable endpoints.
 
-    A health check can lie in both directions; what came of real requests does not.
+    Health checks can be wrong in both directions; outcomes of real requests are not.
     """
 
     def __init__(self) -> None:
-        self._records: defaultdict[str, _Record] = defaultdict(_Record)
-
-    def record_outcome(self, endpoint: str, good: bool) -> None:
-        """Note how an attempt ended."""
-        record = self._faded(endpoint)
-        if good:
-            record.good += 1
-            record.pause = UNREACHED_SECONDS
-            record.avoid_until = 0.0
+        self._records: defaultdict[str, _EndpointRecord] = defaultdict(_EndpointRecord)
+
+    def record_outcome(self, endpoint: str, succeeded: bool) -> None:
+        """Record the outcome of an attempt."""
+        record = self._decayed(endpoint)
+        if succeeded:
+            record.success_count += 1
+            record.ejection_seconds = MIN_EJECTION_SECONDS
+            record.ejected_until = 0.0
         else:
-            record.bad += 1
+            record.failure_count += 1
 
     def record_connect_failure(self, endpoint: str) -> None:
-        """Note that an endpoint could not be connected to."""
-        record = self._faded(endpoint)
-        record.bad += 1
-        record.avoid_until = self._now() + record.pause
-        record.pause = min(UNREACHED_LONGEST, 2 * record.pause)
+        """Record that a connection to an endpoint failed."""
+        record = self._decayed(endpoint)
+        record.failure_count += 1
+        record.ejected_until = self._now() + record.ejection_seconds
+        record.ejection_seconds = min(MAX_EJECTION_SECONDS, 2 * record.ejection_seconds)
 
     def failure_rate(self, endpoint: str) -> float:
-        """Return the part of the latest attempts that failed, from 0 to 1."""
+        """Return the fraction of recent attempts that failed, 0 to 1."""
         known = self._records.get(endpoint)
-        if known is None or not known.bad:
+        if known is None or not known.failure_count:
             return 0.0
-        record = self._faded(endpoint)
-        return record.bad / (record.bad + record.good + PRIOR)
+        record = self._decayed(endpoint)
+        return record.failure_count / (
+            record.failure_count + record.success_count + PRIOR_SUCCESS_COUNT
+        )
 
     def is_ejected(self, endpoint: str) -> bool:
-        """Whether an endpoint should not be tried now."""
+        """Whether an endpoint should not be tried at present."""
         known = self._records.get(endpoint)
-        return known is not None and known.avoid_until > self._now()
+        return known is not None and known.ejected_until > self._now()
 
     def retain_endpoints(self, endpoints: set[str]) -> None:
-        """Forget endpoints that are gone."""
+        """Drop the state of endpoints that no longer exist."""
         for name in list(self._records):
             if name not in endpoints:
                 del self._records[name]
 
-    def _faded(self, endpoint: str) -> _Record:
+    def _decayed(self, endpoint: str) -> _EndpointRecord:
         record = self._records[endpoint]
         now = self._now()
-        left = 3.0 ** (-(now - record.at) / MEMORY_SECONDS) if record.at else 0.0
-        record.good *= left
-        record.bad *= left
-        record.at = now
+        decay_factor = (
+            3.0 ** (-(now - record.updated_at) / DECAY_SECONDS)
+            if record.updated_at
+            else 0.0
+        )
+        record.success_count *= decay_factor
+        record.failure_count *= decay_factor
+        record.updated_at = now
         return record
 
     def _now(self) -> float:
