--- a/packages/fleet/src/teaselledge_fleet/process/leaving.py
+++ b/packages/fleet/src/teaselledge_fleet/process/leaving.py
@@ -11,49 +11,49 @@
 _log = get_log("leaving")
 
 ACCEPT_SECONDS = 2.5
-"""Time for which a leaving router still takes requests.
+"""Time for which a router that shuts down still accepts requests.
 
-Callers keep its address for a second, and some of them three times as long. What
-it takes within this time can still end within a grace of 8 s, or is excused by the
-caller's own deadline.
+Callers cache its address for a second, and some for three times as long. Requests
+accepted within this time can still end within a grace period of 8 s, or their failure
+is excused by the caller's own deadline.
 """
 
-QUIET_SECONDS = 3.5
-"""Least time before it ends; later, no caller connects to it."""
+MIN_SHUTDOWN_SECONDS = 3.5
+"""Minimum duration of the shutdown; after it, no caller connects any more."""
 
-RESERVE_SECONDS = 1.2
-"""Time before the kill at which it ends in any case, for its last words."""
+KILL_RESERVE_SECONDS = 1.2
+"""Time reserved before the kill, for the last messages to other routers."""
 
-TICK_SECONDS = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 
 
 class GracefulShutdown:
-    """Lets requests end, and refuses those that could not end in time."""
+    """Waits for running requests and refuses those that could not end in time."""
 
     def __init__(
         self, grace_seconds: float, front: FrontServer, server: RequestProxy
     ) -> None:
-        self._grace = grace_seconds
+        self._grace_seconds = grace_seconds
         self._front = front
         self._server = server
-        self._begun = asyncio.Event()
+        self._started = asyncio.Event()
 
     def start(self) -> None:
-        """Begin to leave; further calls do nothing."""
+        """Start the shutdown; further calls do nothing."""
         self._front.disable_keep_alive()
-        self._begun.set()
+        self._started.set()
 
     async def wait(self) -> None:
-        """Wait until the router may end."""
-        await self._begun.wait()
+        """Wait until the process may exit."""
+        await self._started.wait()
         loop = asyncio.get_running_loop()
         started = loop.time()
         await asyncio.sleep(ACCEPT_SECONDS)
         self._server.leaving = True
-        end = started + self._grace - RESERVE_SECONDS
-        while loop.time() < end:
-            if loop.time() - started > QUIET_SECONDS and not self._front.running:
+        deadline = started + self._grace_seconds - KILL_RESERVE_SECONDS
+        while loop.time() < deadline:
+            if loop.time() - started > MIN_SHUTDOWN_SECONDS and not self._front.running:
                 return
-            await asyncio.sleep(TICK_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         if self._front.running:
             _log.warning("requests cut", running=self._front.running)
--- a/packages/fleet/src/teaselledge_fleet/process/prefixes.py
+++ b/packages/fleet/src/teaselledge_fleet/process/prefixes.py
@@ -1,4 +1,4 @@
-"""The shared parts of prompts, and the order of engines that should keep them."""
+"""Shared prefixes of prompts, and the rendezvous order of engines to cache them."""
 
 from collections.abc import Sequence
 from functools import lru_cache
@@ -12,10 +12,10 @@
 
 
 def shared_prefix_id(prompt: Prompt) -> str | None:
-    """Return the id of the longest chain of parts that other prompts share.
+    """Return the id of the longest prefix that other prompts share; None without one.
 
-    The last part is the request's own; the one before it stands for the chain, as
-    a part is kept only together with all parts before it.
+    The last segment is the request's own. The id of the segment before it identifies
+    the prefix, as a segment is cached only together with all segments before it.
     """
     if len(prompt.parts) < 2:  # noqa: PLR2004
         return None
@@ -23,25 +23,25 @@
 
 
 def shared_prefix_tokens(prompt: Prompt) -> int:
-    """Return the length of that chain; 0 where there is none."""
-    return sum(part.tokens for part in prompt.parts[:-1])
+    """Return the length of the shared prefix in tokens; 0 without one."""
+    return sum(segment.tokens for segment in prompt.parts[:-1])
 
 
-def rendezvous_order(part: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
-    """Return the endpoints in the order in which they should keep a part.
+def rendezvous_order(prefix: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
+    """Return the endpoints in the order in which they should cache a prefix.
 
-    Rendezvous hashing: every router finds the same order without asking, and an
-    endpoint that comes or goes moves only the parts that it keeps.
+    With rendezvous hashing every router computes the same order without communication,
+    and adding or removing an endpoint moves only the prefixes of that endpoint.
     """
-    places = _places(part, tuple(endpoint.id for endpoint in endpoints))
-    return [endpoints[place] for place in places]
+    indexes = _rendezvous_indexes(prefix, tuple(endpoint.id for endpoint in endpoints))
+    return [endpoints[index] for index in indexes]
 
 
 @lru_cache(maxsize=1024)
-def _places(part: str, names: tuple[str, ...]) -> tuple[int, ...]:
+def _rendezvous_indexes(prefix: str, names: tuple[str, ...]) -> tuple[int, ...]:
     return tuple(
         sorted(
             range(len(names)),
-            key=lambda n: xxhash.xxh3_64_intdigest(f"{part}\0{names[n]}".encode()),
+            key=lambda n: xxhash.xxh3_64_intdigest(f"{prefix}\0{names[n]}".encode()),
         )
     )
--- a/packages/fleet/src/teaselledge_fleet/process/stalls.py
+++ b/packages/fleet/src/teaselledge_fleet/process/stalls.py
@@ -1,33 +1,34 @@
-"""Notice that this process did not run for a while."""
+"""Detect that this process was stalled."""
 
 import time
 from collections.abc import Callable
 
 __all__ = ["StallDetector", "boot_clock"]
 
-LONGEST_SECONDS = 0.8
-"""Time between two ticks beyond which the process was held up. Ticks come each 0.4 s,
-and a busy event loop is late by less."""
+MAX_TICK_INTERVAL_SECONDS = 0.8
+"""Time between two ticks beyond which the process counts as stalled.
 
-STALE_SECONDS = 0.5
-"""Time after a stall in which messages that came meanwhile are still being read."""
+Ticks are due every 0.4 s, and a busy event loop delays them by less than that."""
+
+BACKLOG_SECONDS = 0.5
+"""Time after a stall in which messages that arrived during it are still being read."""
 
 
 def boot_clock() -> float:
-    """Return the seconds since the VM started, those of its suspension included."""
+    """Return the seconds since the VM started, including time suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class StallDetector:
-    """Tells whether messages that are read now may have waited for long.
+    """Detects whether messages that are read now may be outdated.
 
-    Messages have no time of their own. A VM that was frozen reads them when it wakes,
-    and would take what they tell for news, and pass it on as such.
+    Messages carry no time. A VM that was suspended reads them when it resumes; it would
+    treat their content as current and forward it as such.
 
     Parameters
     ----------
     clock : callable
-        Returns seconds that go on while the VM is suspended.
+        Returns seconds of a clock that also advances while the VM is suspended.
     """
 
     def __init__(self, clock: Callable[[], float] = boot_clock) -> None:
@@ -37,13 +38,15 @@
 
     @property
     def recently_stalled(self) -> bool:
-        """Whether messages may have waited."""
+        """Whether messages that are read now may have waited during a stall."""
         now = self._clock()
-        return now < self._stale_until or now - self._ticked_at > LONGEST_SECONDS
+        return (
+            now < self._stale_until or now - self._ticked_at > MAX_TICK_INTERVAL_SECONDS
+        )
 
     def tick(self) -> None:
-        """Note that the process runs."""
+        """Record that the process is running."""
         now = self._clock()
-        if now - self._ticked_at > LONGEST_SECONDS:
-            self._stale_until = now + STALE_SECONDS
+        if now - self._ticked_at > MAX_TICK_INTERVAL_SECONDS:
+            self._stale_until = now + BACKLOG_SECONDS
         self._ticked_at = now
--- a/packages/fleet/tests/test_directory.py
+++ b/packages/fleet/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the directory of shared parts, alone and between routers."""
+"""Tests of the prefix directory, alone and between routers."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
     return fleet.routers[number].placer._locator
 
 
-async def test_the_latest_user_of_a_part_comes_first():
+async def test_the_latest_holder_of_a_prefix_comes_first():
     directory = PrefixDirectory()
     for endpoint in (1, 2, 1):
         directory.record_use(7, endpoint)
@@ -32,8 +32,8 @@
     assert directory.holders(8) == []
 
 
-async def test_a_part_that_was_not_used_for_long_is_taken_as_dropped():
-    """An engine's memory is written anew; a copy from it would bring nothing."""
+async def test_a_prefix_that_is_no_longer_used_expires():
+    """The engine's cache has been replaced; a copy from it would fail."""
     directory = PrefixDirectory()
     directory.record_use(7, 1)
     await asyncio.sleep(HOLDER_TTL_SECONDS / 2)
@@ -42,11 +42,11 @@
     assert directory.holders(7) == [2]
 
 
-async def test_only_the_first_of_requests_that_come_together_reads_a_part():
-    """A new article is asked about by many callers at the same moment.
+async def test_only_the_first_of_concurrent_requests_computes_a_prefix():
+    """Many callers send requests with the same new article at the same moment.
 
-    Were each told that nobody keeps it, each would be taken for a whole reading, and
-    most would be refused.
+    If no engine counted as a holder, each request would count with the whole prefill,
+    and most would be refused.
     """
     directory = PrefixDirectory()
     assert directory.find_or_claim(7, 1) == []
@@ -55,40 +55,40 @@
     assert directory.holders(7) == []
 
 
-async def test_the_directory_stays_small():
-    """Each session has a part of its own; the oldest must go."""
+async def test_the_directory_evicts_the_oldest_prefixes():
+    """Each session has a prefix of its own, so the directory must be bounded."""
     directory = PrefixDirectory()
-    for part in range(MAX_PREFIXES + 10):
-        directory.record_use(part, 1)
+    for prefix in range(MAX_PREFIXES + 10):
+        directory.record_use(prefix, 1)
     assert directory.holders(0) == []
     assert directory.holders(MAX_PREFIXES + 9) == [1]
 
 
-async def test_routers_learn_from_one_another_where_a_part_is():
-    """One router has sent a part somewhere; another one must find it there."""
+async def test_routers_share_the_holders_of_a_prefix():
+    """One router has sent a prefix to an engine; the others must find it there."""
     async with spread_fleet(store_of(ENGINES), 6, decode_number) as fleet:
         await asyncio.sleep(SETTLED_SECONDS)
         locator_of(fleet, 0).report_use("p1", ENGINES[0], ENGINES[2])
         await asyncio.sleep(0.1)
         for number in range(6):
-            found = await locator_of(fleet, number).locate("p1", ENGINES[0])
-            assert found == [name_hash("e2")]
+            holders = await locator_of(fleet, number).locate("p1", ENGINES[0])
+            assert holders == [name_hash("e2")]
 
 
-async def test_a_directory_that_is_cut_off_holds_up_a_request_for_a_moment_only():
-    """The router that keeps the directory falls silent; requests can't wait for it.
+async def test_an_unreachable_directory_delays_a_request_only_briefly():
+    """The router with the directory does not reply; requests must not wait for it.
 
-    After two questions without an answer another router is asked.
+    After two queries without a reply another router is queried.
     """
     async with spread_fleet(store_of(ENGINES), 6, decode_number) as fleet:
         await asyncio.sleep(SETTLED_SECONDS)
-        asker = fleet.routers[0]
+        querying_router = fleet.routers[0]
         locator = locator_of(fleet, 0)
-        zone_mates = {r.vm for r in fleet.routers if r.members.own.zone == "z1"}
-        fleet.cut = lambda sender, receiver: receiver in zone_mates
+        zone_routers = {r.vm for r in fleet.routers if r.members.own.zone == "z1"}
+        fleet.cut = lambda sender, receiver: receiver in zone_routers
         started = asyncio.get_running_loop().time()
         assert await locator.locate("p1", ENGINES[1]) is None
         assert asyncio.get_running_loop().time() - started < 0.2
         fleet.cut = lambda sender, receiver: False
         assert await locator.locate("p1", ENGINES[1]) == []
-        assert asker.members.own.zone == "z0"
+        assert querying_router.members.own.zone == "z0"
--- a/packages/fleet/tests/test_one_router_flooded.py
+++ b/packages/fleet/tests/test_one_router_flooded.py
@@ -1,16 +1,17 @@
-"""One organisation's callers may all connect to one router.
-
-An organisation asked for 18 million tokens in 6 s and received 2.2 million, while
-another one received 8.3 million. In each zone all of its callers connected to the same
-router, whichever addresses they were told. That router had no processor time left and
-refused them; its 61 neighbours used a tenth to a third of theirs.
-
-A router could only refuse what it had no time for, and refusing took a sixth of the
-time of serving: at 800 new connections a second it did nothing else, read the messages
-of other routers seconds late and took all of them for silent. What it refused was not
-counted as asked for, so the others were held to no share. The log of each connection
-told so: 16,739 requests of the organisation to one router on 12,152 connections from 28
-addresses, while the same addresses sent other organisations' requests to all eleven.
+"""Tests of a router to which all callers of an organisation connect.
+
+An organisation requested 18 million tokens in 6 s and was allocated 2.2 million, while
+another one was allocated 8.3 million. In each zone all of its callers connected to the
+same router, whichever addresses were advertised. That router had no CPU time left and
+refused them; its 61 peers used a tenth to a third of theirs.
+
+A router could only refuse connections that it had no time for, and a refusal took a
+sixth of the time of serving. At 800 new connections a second it did nothing else, read
+the messages of other routers seconds late and considered all of them silent. Refused
+requests did not count as requested tokens, so no other organisation was over its share.
+The connection log had 16,739 requests of the organisation to one router, on 12,152
+connections from 28 addresses; the same addresses sent requests of other organisations
+to all eleven routers.
 """
 
 import asyncio
@@ -33,7 +34,7 @@
 
 REQUESTS = 30
 SETTLED_SECONDS = 1.5
-"""Time in which routers hear one another and how busy each is."""
+"""Time in which routers exchange heartbeats with their utilisation."""
 
 
 async def echo(request: Received, writer: asyncio.StreamWriter) -> None:
@@ -41,25 +42,25 @@
     writer.write(answer_bytes(200, headers, b"fine"))
 
 
-async def test_neighbours_serve_the_callers_of_a_router_without_processor_time():
+async def test_peers_serve_the_callers_of_an_overloaded_router():
     async with ScriptedEndpoint(echo) as engine:
         endpoints = [Endpoint("e1", "books", engine.address, "north-a", 40)]
         routing = make_routing(make_route(RetryPolicy.ANY))
         async with running_routers(3, routing, endpoints) as routers:
-            flooded = routers[0]
-            flooded.use_up()
+            overloaded = routers[0]
+            overloaded.use_up()
             await asyncio.sleep(SETTLED_SECONDS)
             served = 0
             for number in range(REQUESTS):
                 headers = {"X-Request-Id": f"q{number}"}
-                answered = await ask(flooded.port, headers=headers)
-                served += answered.status == 200
-    # an organisation is owed at least half of what the best served one gets
+                response = await ask(overloaded.port, headers=headers)
+                served += response.status == 200
+    # an organisation is entitled to at least half of what the best served one gets
     assert served >= REQUESTS / 2, f"{served} of {REQUESTS} served"
 
 
-class PromptDialect(DefaultHeaderCodec):
-    """Reads a prompt of 1,000 tokens, of which 100 are generated."""
+class PromptHeaderCodec(DefaultHeaderCodec):
+    """Decodes requests with a prompt of 1,000 tokens and 100 output tokens."""
 
     def decode_request(
         self, method: str, target: str, headers: HTTPHeaders
@@ -71,34 +72,34 @@
         )
 
 
-class Refusals:
-    """Takes answers."""
+class ResponseRecorder:
+    """Records the status of a response."""
 
     reconnect_probability = 0.0
 
     async def start(self, status, headers, chunk=None) -> None:
-        """Keep the status."""
+        """Record the status."""
         self.status = status
 
     def finish(self) -> None:
         """Do nothing."""
 
 
-async def test_requests_that_a_busy_router_refuses_count_as_asked_for():
-    """Otherwise an organisation that is refused looks as if it wanted nothing.
+async def test_requests_that_an_overloaded_router_refuses_count_as_requested():
+    """Otherwise a refused organisation would appear to request nothing.
 
-    Its share is then divided among the others, and nobody is over theirs.
+    Its share would be divided among the others, and none of them would be over theirs.
     """
     placer = FleetPlacer(EndpointView(), "north-a", {"north-a": "north"})
-    server = RequestProxy(PromptDialect(), ConnectionPool(), placer, RetryBudget())
+    server = RequestProxy(PromptHeaderCodec(), ConnectionPool(), placer, RetryBudget())
     server.routing = make_routing(
         make_route(RetryPolicy.ANY, carries_prompt=True, public=False)
     )
     server.is_overloaded = lambda: True
-    line = RequestStartLine("GET", "/r/1", "HTTP/1.1")
+    start_line = RequestStartLine("GET", "/r/1", "HTTP/1.1")
     now = asyncio.get_running_loop().time()
-    incoming = ReceivedRequest(line, HTTPHeaders(), now)
-    answers = Refusals()
-    await server.handle(incoming, answers)
-    assert answers.status == 503
+    received = ReceivedRequest(start_line, HTTPHeaders(), now)
+    recorder = ResponseRecorder()
+    await server.handle(received, recorder)
+    assert recorder.status == 503
     assert placer.shares.local() == {name_hash("cellar"): TokenUsage(1200, 0)}
