--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -13,7 +13,7 @@
 )
 
 from teaselledge_fleet.connection.codec import Datagram
-from teaselledge_fleet.connection.figures import pack_work, unpack_work
+from teaselledge_fleet.connection.figures import pack_loads, unpack_loads
 from teaselledge_fleet.connection.replies import PendingReplies
 from teaselledge_fleet.process.admission import (
     AdmissionController,
--- a/packages/fleet/src/teaselledge_fleet/process/prefixes.py
+++ b/packages/fleet/src/teaselledge_fleet/process/prefixes.py
@@ -17,9 +17,9 @@
     The last segment is the request's own. The id of the segment before it identifies
     the prefix, as a segment is cached only together with all segments before it.
     """
-    if len(prompt.parts) < 2:  # noqa: PLR2004
+    if len(prompt.segments) < 2:  # noqa: PLR2004
         return None
-    return prompt.parts[-2].id
+    return prompt.segments[-2].id
 
 
 def shared_prefix_tokens(prompt: Prompt) -> int:
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -10,7 +10,7 @@
 )
 from teaselledge_fleet.process.waiting import WAIT_FRACTION
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
-from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptPart
+from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptSegment
 from teaselledge_fleet.request.context import Outcome, RequestContext
 from teaselledge_fleet.version.routes import Organisation, RetryPolicy
 from teaselledge_standins.routes import make_route
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -11,7 +11,7 @@
 from teaselledge_fleet.process.revision import Revision
 from teaselledge_fleet.process.shares import TokenUsage
 from teaselledge_fleet.process.work import EndpointLoad, name_hash
-from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptPart
+from teaselledge_fleet.request.call import CallerRequest, Prompt, PromptSegment
 from teaselledge_fleet.request.context import Outcome, RequestContext
 from teaselledge_fleet.version.routes import Organisation, RetryPolicy
 from teaselledge_standins.routes import make_route
