--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -49,10 +49,10 @@
     def on(self, message_type: type, handler: Callable[..., None]) -> None:
         """Set the handler of a type of message; it also gets the sender's address."""
 
-    def send(self, address: str, content: Datagram) -> None:
+    def send(self, address: str, payload: Datagram) -> None:
         """Send a message; it may be lost."""
 
-    def send_all(self, addresses: Iterable[str], content: Datagram) -> None:
+    def send_all(self, addresses: Iterable[str], payload: Datagram) -> None:
         """Send the same message to several addresses."""
 
 
@@ -198,7 +198,7 @@
             if vm == self._members.own.vm:
                 self._admission.record_load(self._sender_id, self._sequence, load)
                 continue
-            report = WorkReport(self._sender_id, self._sequence, pack_work(load))
+            report = WorkReport(self._sender_id, self._sequence, pack_loads(load))
             self._socket.send(addresses[vm], report)
 
     def _needs_report(self, name: str) -> bool:
@@ -242,7 +242,7 @@
         )
 
     def _handle_report(self, report: WorkReport, sender: str) -> None:
-        load = unpack_work(report.work or b"")
+        load = unpack_loads(report.work or b"")
         self._admission.record_load(report.sender or 0, report.sequence or 0, load)
 
     def _handle_request(self, request: AdmissionRequest, sender: str) -> None:
--- a/packages/fleet/src/teaselledge_fleet/process/prefixes.py
+++ b/packages/fleet/src/teaselledge_fleet/process/prefixes.py
@@ -24,7 +24,7 @@
 
 def shared_prefix_tokens(prompt: Prompt) -> int:
     """Return the length of the shared prefix in tokens; 0 without one."""
-    return sum(segment.tokens for segment in prompt.parts[:-1])
+    return sum(segment.tokens for segment in prompt.segments[:-1])
 
 
 def rendezvous_order(prefix: str, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -27,8 +27,8 @@
 
 def make_context(number: int) -> RequestContext:
     """Return a request whose prompt takes 45 ms of prefill."""
-    parts = (PromptPart("p1", 13_000), PromptPart(f"own{number}", 3_700))
-    prompt = Prompt(16_700, 120, parts)
+    segments = (PromptSegment("p1", 13_000), PromptSegment(f"own{number}", 3_700))
+    prompt = Prompt(16_700, 120, segments)
     call = CallerRequest(
         f"q{number}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt
     )
--- a/packages/fleet/tests/test_placing.py
+++ b/packages/fleet/tests/test_placing.py
@@ -45,11 +45,11 @@
     ):
         """Return a request with a prompt."""
         self.request_count += 1
-        parts = (
-            PromptPart(prefix, prefix_tokens),
-            PromptPart(f"own{self.request_count}", suffix_tokens),
+        segments = (
+            PromptSegment(prefix, prefix_tokens),
+            PromptSegment(f"own{self.request_count}", suffix_tokens),
         )
-        prompt = Prompt(prefix_tokens + suffix_tokens, 120, parts)
+        prompt = Prompt(prefix_tokens + suffix_tokens, 120, segments)
         call = CallerRequest(
             f"q{self.request_count}", "POST", "/r/1", "h", HTTPHeaders(), prompt=prompt
         )
