--- a/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
+++ b/packages/fleet/src/teaselledge_fleet/process/admissionrpc.py
@@ -70,7 +70,7 @@
     admission : AdmissionController
         Decides for the endpoints that this router coordinates.
     socket : PeerTransport
-        Connection to other routers.
+        Transport to other routers.
     coordinators : Coordinators
         Finds the coordinator of an endpoint.
 
@@ -154,9 +154,9 @@
     ) -> AdmissionDecision:
         """Record that the coordinator has counted an admitted request.
 
-        It needs no report of it. This also holds if this router is the coordinator: a
-        request that ended before the next report would otherwise cause none, and would
-        stay counted.
+        The request then needs no report. This also holds if this router is the
+        coordinator: a request that ended before the next report would otherwise cause
+        none, and would stay counted.
         """
         if decision.admitted:
             reported = self._reported_load.get(endpoint.id, EndpointLoad())
--- a/packages/fleet/src/teaselledge_fleet/process/coordinators.py
+++ b/packages/fleet/src/teaselledge_fleet/process/coordinators.py
@@ -69,7 +69,7 @@
 class Coordinators:
     """Finds the coordinator of an endpoint, the same one on every router.
 
-    It is the first by rendezvous hashing of some routers in the endpoint's zone. There
+    Rendezvous hashing selects it among the coordinators of the endpoint's zone. There
     is no election: each router excludes a coordinator that does not reply to it. While
     an endpoint has two coordinators, each counts only a part of its load.
     """
--- a/packages/fleet/src/teaselledge_fleet/process/locating.py
+++ b/packages/fleet/src/teaselledge_fleet/process/locating.py
@@ -29,7 +29,7 @@
     members : Members
         The routers.
     socket : PeerTransport
-        Connection to other routers.
+        Transport to other routers.
     coordinators : Coordinators
         Finds the coordinator of an endpoint.
     """
--- a/packages/fleet/src/teaselledge_fleet/process/placing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/placing.py
@@ -38,7 +38,7 @@
 SHARE_TOLERANCE_FACTOR = 1.1
 """Factor by which an organisation may exceed its share and still count as inside it.
 
-The views of two routers differ by about a tenth."""
+Usage as seen by two routers differs by about a tenth."""
 
 MIN_LOOKUP_TOKENS = 1000
 """Minimum length of a shared prefix for which the fleet's directory is queried.
@@ -99,7 +99,10 @@
 
 
 class Locator(Protocol):
-    """Finds the endpoints that have a shared prefix cached."""
+    """Finds the endpoints that have a shared prefix cached.
+
+    The first choice is the first endpoint in the prefix's rendezvous order.
+    """
 
     async def locate(self, prefix: str, first_choice: Endpoint) -> list[int] | None:
         """Return their hashes, most recently used first; None if there is no reply."""
@@ -139,7 +142,7 @@
         self._load = FleetLoad()
         self._shares = OrganisationShares()
         self._local_prefixes = PrefixDirectory()
-        """Prefixes that this router placed; used if the fleet's directory is not."""
+        """Own placements of prefixes, used if the fleet's directory gives no reply."""
         self._outliers = OutlierDetector()
         self._wait_limits = QueueWaitLimits()
         self._chooser = EndpointChooser(self._distance, self._load, self._outliers)
@@ -273,8 +276,8 @@
     ) -> Candidate | None:
         """Count a request at an endpoint if the endpoint's coordinator admits it.
 
-        Returns the candidate with the queueing time that follows from the coordinator's
-        reply.
+        Returns the candidate with the queueing time computed from the coordinator's
+        reply; None if it is not admitted.
         """
         name = best.endpoint.id
         self._record_attempt(context, best)
