--- a/packages/standins/src/teaselledge_standins/fleetrouters.py
+++ b/packages/standins/src/teaselledge_standins/fleetrouters.py
@@ -61,7 +61,7 @@
 
     def simulate_saturation(self) -> None:
         """Take all its processor time from it."""
-        self.router._event_loop = UsedUp()  # type: ignore[assignment]
+        self.router._event_loop = SaturatedLoopMonitor()  # type: ignore[assignment]
 
 
 def _settings(number: int, seeds: tuple[str, ...]) -> FleetSettings:
