--- a/packages/fleet/src/teaselledge_fleet/process/metrics.py
+++ b/packages/fleet/src/teaselledge_fleet/process/metrics.py
@@ -35,29 +35,25 @@
 
 
 METRICS: dict[str, Metric] = {
-    "running": Metric(
-        "gauge", "requests", "Requests that are being received or served."
-    ),
+    "running": Metric("gauge", "requests", "Requests that are read or answered."),
     "busy": Metric(
-        "gauge", "part", "Fraction of its CPU time that the router uses, 0 to 1."
+        "gauge", "part", "Part of its processor time that the router uses, 0 to 1."
     ),
     "caller_connections": Metric(
-        "counter", "connections", "Connections accepted from callers."
+        "counter", "connections", "Connections that callers opened."
     ),
     "connections_passed_on": Metric(
-        "counter", "connections", "Connections offloaded to other routers of the zone."
+        "counter", "connections", "Those that another router of the zone took over."
     ),
     "connections_refused": Metric(
-        "counter", "connections", "Connections refused because of overload."
-    ),
-    "version": Metric(
-        "gauge", "version", "Version of the configuration in force, 0 if none."
+        "counter", "connections", "Those that the router had no time for."
     ),
+    "version": Metric("gauge", "version", "Configuration in force, 0 without one."),
     "store_age_seconds": Metric(
-        "gauge", "s", "Age of the store cache, -1 if it is empty."
+        "gauge", "s", "Age of what is known of the store, -1 if nothing is known."
     ),
     "store_era": Metric(
-        "gauge", "era", "Era of the store, which rises with each restore from a backup."
+        "gauge", "era", "Rises each time the store comes back from an older copy."
     ),
     "store_calls": Metric("counter", "calls", "Calls to the store."),
     "endpoint_connections": Metric(
@@ -67,32 +63,32 @@
         "counter", "bytes", "Bytes sent to other routers in datagrams."
     ),
     "peer_malformed": Metric(
-        "counter", "datagrams", "Malformed datagrams received from other routers."
+        "counter", "datagrams", "Datagrams that could not be read."
     ),
     "admissions_asked": Metric(
-        "counter", "questions", "Admission queries sent to coordinators of endpoints."
+        "counter", "questions", "Questions to routers that admit to an endpoint."
     ),
     "admissions_unanswered": Metric(
-        "counter", "questions", "Admission queries that timed out."
+        "counter", "questions", "Those that got no answer in time."
     ),
-    "routers_answering": Metric("gauge", "routers", "Other routers that are alive."),
+    "routers_answering": Metric("gauge", "routers", "Other routers heard lately."),
     "routers_advertised": Metric(
-        "gauge", "routers", "Routers that this router advertises to callers."
+        "gauge", "routers", "Routers that callers are sent to, by this one's directory."
     ),
     "requests": Metric(
-        "counter", "requests", "Completed requests.", ("outcome", "fault", "service")
+        "counter", "requests", "Ended requests.", ("outcome", "fault", "service")
     ),
     "attempts": Metric(
-        "counter", "attempts", "Attempts sent to endpoints.", ("outcome", "service")
+        "counter", "attempts", "Attempts at endpoints.", ("outcome", "service")
     ),
     "request_seconds": Metric(
-        "histogram", "s", "Time from arrival to the end of the response.", ("service",)
+        "histogram", "s", "Time from arrival to the end of an answer.", ("service",)
     ),
     "first_event_seconds": Metric(
         "histogram", "s", "Time from arrival to the first event.", ("service",)
     ),
     "pause_seconds": Metric(
-        "histogram", "s", "Longest gap between the events of a stream.", ("service",)
+        "histogram", "s", "Longest pause between the events of a stream.", ("service",)
     ),
 }
 """All metrics, those without labels first, as a reader may truncate the page."""
--- a/packages/router/src/teaselledge/process/status.py
+++ b/packages/router/src/teaselledge/process/status.py
@@ -85,19 +85,19 @@
     "version-lag": HealthIndicator(
         "versions",
         0,
-        "Versions by which this router is behind the highest reported one.",
+        "Versions by which this router is behind the highest it heard of.",
         lambda inputs: float(max(0, inputs.highest - inputs.in_force)),
     ),
     "unreadable-version": HealthIndicator(
         "version",
         0,
-        "A version that this release can't read; an older one is in force.",
+        "A version that this release can't read; the older one serves.",
         lambda inputs: float(inputs.unreadable),
     ),
     "store-age": HealthIndicator(
         "s",
         15,
-        "Time since the last known response of the store.",
+        "Time since the store was last known to answer.",
         lambda inputs: inputs.store_age,
     ),
     "store-behind": HealthIndicator(
@@ -121,25 +121,25 @@
     "silent-routers": HealthIndicator(
         "routers",
         0,
-        "Listed or recently dead routers that are not live.",
+        "Routers of the platform's list that were not heard lately.",
         lambda inputs: float(inputs.silent),
     ),
     "fairness-gap": HealthIndicator(
         "of the bound",
         1,
-        "Largest service gap of backlogged organisations, divided by its limit.",
+        "Largest service gap of backlogged organisations, over its bound.",
         lambda inputs: inputs.gap,
     ),
     "idle-slots": HealthIndicator(
         "slots",
         0,
-        "Free slots while requests wait at a dispatcher of this router.",
+        "Free slots for which requests wait at a dispatcher here.",
         lambda inputs: float(inputs.idle),
     ),
     "journal-unknowns": HealthIndicator(
         "orders/s",
         0,
-        "Orders whose outcome is unknown.",
+        "Orders of which it is not known whether they ran.",
         lambda inputs: inputs.rates.get("order.unknown"),
     ),
 }
--- a/packages/router/src/teaselledge/request/exchange.py
+++ b/packages/router/src/teaselledge/request/exchange.py
@@ -73,7 +73,7 @@
     response = sent.ok
     try:
         if is_mismatched_response(outbound.headers, response.headers):
-            detail = "the response belongs to another request"
+            detail = "the endpoint answered another request"
             return ExchangeResult(True, None, ErrorKind.ENDPOINT_GARBAGE, detail)
         await relay.start(response.status, response.headers)
         async for chunk in response.chunks():
@@ -81,7 +81,7 @@
             await relay.write(chunk)
     except IncompleteResponseError:
         return ExchangeResult(
-            True, None, ErrorKind.ENDPOINT_FAILED, "the response was incomplete"
+            True, None, ErrorKind.ENDPOINT_FAILED, "the answer broke off"
         )
     finally:
         response.close()
--- a/packages/router/src/teaselledge/request/orderadmin.py
+++ b/packages/router/src/teaselledge/request/orderadmin.py
@@ -20,10 +20,10 @@
 
 SETTLE_ERROR_MESSAGES: dict[SettleError, str] = {
     SettleError.ABSENT: "there is no such order",
-    SettleError.NOT_OPEN: "the outcome of the order is already known",
-    SettleError.TOO_EARLY: "the order may still be sent; try again in a few minutes",
-    SettleError.CHANGED: "the order changed in the meantime; check it again",
-    SettleError.STORE: "the store did not respond; check the order again",
+    SettleError.NOT_OPEN: "its outcome is known already",
+    SettleError.TOO_EARLY: "its attempt may still send it; try again in some minutes",
+    SettleError.CHANGED: "it changed meanwhile; look again",
+    SettleError.STORE: "the store gave no answer; look again",
 }
 
 
@@ -66,9 +66,7 @@
         if state:
             known = {entry.value: entry for entry in OrderState}
             if state not in known:
-                return Error(
-                    f"unknown state {state!r}; expected one of {', '.join(known)}"
-                )
+                return Error(f"no state {state!r}; there are {', '.join(known)}")
             selected_state = known[state]
         page = await list_orders(
             self._tables, organisation or None, selected_state, limit, after
@@ -93,9 +91,7 @@
         """Record the outcome of an order as established by an operator."""
         known = {entry.value: entry for entry in Settlement}
         if outcome not in known:
-            return Error(
-                f"unknown outcome {outcome!r}; expected one of {', '.join(known)}"
-            )
+            return Error(f"no outcome {outcome!r}; there are {', '.join(known)}")
         settled = await settle_order(
             self._tables, organisation, key, known[outcome], operator, self._clock()
         )
--- a/packages/router/src/teaselledge/request/orderrun.py
+++ b/packages/router/src/teaselledge/request/orderrun.py
@@ -62,7 +62,7 @@
 MAX_CONCURRENT_RELEASES = 8
 """Attempts of one router that release their record concurrently."""
 
-CONCURRENT_REFUSAL = "Another attempt at this order has just been refused."
+CONCURRENT_REFUSAL = "Another attempt of this order was refused just now."
 
 
 def _backoff_delays() -> Iterator[float]:
@@ -196,7 +196,7 @@
             found = await claiming
             if found is None:
                 slot.cancel()
-                detail = "The order journal did not respond in time."
+                detail = "The order journal gave no answer in time."
                 await self._refuse(Fault(ErrorKind.JOURNAL_UNAVAILABLE, detail=detail))
                 return None
             if found[0] is not ClaimStatus.MINE:
@@ -483,7 +483,7 @@
         meter = get_meter_by_name(request.service_entry.cost)
         endpoint = request.service_entry.endpoints[granted.endpoint]
         result = ExchangeResult(
-            True, None, ErrorKind.ENDPOINT_TIMEOUT, "no response in time"
+            True, None, ErrorKind.ENDPOINT_TIMEOUT, "no answer in time"
         )
         self._sent = True
         exchange = asyncio.create_task(
--- a/packages/router/src/teaselledge/yamlsource.py
+++ b/packages/router/src/teaselledge/yamlsource.py
@@ -154,16 +154,14 @@
             if key_node.tag != "tag:yaml.org,2002:str":
                 found = repr(getattr(key_node, "value", ""))[:40]
                 self._add_issue(
-                    key_node, path, f"the key {found}", "a string as key; quote it"
+                    key_node, path, f"the key {found}", "text as key; quote it"
                 )
                 continue
             name = self._build_scalar(key_node, path)
             if name is None:
                 continue
             if name in result:
-                self._add_issue(
-                    key_node, (*path, name), "a duplicate key", "each key once"
-                )
+                self._add_issue(key_node, (*path, name), "a key twice", "each key once")
                 continue
             result[name] = self.build(value_node, (*path, name))
         return result
@@ -270,7 +268,7 @@
     try:
         data = path.read_bytes()
     except OSError as error:
-        found = error.strerror or "an unknown error"
+        found = error.strerror or "an error"
         return Error([ConfigIssue(str(path), 1, "", found, "a readable file")])
     return parse(str(path), data)
 
@@ -313,8 +311,8 @@
                 path = (section, name)
                 if name in merged:
                     where = f"{files[path]}:{lines[path]}"
-                    allowed = f"each entry once; it is also defined at {where}"
-                    issues.append(issue_at(source, path, "a duplicate entry", allowed))
+                    allowed = f"each entry once; it also stands in {where}"
+                    issues.append(issue_at(source, path, "an entry twice", allowed))
                     continue
                 merged[name] = entry
                 files[path] = source.file
@@ -330,7 +328,7 @@
 def _describe_allowed(error: Any) -> str:
     context = error.get("ctx") or {}
     if error["type"] == "unexpected_keyword_argument":
-        return "only the keys listed in the reference"
+        return "only the keys that the reference lists"
     if "expected" in context:
         return str(context["expected"])
     return str(error["msg"]).removeprefix("Input should be ")
--- a/packages/router/tests/test_yamlsource.py
+++ b/packages/router/tests/test_yamlsource.py
@@ -80,7 +80,7 @@
     first = parse("a.yaml", b"zones:\n  north-a: {region: north}\n").ok
     second = parse("b.yaml", b"zones:\n  north-a: {region: south}\n").ok
     (issue,) = merge([first, second]).error
-    assert str(issue).startswith("b.yaml:2: zones.north-a: found a duplicate entry")
+    assert str(issue).startswith("b.yaml:2: zones.north-a: found an entry twice")
     assert "a.yaml:2" in issue.allowed
 
 
