--- a/packages/router/tests/test_follow.py
+++ b/packages/router/tests/test_follow.py
@@ -1,4 +1,4 @@
-"""Tests of bringing versions into force in every router."""
+"""Tests of applying versions in every router."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -14,8 +14,8 @@
 
 VIRTUAL_CLOCK = True
 
-WELL_SECONDS = 5.0
-"""Time within which a version must be in force with the store well."""
+MAX_APPLY_SECONDS = 5.0
+"""Time within which a version must be in force while the store works."""
 
 
 @asynccontextmanager
@@ -29,36 +29,36 @@
     return {version.number if version else 0 for version in versions}
 
 
-async def until(fleet, number, seconds=WELL_SECONDS):
+async def wait_until_in_force(fleet, number, seconds=MAX_APPLY_SECONDS):
     async with asyncio.timeout(seconds):
         while numbers(fleet) != {number}:
             await asyncio.sleep(0.02)
 
 
-def watch(fleet):
-    """Note every version that any router takes, in order."""
+def record_versions(fleet):
+    """Record the versions that each router applies, in order."""
     seen = {}
     for vm, node in fleet.nodes.items():
-        taken = seen.setdefault(vm, [])
+        applied = seen.setdefault(vm, [])
         original = node.config_watcher._on_version
 
-        def note(version, taken=taken, original=original):
-            taken.append(version.number)
+        def record(version, applied=applied, original=original):
+            applied.append(version.number)
             original(version)
 
-        node.config_watcher._on_version = note
+        node.config_watcher._on_version = record
     return seen
 
 
 async def test_every_version_is_in_force_within_five_seconds(fleet):
-    seen = watch(fleet)
+    seen = record_versions(fleet)
     for number in range(2, 12):
         fleet.publish(number)
-        await until(fleet, number)
-    assert all(taken == sorted(set(taken)) for taken in seen.values())
+        await wait_until_in_force(fleet, number)
+    assert all(applied == sorted(set(applied)) for applied in seen.values())
 
 
-async def test_most_routers_leave_the_store_alone(fleet):
+async def test_only_pollers_read_the_store(fleet):
     reads = fleet.tables.reads
     await asyncio.sleep(20)
     rate = (fleet.tables.reads - reads) / 20
@@ -66,35 +66,35 @@
     assert rate < 4.5
 
 
-async def test_router_that_starts_empty_in_an_outage_learns_from_its_peers(fleet):
+async def test_router_started_during_store_outage_gets_version_from_peers(fleet):
     """A VM is replaced while the store is down.
 
-    The new one must not stay without configuration, nor take an older one.
+    The new router must get the latest version, neither none nor an older one.
     """
     fleet.publish(2)
-    await until(fleet, 2)
+    await wait_until_in_force(fleet, 2)
     fleet.tables.faults.down = True
     await fleet.kill("vm-3")
     await fleet.start("vm-3")
     assert fleet.nodes["vm-3"].version is None
-    await until(fleet, 2)
+    await wait_until_in_force(fleet, 2)
     assert fleet.nodes["vm-3"].version.document == fleet.nodes["vm-0"].version.document
 
 
-async def test_router_that_starts_beside_a_slow_store_learns_from_its_peers(fleet):
-    """A VM is replaced while each call to the store takes half a minute."""
+async def test_router_started_with_slow_store_gets_version_from_peers(fleet):
+    """A VM is replaced while each call to the store takes 30 s."""
     fleet.publish(2)
-    await until(fleet, 2)
+    await wait_until_in_force(fleet, 2)
     fleet.tables.faults.delay = 30.0
     await fleet.kill("vm-3")
     started = asyncio.get_running_loop().time()
     await fleet.start("vm-3")
-    await until(fleet, 2)
+    await wait_until_in_force(fleet, 2)
     assert asyncio.get_running_loop().time() - started < 6.0
 
 
-async def test_answers_that_are_no_rows_do_not_end_the_following(fleet):
-    """A proxy before the store answers every read with a page of its own."""
+async def test_malformed_store_responses_do_not_end_updates(fleet):
+    """A proxy in front of the store answers every read with an error page."""
 
     async def get(table, key):
         raise ValueError("<html>")
@@ -102,18 +102,18 @@
     fleet.tables.get = get
     await fleet.kill("vm-3")
     await fleet.start("vm-3")
-    await until(fleet, 1)
+    await wait_until_in_force(fleet, 1)
     await asyncio.sleep(5)
     del fleet.tables.get
     fleet.publish(2)
-    await until(fleet, 2)
+    await wait_until_in_force(fleet, 2)
 
 
-async def test_split_and_heal_end_in_the_highest_version(fleet):
-    """The far region loses the others and the store for a while.
+async def test_highest_version_wins_after_partition_heals(fleet):
+    """A region is cut off from the other routers and the store for a while.
 
-    It goes on with what it has; when the link heals it takes the newest version
-    without passing through an older one again.
+    It keeps its version; after the partition heals it applies the newest one
+    directly, no version in between.
     """
     far = {vm for vm, zone in fleet.plan.routers.items() if zone == "kelowna-vault"}
     near = set(fleet.nodes) - far
@@ -121,15 +121,15 @@
     for vm in far:
         tables = fleet.nodes[vm].config_watcher._tables
         tables._tables = down_tables()
-    seen = watch(fleet)
+    seen = record_versions(fleet)
     for number in (2, 3, 4):
         fleet.publish(number)
         await asyncio.sleep(6)
     assert {fleet.nodes[vm].version.number for vm in far} == {1}
     assert {fleet.nodes[vm].version.number for vm in near} == {4}
     fleet.network.heal()
-    # its own way to the store stays broken: the peers tell it
-    await until(fleet, 4, 11)
+    # the region's own path to the store stays broken; its peers send the version
+    await wait_until_in_force(fleet, 4, 11)
     assert all(seen[vm] == [4] for vm in far)
 
 
@@ -139,26 +139,27 @@
     return tables
 
 
-async def test_pollers_without_the_store_do_not_hold_up_their_region(fleet):
+async def test_other_routers_poll_when_pollers_lose_the_store(fleet):
     """Both pollers of a region lose the store, but not their peers.
 
-    The others notice that no news of the store comes, and poll themselves.
+    The other routers detect that the last response of the store is too old, and
+    poll it themselves.
     """
     for node in fleet.nodes.values():
         if node.config_watcher.state.polls:
             node.config_watcher._tables._tables = down_tables()
     await asyncio.sleep(6)
     fleet.publish(2)
-    await until(fleet, 2, 11)
+    await wait_until_in_force(fleet, 2, 11)
 
 
-async def test_stale_reads_and_stale_peers_bring_nothing_back(fleet):
-    """The store answers with an old head, and a peer tells of an old version."""
+async def test_stale_reads_and_notices_do_not_revert_versions(fleet):
+    """The store returns an old head row, and a peer sends a notice of version 1."""
     old = (await fleet.tables.get(CONFIG_TABLE, HEAD_KEY)).ok
     for number in (2, 3):
         fleet.publish(number)
-        await until(fleet, number)
-    seen = watch(fleet)
+        await wait_until_in_force(fleet, number)
+    seen = record_versions(fleet)
     fleet.tables.apply([Write(CONFIG_TABLE, HEAD_KEY, old.value, ANY)])
     for vm in fleet.nodes:
         stale = make_message("head_notice", HeadNotice(1, old.value, 0))
@@ -169,10 +170,10 @@
     assert any(node.config_watcher.state.store_behind for node in fleet.nodes.values())
 
 
-async def test_newer_release_in_the_store_leaves_the_old_one_serving(fleet):
-    """A newer release added a field that this one does not know.
+async def test_version_of_newer_release_leaves_old_version_in_force(fleet):
+    """A newer release writes a field that this release does not know.
 
-    The routers of this release say so and go on with the version they have.
+    Routers report the version as unreadable and keep the one in force.
     """
     document = fleet.document()
     for organisation in document["organisations"].values():
@@ -187,37 +188,37 @@
     )
     assert outcome.is_correct
     fleet.publish(3)
-    await until(fleet, 3)
+    await wait_until_in_force(fleet, 3)
     assert {node.config_watcher.state.unreadable for node in fleet.nodes.values()} == {
         0
     }
 
 
-async def test_damaged_chunks_are_never_taken(fleet):
-    """The only router with a new version holds a damaged copy of one chunk.
+async def test_damaged_chunks_are_rejected(fleet):
+    """The only router with a new version has a damaged copy of one chunk.
 
-    The others must not take what they did not ask for, and take the version
-    once the right bytes come.
+    The other routers reject a chunk that does not match its digest, and apply
+    the version once they receive the right bytes.
     """
     source = next(n for n in fleet.nodes.values() if n.config_watcher.state.polls)
     for node in fleet.nodes.values():
         if node is not source:
             node.config_watcher._tables._tables = down_tables()
-    source.config_watcher._pick = lambda count: []
+    source.config_watcher._choose_peers = lambda count: []
     document = fleet.document()
     document["organisations"]["org-01"]["share"] = 77.0
-    before = set(source.config_watcher._held.chunks)
+    before = set(source.config_watcher._latest.chunks)
     fleet.publish(2, document)
     while source.version.number == 1:
         await asyncio.sleep(0.02)
-    held = source.config_watcher._held.chunks
-    (changed,) = set(held) - before
-    right, held[changed] = held[changed], held[next(iter(before))]
-    del source.config_watcher._pick
+    chunks = source.config_watcher._latest.chunks
+    (changed,) = set(chunks) - before
+    intact, chunks[changed] = chunks[changed], chunks[next(iter(before))]
+    del source.config_watcher._choose_peers
     await asyncio.sleep(10)
     assert numbers(fleet) == {1, 2}
-    held[changed] = right
-    await until(fleet, 2)
+    chunks[changed] = intact
+    await wait_until_in_force(fleet, 2)
     shares = {
         node.version.document.organisations["org-01"].share
         for node in fleet.nodes.values()
@@ -225,31 +226,31 @@
     assert shares == {77.0}
 
 
-async def test_version_with_a_lost_chunk_waits_for_it(fleet):
-    """The head is there, but the store can't give one of its chunks yet."""
+async def test_version_with_missing_chunk_is_applied_once_complete(fleet):
+    """The head row is stored, but one of its chunks is not yet."""
     document = fleet.document()
     document["organisations"]["org-01"]["share"] = 77.0
     writes = unchecked_writes(document, 2)
-    held = fleet.nodes["vm-0"].config_watcher._held.chunks
+    chunks = fleet.nodes["vm-0"].config_watcher._latest.chunks
     names = {w.key: w.key.partition("/")[2] for w in writes}
     chunk = next(
-        w for w in writes if w.key.startswith("chunk/") and names[w.key] not in held
+        w for w in writes if w.key.startswith("chunk/") and names[w.key] not in chunks
     )
     fleet.tables.apply([w for w in writes if w is not chunk])
     await asyncio.sleep(10)
     assert numbers(fleet) == {1}
     fleet.tables.apply([chunk])
-    await until(fleet, 2)
+    await wait_until_in_force(fleet, 2)
 
 
-async def test_slow_fetch_of_an_older_version_loses_to_a_newer_one(fleet):
+async def test_slow_fetch_does_not_replace_newer_version(fleet):
     """A router reads version 2 from a slow store and gets version 3 from a peer.
 
     When the slow reads end, version 2 must not replace version 3.
     """
     vm = "vm-6"
-    follower = fleet.nodes[vm].config_watcher
-    follower._must_poll = lambda: False
+    watcher = fleet.nodes[vm].config_watcher
+    watcher._should_poll = lambda: False
     document = fleet.document()
     document["organisations"]["org-01"]["share"] = 77.0
     fleet.publish(2, document)
@@ -257,21 +258,21 @@
     slow = MemoryTables()
     slow.apply(unchecked_writes(document, 2))
     slow.faults.delay = 8.0
-    follower._tables = slow
-    fetch = asyncio.ensure_future(follower._take_from_store(row.value))
+    watcher._tables = slow
+    fetch = asyncio.ensure_future(watcher._update_from_store(row.value))
     await asyncio.sleep(0)
-    seen = watch(fleet)
+    seen = record_versions(fleet)
     fleet.publish(3)
-    await until(fleet, 3, 11)
+    await wait_until_in_force(fleet, 3, 11)
     await fetch
     assert fleet.nodes[vm].version.number == 3
     assert seen[vm][-1] == 3
 
 
 async def test_requests_finish_under_the_version_they_started_with(fleet):
-    """An organisation and an endpoint are removed while requests run there.
+    """An organisation and an endpoint are removed while requests use them.
 
-    The requests get their whole answers; new ones see the new version.
+    These requests get complete responses; new requests use the new version.
     """
     calls = [
         asyncio.ensure_future(
@@ -284,7 +285,7 @@
     del document["organisations"]["org-05"]
     del document["services"]["sommelier-models"]["endpoints"]["sommelier-models-0"]
     fleet.publish(2, document)
-    await until(fleet, 2)
+    await wait_until_in_force(fleet, 2)
     assert not any(call.done() for call in calls)
     outcomes = await asyncio.gather(*calls)
     assert all(outcome.is_correct for outcome in outcomes)
