--- a/packages/router/src/teaselledge/version/publish.py
+++ b/packages/router/src/teaselledge/version/publish.py
@@ -1,4 +1,4 @@
-"""Accept a change as a new version, by compare-and-swap of the head row."""
+"""Accept a change as a new version by compare-and-swap of the head row."""
 
 import asyncio
 import hashlib
@@ -55,16 +55,16 @@
 
 _log = get_log("publish")
 
-TRIES = 6
-RETRY_SECONDS = 0.2
+MAX_ATTEMPTS = 6
+RETRY_STEP_SECONDS = 0.2
 WRITES_PER_COMMIT = 32
-CACHED_CHUNKS = 4096
-LISTED_CHANGES = 200
-STORE_READS = 16
+MAX_CACHED_CHUNKS = 4096
+MAX_LISTED_CHANGES = 200
+MAX_CONCURRENT_STORE_READS = 16
 
 
 class ApplyErrorKind(Enum):
-    """How an apply can fail."""
+    """Reason why an apply failed."""
 
     CONFLICT = "conflict"
     REFUSED = "refused"
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True)
 class Conflict:
-    """An entry that someone else changed meanwhile.
+    """An entry that another operator changed since the base version.
 
     Attributes
     ----------
@@ -86,9 +86,9 @@
     version : int
         Version that changed it.
     author, time : str
-        Who and when.
+        Operator and time of that version.
     theirs, yours : object
-        The value that stands and the value that was refused.
+        Value in the latest version and value of the refused change.
     """
 
     path: str
@@ -101,7 +101,10 @@
 
 @dataclass(frozen=True)
 class ApplyError:
-    """Why a change was not accepted; nothing has changed but where uncertain."""
+    """Why a change was not accepted.
+
+    The store is unchanged unless `kind` is ``UNCERTAIN``.
+    """
 
     kind: ApplyErrorKind
     detail: str
@@ -111,22 +114,22 @@
 
 @dataclass(frozen=True)
 class Change:
-    """What an operator wants in force.
+    """A change of the configuration that an operator submits.
 
     Attributes
     ----------
     apply_id : str
-        Chosen by the operator's program, the same for each try.
+        Identifier chosen by the client, the same for each attempt.
     author : str
         The operator.
     base : int
-        Version that the operator saw; 0 for none.
+        Version that the change is based on; 0 for none.
     sections : dict of str to dict
-        New content of each section given, as in the document.
+        New content of each changed section, as in the document.
     note : str
-        The operator's words.
+        The operator's comment.
     bootstrap_only : bool
-        It may only make the first version.
+        Whether it may only create the first version.
     """
 
     apply_id: str
@@ -138,7 +141,7 @@
 
     @property
     def digest(self) -> str:
-        """Tells this change from another with the same identifier."""
+        """Digest that distinguishes changes with the same identifier."""
         text = json.dumps([self.base, self.sections], sort_keys=True)
         return hashlib.sha256(text.encode()).hexdigest()
 
@@ -150,13 +153,13 @@
     Attributes
     ----------
     version : int
-        The version that holds it.
+        The version that contains it.
     changed : tuple of str
         Changed entries.
     beside : tuple of int
-        Versions that others made since the base, and that stay in force.
+        Versions of others accepted since the base, whose changes stay in force.
     found_again : bool
-        An earlier try with the same identifier had been accepted.
+        Whether an earlier attempt with the same identifier had been accepted.
     """
 
     version: int
@@ -166,11 +169,11 @@
 
 
 @dataclass(frozen=True)
-class _State:
-    """The head as read, with its entries."""
+class _HeadState:
+    """The head row as read, with the entries of its version."""
 
     row_version: int
-    head: VersionManifest
+    manifest: VersionManifest
     entries: Entries
 
 
@@ -183,9 +186,9 @@
 
 
 Allows = Callable[[str, str], bool]
-"""Whether the operator may change an entry, given section and name."""
+"""Returns whether the operator may change an entry, given section and name."""
 
-_EMPTY = VersionManifest(0, {})
+_NO_MANIFEST = VersionManifest(0, {})
 
 
 @dataclass
@@ -197,7 +200,7 @@
     tables : TableService
         The store.
     clock : callable
-        Wall time, which goes into history for people to read.
+        Wall-clock time, shown in the history.
     highest_known_version : callable
         Highest version that the fleet is known to have.
     """
@@ -210,70 +213,73 @@
     async def apply(
         self, change: Change, allows: Allows
     ) -> Result[ApplyResult, ApplyError]:
-        """Check a change whole and make it the next version.
+        """Check the resulting document and commit it as the next version.
 
-        Trying again with the same identifier is safe at any time: the version's
-        rows and the identifier's row are written in one transaction.
+        Retrying with the same identifier is safe at any time: the version's rows
+        and the identifier's row are written in one transaction.
         """
         uncertain = False
         try:
-            for attempt in range(TRIES):
+            for attempt in range(MAX_ATTEMPTS):
                 if attempt:
-                    await asyncio.sleep(RETRY_SECONDS * attempt)
-                found = await self._found_again(change)
+                    await asyncio.sleep(RETRY_STEP_SECONDS * attempt)
+                found = await self._find_applied(change)
                 if found is not None:
                     return found
                 outcome = await self._attempt(change, allows)
                 if outcome is not None:
                     if outcome.is_error() and uncertain:
-                        # the lost write may have been what the new head holds
-                        again = await self._found_again(change)
+                        # the new head may be the write whose response was lost
+                        again = await self._find_applied(change)
                         return again or outcome
                     return outcome
                 uncertain = True
         except _StoreFailureError as failure:
             kind = ApplyErrorKind.UNCERTAIN if uncertain else failure.error.kind
             return Error(replace(failure.error, kind=kind))
-        detail = f"no answer after {TRIES} tries; apply {change.apply_id} again"
+        detail = (
+            f"outcome unknown after {MAX_ATTEMPTS} attempts; "
+            f"repeat apply {change.apply_id}"
+        )
         return Error(ApplyError(ApplyErrorKind.UNCERTAIN, detail))
 
     async def load(
         self, number: int
     ) -> Result[tuple[VersionManifest, dict], ApplyError]:
-        """Read a version; 0 reads the head."""
+        """Read a version; 0 reads the latest."""
         try:
             if not number:
-                state = await self._head()
-                return Ok((state.head, unflatten(state.entries)))
-            head = await self._version_head(number)
-            if head is None:
-                return Error(_unknown(number))
-            return Ok((head, unflatten(await self._entries(head))))
+                state = await self._read_head()
+                return Ok((state.manifest, unflatten(state.entries)))
+            manifest = await self._read_manifest(number)
+            if manifest is None:
+                return Error(_unknown_version(number))
+            return Ok((manifest, unflatten(await self._read_entries(manifest))))
         except _StoreFailureError as failure:
             return Error(failure.error)
 
     async def history(self, limit: int) -> Result[list[VersionManifest], ApplyError]:
         """Return the latest versions, newest first."""
         try:
-            state = await self._head()
+            state = await self._read_head()
         except _StoreFailureError as failure:
             return Error(failure.error)
-        after = version_key(max(0, state.head.version - limit))
+        after = version_key(max(0, state.manifest.version - limit))
         rows = await self.tables.scan(CONFIG_TABLE, VERSION_PREFIX, limit, after)
         if rows.is_error():
             return Error(_store_error(rows.error.detail))
-        heads = []
+        manifests = []
         for row in rows.ok:
             try:
-                heads.append(decode_manifest(row.value))
+                manifests.append(decode_manifest(row.value))
             except ManifestError as error:
-                _log.warning(f"Row {row.key} can't be read: {error}.")
-        return Ok(heads[::-1])
+                _log.warning(f"Row {row.key} cannot be read: {error}.")
+        return Ok(manifests[::-1])
 
     async def write_audit_row(
         self, operator: str, action: str, what: str, key: str
     ) -> bool:
-        """Write an audit row for an act that is no change of the document."""
+        """Write an audit row for an action that does not change the document."""
         now = self.clock().isoformat(timespec="seconds")
         row = {"time": now, "operator": operator, "action": action, "what": what}
         value = json.dumps(row).encode()
@@ -285,84 +291,89 @@
     async def _attempt(
         self, change: Change, allows: Allows
     ) -> Result[ApplyResult, ApplyError] | None:
-        """Try once; None where another try is due."""
-        state = await self._head()
-        if state.head.version < self.highest_known_version():
-            # a stale read, or a store that lost writes: a version made from it
-            # would have a number that the fleet has seen with other content
+        """Make one attempt; return None if it has to be retried."""
+        state = await self._read_head()
+        if state.manifest.version < self.highest_known_version():
+            # a stale read or a store that lost writes: the next number would be
+            # one that the fleet already knows with other content
             detail = (
-                f"store shows {state.head.version}, "
+                f"store shows {state.manifest.version}, "
                 f"fleet has {self.highest_known_version()}"
             )
             return Error(_store_error(detail))
-        if change.bootstrap_only and state.head.version:
-            # the first key is for an empty store only; a router that restarted
-            # empty can't tell, the store can
-            detail = "there is a first version already"
+        if change.bootstrap_only and state.manifest.version:
+            # the first key is valid for an empty store only; a router that
+            # restarted without configuration cannot tell, so the store decides
+            detail = "the store already has a first version"
             return Error(ApplyError(ApplyErrorKind.FORBIDDEN, detail))
-        planned = await self._plan(change, state)
-        if planned.is_error():
-            return Error(planned.error)
-        changes, beside = planned.ok
+        merged = await self._merge_changes(change, state)
+        if merged.is_error():
+            return Error(merged.error)
+        changes, beside = merged.ok
         if not changes:
-            return Ok(ApplyResult(state.head.version, (), beside))
-        refused = _forbidden(changes, allows)
+            return Ok(ApplyResult(state.manifest.version, (), beside))
+        refused = _check_allowed(changes, allows)
         if refused is not None:
             return Error(refused)
         entries = apply_changes(state.entries, changes)
         checked = check_value(unflatten(entries))
         if checked.is_error():
-            detail = f"{len(checked.error)} faults"
-            mistakes = tuple(checked.error)
-            return Error(ApplyError(ApplyErrorKind.REFUSED, detail, mistakes))
+            detail = f"the document has {len(checked.error)} faults"
+            issues = tuple(checked.error)
+            return Error(ApplyError(ApplyErrorKind.REFUSED, detail, issues))
         return await self._commit(change, state, entries, changes, beside)
 
-    async def _plan(
-        self, change: Change, state: _State
+    async def _merge_changes(
+        self, change: Change, state: _HeadState
     ) -> Result[tuple[list[EntryChange], tuple[int, ...]], ApplyError]:
-        """Return what the change does to the head, or the entries it fights for."""
-        if change.base == state.head.version:
+        """Return the entries to change and the numbers of the versions since the base.
+
+        Fails if another version changed one of these entries to a different value.
+        """
+        if change.base == state.manifest.version:
             base = state.entries
         elif not change.base:
             base = {}
         else:
-            head = await self._version_head(change.base)
-            if head is None or change.base > state.head.version:
-                return Error(_unknown(change.base))
-            base = await self._entries(head)
-        yours = differences(base, _with_sections(base, change.sections))
-        theirs = {c.path: c for c in differences(base, state.entries)}
-        beside = tuple(range(change.base + 1, state.head.version + 1))
-        fights = [c for c in yours if c.path in theirs and theirs[c.path].new != c.new]
-        if fights:
-            conflicts = await self._blame(fights, theirs, beside)
-            detail = f"version {state.head.version} changed the same entries"
+            manifest = await self._read_manifest(change.base)
+            if manifest is None or change.base > state.manifest.version:
+                return Error(_unknown_version(change.base))
+            base = await self._read_entries(manifest)
+        own = differences(base, _with_sections(base, change.sections))
+        others = {c.path: c for c in differences(base, state.entries)}
+        beside = tuple(range(change.base + 1, state.manifest.version + 1))
+        conflicting = [
+            c for c in own if c.path in others and others[c.path].new != c.new
+        ]
+        if conflicting:
+            conflicts = await self._find_conflicts(conflicting, others, beside)
+            detail = f"version {state.manifest.version} changed the same entries"
             return Error(
                 ApplyError(ApplyErrorKind.CONFLICT, detail, (), tuple(conflicts))
             )
-        return Ok(([c for c in yours if c.path not in theirs], beside))
+        return Ok(([c for c in own if c.path not in others], beside))
 
-    async def _blame(
+    async def _find_conflicts(
         self,
-        fights: list[EntryChange],
-        theirs: Mapping[str, EntryChange],
+        conflicting: list[EntryChange],
+        others: Mapping[str, EntryChange],
         beside: tuple[int, ...],
     ) -> list[Conflict]:
-        makers: dict[str, VersionManifest] = {}
-        for number in beside[-LISTED_CHANGES:]:
-            head = await self._version_head(number)
-            if head is not None:
-                makers.update(dict.fromkeys(head.changed, head))
+        manifests: dict[str, VersionManifest] = {}
+        for number in beside[-MAX_LISTED_CHANGES:]:
+            manifest = await self._read_manifest(number)
+            if manifest is not None:
+                manifests.update(dict.fromkeys(manifest.changed, manifest))
         conflicts = []
-        for c in fights:
-            maker = makers.get(c.path, _EMPTY)
+        for c in conflicting:
+            manifest = manifests.get(c.path, _NO_MANIFEST)
             conflicts.append(
                 Conflict(
                     c.path,
-                    maker.version,
-                    maker.author,
-                    maker.time,
-                    theirs[c.path].new,
+                    manifest.version,
+                    manifest.author,
+                    manifest.time,
+                    others[c.path].new,
                     c.new,
                 )
             )
@@ -371,24 +382,24 @@
     async def _commit(
         self,
         change: Change,
-        state: _State,
+        state: _HeadState,
         entries: Entries,
         changes: list[EntryChange],
         beside: tuple[int, ...],
     ) -> Result[ApplyResult, ApplyError] | None:
         sections = pack_sections(entries)
         changed = tuple(c.path for c in changes)
-        head = VersionManifest(
-            state.head.version + 1,
+        manifest = VersionManifest(
+            state.manifest.version + 1,
             {name: list(chunks) for name, chunks in sections.items()},
             change.author,
             change.apply_id,
             change.base,
             self.clock().isoformat(timespec="seconds"),
             change.note,
-            list(changed[:LISTED_CHANGES]),
+            list(changed[:MAX_LISTED_CHANGES]),
         )
-        old = set(state.head.digests)
+        old = set(state.manifest.digests)
         new = {d: c for part in sections.values() for d, c in part.items()}
         writes = chunk_writes({d: c for d, c in new.items() if d not in old})
         for start in range(0, len(writes), WRITES_PER_COMMIT):
@@ -396,82 +407,84 @@
                 writes[start : start + WRITES_PER_COMMIT]
             )
             if written.is_error():
-                # no head names these chunks yet, so nothing has changed, and
-                # writing them again does no harm
+                # no head refers to these chunks yet, so the configuration is
+                # unchanged, and writing them again is harmless
                 if written.error.kind is StoreErrorKind.UNCERTAIN:
                     return None
                 return Error(_store_error(written.error.detail))
         expect = state.row_version or ABSENT
         audit = {
-            "time": head.time,
+            "time": manifest.time,
             "operator": change.author,
             "action": "apply",
-            "what": f"version {head.version}: {', '.join(head.changed)}",
+            "what": f"version {manifest.version}: {', '.join(manifest.changed)}",
         }
         result = await self.tables.commit(
             [
-                *head_writes(head, expect),
+                *head_writes(manifest, expect),
                 Write(
                     CONFIG_TABLE,
                     APPLY_PREFIX + change.apply_id,
-                    json.dumps([head.version, change.digest, list(changed)]).encode(),
+                    json.dumps(
+                        [manifest.version, change.digest, list(changed)]
+                    ).encode(),
                     ABSENT,
                 ),
                 Write(
                     CONFIG_TABLE,
-                    f"{AUDIT_PREFIX}{head.time}/{head.version}",
+                    f"{AUDIT_PREFIX}{manifest.time}/{manifest.version}",
                     json.dumps(audit).encode(),
                 ),
             ]
         )
         if result.is_ok():
-            _log.info(f"Operator {change.author} made version {head.version}.")
-            return Ok(ApplyResult(head.version, changed, beside))
+            _log.info(f"Operator {change.author} made version {manifest.version}.")
+            return Ok(ApplyResult(manifest.version, changed, beside))
         if result.error.kind is StoreErrorKind.UNAVAILABLE:
             return Error(_store_error(result.error.detail))
         return None
 
-    async def _found_again(
+    async def _find_applied(
         self, change: Change
     ) -> Result[ApplyResult, ApplyError] | None:
-        row = await self._row(APPLY_PREFIX + change.apply_id)
+        row = await self._read_row(APPLY_PREFIX + change.apply_id)
         if row is None:
             return None
         number, digest, changed = json.loads(row.value)
         if digest != change.digest:
-            detail = f"{change.apply_id} names another change, version {number}"
+            detail = f"{change.apply_id} identifies another change, version {number}"
             return Error(ApplyError(ApplyErrorKind.ID_REUSED, detail))
         return Ok(ApplyResult(number, tuple(changed), (), True))
 
-    async def _head(self) -> _State:
-        row = await self._row(HEAD_KEY)
+    async def _read_head(self) -> _HeadState:
+        row = await self._read_row(HEAD_KEY)
         if row is None:
-            return _State(0, _EMPTY, {})
-        head = _readable(row.value)
-        return _State(row.version, head, await self._entries(head))
+            return _HeadState(0, _NO_MANIFEST, {})
+        manifest = _decode_manifest(row.value)
+        return _HeadState(row.version, manifest, await self._read_entries(manifest))
 
-    async def _version_head(self, number: int) -> VersionManifest | None:
-        row = await self._row(version_key(number))
-        return None if row is None else _readable(row.value)
+    async def _read_manifest(self, number: int) -> VersionManifest | None:
+        row = await self._read_row(version_key(number))
+        return None if row is None else _decode_manifest(row.value)
 
-    async def _entries(self, head: VersionManifest) -> Entries:
-        limit = asyncio.Semaphore(STORE_READS)
+    async def _read_entries(self, manifest: VersionManifest) -> Entries:
+        limit = asyncio.Semaphore(MAX_CONCURRENT_STORE_READS)
 
-        async def parsed(digest: str) -> dict[str, Any]:
+        async def load(digest: str) -> dict[str, Any]:
             async with limit:
-                return await self._chunk(digest)
+                return await self._read_chunk(digest)
 
         entries: Entries = {}
-        for section, digests in head.sections.items():
-            parts = await asyncio.gather(*(parsed(digest) for digest in digests))
+        for section, digests in manifest.sections.items():
+            parts = await asyncio.gather(*(load(digest) for digest in digests))
             entries[section] = {k: v for part in parts for k, v in part.items()}
         return entries
 
-    async def _chunk(self, digest: str) -> dict[str, Any]:
-        known = self._chunks.get(digest)
-        if known is not None:
-            return known
-        row = await self._row(CHUNK_PREFIX + digest)
+    async def _read_chunk(self, digest: str) -> dict[str, Any]:
+        cached = self._chunks.get(digest)
+        if cached is not None:
+            return cached
+        row = await self._read_row(CHUNK_PREFIX + digest)
         if row is None or chunk_digest(row.value) != digest:
             raise _StoreFailureError(
                 _store_error(f"chunk {digest} is missing or damaged")
@@ -482,12 +495,12 @@
             raise _StoreFailureError(
                 _store_error(f"chunk {digest}: {error}")
             ) from error
-        if len(self._chunks) >= CACHED_CHUNKS:
+        if len(self._chunks) >= MAX_CACHED_CHUNKS:
             self._chunks.clear()
         self._chunks[digest] = entries
         return entries
 
-    async def _row(self, key: str) -> Row | None:
+    async def _read_row(self, key: str) -> Row | None:
         row = await self.tables.get(CONFIG_TABLE, key)
         if row.is_error():
             raise _StoreFailureError(_store_error(row.error.detail))
@@ -504,7 +517,7 @@
     return result
 
 
-def _forbidden(changes: list[EntryChange], allows: Allows) -> ApplyError | None:
+def _check_allowed(changes: list[EntryChange], allows: Allows) -> ApplyError | None:
     refused = [c.path for c in changes if not allows(*editable_path(c.section, c.name))]
     if not refused:
         return None
@@ -512,17 +525,17 @@
     return ApplyError(ApplyErrorKind.FORBIDDEN, detail)
 
 
-def _readable(raw: bytes) -> VersionManifest:
+def _decode_manifest(raw: bytes) -> VersionManifest:
     try:
         return decode_manifest(raw)
     except ManifestError as error:
         raise _StoreFailureError(
-            _store_error(f"head can't be read: {error}")
+            _store_error(f"version manifest cannot be read: {error}")
         ) from error
 
 
-def _unknown(number: int) -> ApplyError:
-    detail = f"there is no version {number}"
+def _unknown_version(number: int) -> ApplyError:
+    detail = f"version {number} does not exist"
     return ApplyError(ApplyErrorKind.UNKNOWN_VERSION, detail)
 
 
--- a/packages/router/tests/test_publish.py
+++ b/packages/router/tests/test_publish.py
@@ -1,4 +1,4 @@
-"""Tests of accepting changes in the table service."""
+"""Tests of committing changes to the table service."""
 
 import asyncio
 import copy
@@ -37,7 +37,7 @@
     return datetime(2030, 1, 1, tzinfo=UTC)
 
 
-def anything(section, name):
+def allow_all(section, name):
     return True
 
 
@@ -56,13 +56,13 @@
     return {"organisations": organisations}
 
 
-def lose_answers(tables, which):
-    """Lose the answers of the next writes, by their order."""
+def lose_responses(tables, flags):
+    """Lose the responses of the next writes whose flag is set, in order."""
     original = tables.commit
-    rest = list(which)
+    lost = list(flags)
 
     async def commit(writes):
-        tables.faults.lose_answers = int(rest.pop(0)) if rest else 0
+        tables.faults.lose_answers = int(lost.pop(0)) if lost else 0
         return await original(writes)
 
     tables.commit = commit
@@ -73,9 +73,9 @@
     return {n: o["share"] for n, o in document["organisations"].items()}
 
 
-async def test_what_is_applied_is_loaded_again(tables):
+async def test_applied_document_can_be_loaded(tables):
     publisher = Publisher(tables, clock)
-    applied = await publisher.apply(change(0, DOCUMENT), anything)
+    applied = await publisher.apply(change(0, DOCUMENT), allow_all)
     assert applied.ok.version == 1
     head, document = (await publisher.load(1)).ok
     assert document == DOCUMENT
@@ -84,62 +84,62 @@
     assert [json.loads(row.value)["operator"] for row in rows] == ["dana"]
 
 
-async def test_lost_answer_of_an_apply_is_found_again(tables):
-    """The store carries an apply out, but its answer is lost on the way.
+async def test_apply_with_lost_response_is_accepted_once(tables):
+    """The store commits an apply, but its response is lost.
 
-    The operator sees the version as accepted, and it stands there once.
+    The operator gets the version as accepted, and it is stored only once.
     """
     publisher = Publisher(tables, clock)
-    await publisher.apply(change(0, DOCUMENT), anything)
-    mine = change(1, with_share("amber", 4.0), "mine")
-    # the chunk's write is answered, that of the head is not
-    lose_answers(tables, [False, True])
-    applied = await publisher.apply(mine, anything)
+    await publisher.apply(change(0, DOCUMENT), allow_all)
+    own = change(1, with_share("amber", 4.0), "mine")
+    # the response to the chunk's write arrives, that to the head's is lost
+    lose_responses(tables, [False, True])
+    applied = await publisher.apply(own, allow_all)
     assert applied.ok.version == 2
     assert applied.ok.found_again
-    assert (await publisher.apply(mine, anything)).ok.version == 2
+    assert (await publisher.apply(own, allow_all)).ok.version == 2
     assert len((await publisher.history(10)).ok) == 2
 
 
-async def test_write_that_lands_late_does_not_undo_another_change(tables):
-    """An apply gets no answer, its write hangs in the network for a minute.
+async def test_delayed_write_does_not_undo_another_change(tables):
+    """An apply gets no response; its write is delayed in the network by 60 s.
 
-    Meanwhile another operator's change is accepted. The late write must not
-    bring the old head back.
+    Meanwhile another operator's change is accepted. The delayed write must not
+    restore the old head.
     """
     publisher = Publisher(tables, clock)
-    await publisher.apply(change(0, DOCUMENT), anything)
-    await publisher.apply(change(1, with_share("amber", 4.0)), anything)
+    await publisher.apply(change(0, DOCUMENT), allow_all)
+    await publisher.apply(change(1, with_share("amber", 4.0)), allow_all)
     tables.faults.late_writes = 60.0
     back = change(2, with_share("amber", 1.0), "slow")
-    lose_answers(tables, [False, True])
-    applied = await publisher.apply(back, anything)
+    lose_responses(tables, [False, True])
+    applied = await publisher.apply(back, allow_all)
     assert applied.ok.version == 3
     other = change(3, with_share("birch", 9.0))
-    assert (await publisher.apply(other, anything)).ok.version == 4
+    assert (await publisher.apply(other, allow_all)).ok.version == 4
     await asyncio.sleep(120)
     assert await shares(publisher) == {"amber": 1.0, "birch": 9.0, "cedar": 1.0}
     assert len((await publisher.history(10)).ok) == 4
 
 
-async def test_racing_operators_lose_nothing(tables):
-    """Eight operators change different and equal entries at the same moment.
+async def test_concurrent_operators_lose_no_change(tables):
+    """Eight operators change the same or different entries concurrently.
 
-    Each change is either accepted, and then stands in the last version unless a
-    later one replaced it, or refused with the name of the one who won.
+    Each change is either accepted, and then contained in the last version unless
+    a later change replaced it, or refused with the name of the winning operator.
     """
     publisher = Publisher(tables, clock)
-    await publisher.apply(change(0, DOCUMENT), anything)
+    await publisher.apply(change(0, DOCUMENT), allow_all)
     names = ["amber", "birch", "cedar"]
     changes = [
         change(1, with_share(names[i % 3], 10.0 + i), author=f"op-{i}")
         for i in range(8)
     ]
     results = await asyncio.gather(
-        *(Publisher(tables, clock).apply(c, anything) for c in changes)
+        *(Publisher(tables, clock).apply(c, allow_all) for c in changes)
     )
     accepted = [i for i, result in enumerate(results) if result.is_ok()]
-    # one change for each of the three organisations can win from one base
+    # of the changes from the same base one wins for each organisation
     assert sorted(i % 3 for i in accepted) == [0, 1, 2]
     assert await shares(publisher) == {names[i % 3]: 10.0 + i for i in accepted}
     for i, result in enumerate(results):
@@ -156,15 +156,15 @@
     assert numbers == list(range(len(accepted) + 1, 0, -1))
 
 
-async def test_stale_read_of_the_head_makes_no_version(tables):
-    """The store answers a read with an old head, as a lagging replica does.
+async def test_stale_read_of_head_creates_no_version(tables):
+    """The store returns an old head, as a lagging replica does.
 
-    A version made from it would take back what was accepted since.
+    A version based on it would revert changes accepted since.
     """
     publisher = Publisher(tables, clock)
-    await publisher.apply(change(0, DOCUMENT), anything)
+    await publisher.apply(change(0, DOCUMENT), allow_all)
     stale = (await tables.get(CONFIG_TABLE, "head")).ok
-    await publisher.apply(change(1, with_share("amber", 4.0)), anything)
+    await publisher.apply(change(1, with_share("amber", 4.0)), allow_all)
     original = tables.get
 
     async def get(table, key):
@@ -172,49 +172,49 @@
         return result.map(lambda row: stale if key == "head" else row)
 
     tables.get = get
-    result = await publisher.apply(change(1, with_share("birch", 5.0)), anything)
+    result = await publisher.apply(change(1, with_share("birch", 5.0)), allow_all)
     assert result.error.kind is ApplyErrorKind.UNCERTAIN
     tables.get = original
     assert await shares(publisher) == {"amber": 4.0, "birch": 1.0, "cedar": 1.0}
 
 
-async def test_store_that_lost_versions_gets_no_new_one(tables):
-    """The store was restored from a copy and is behind what routers serve.
+async def test_store_behind_the_fleet_gets_no_new_version(tables):
+    """The store was restored from a backup older than the version in force.
 
     A new version would have a number that routers know with other content.
     """
     publisher = Publisher(tables, clock, lambda: 5)
-    result = await publisher.apply(change(0, DOCUMENT), anything)
+    result = await publisher.apply(change(0, DOCUMENT), allow_all)
     assert result.error.kind is ApplyErrorKind.STORE
     assert "fleet has 5" in result.error.detail
 
 
 async def test_faulty_or_forbidden_changes_write_nothing(tables):
-    """An operator removes a service that organisations use, another has no right."""
+    """A change removes a service in use; another exceeds the operator's rights."""
     publisher = Publisher(tables, clock)
-    await publisher.apply(change(0, DOCUMENT), anything)
+    await publisher.apply(change(0, DOCUMENT), allow_all)
     writes = tables.writes
-    result = await publisher.apply(change(1, {"services": {}}), anything)
+    result = await publisher.apply(change(1, {"services": {}}), allow_all)
     assert result.error.kind is ApplyErrorKind.REFUSED
-    paths = {mistake.path for mistake in result.error.issues}
+    paths = {issue.path for issue in result.error.issues}
     assert "organisations.amber.services.0" in paths
-    mine = change(1, with_share("amber", 2.0))
-    result = await publisher.apply(mine, lambda section, name: section == "zones")
+    own = change(1, with_share("amber", 2.0))
+    result = await publisher.apply(own, lambda section, name: section == "zones")
     assert result.error.kind is ApplyErrorKind.FORBIDDEN
     first = Change("f", "first", 0, DOCUMENT, "", True)
-    result = await publisher.apply(first, anything)
+    result = await publisher.apply(first, allow_all)
     assert result.error.kind is ApplyErrorKind.FORBIDDEN
     assert tables.writes == writes
 
 
-async def test_store_down_says_so_and_an_identifier_names_one_change(tables):
-    """The store refuses calls; later an identifier is used for another change."""
+async def test_store_outage_and_reused_identifier_are_reported(tables):
+    """The store fails; later an apply identifier is used for another change."""
     publisher = Publisher(tables, clock)
     tables.faults.down = True
-    result = await publisher.apply(change(0, DOCUMENT, "a"), anything)
+    result = await publisher.apply(change(0, DOCUMENT, "a"), allow_all)
     assert result.error.kind is ApplyErrorKind.STORE
     tables.faults.down = False
-    await publisher.apply(change(0, DOCUMENT, "a"), anything)
+    await publisher.apply(change(0, DOCUMENT, "a"), allow_all)
     other = change(1, with_share("amber", 3.0), "a")
-    result = await publisher.apply(other, anything)
+    result = await publisher.apply(other, allow_all)
     assert result.error.kind is ApplyErrorKind.ID_REUSED
--- a/packages/router/tests/test_publish_explored.py
+++ b/packages/router/tests/test_publish_explored.py
@@ -1,4 +1,4 @@
-"""Every interleaving of two operators' applies, on the real code."""
+"""Explores every interleaving of two operators' applies."""
 
 import copy
 from datetime import UTC, datetime
@@ -47,7 +47,7 @@
     ApplyErrorKind.STORE.value,
     ApplyErrorKind.REFUSED.value,
 }
-"""Answers after which a change must never come into force."""
+"""Outcomes after which a change must never come into force."""
 
 
 def first_chunks():
@@ -65,14 +65,14 @@
     return {"organisations": organisations}
 
 
-async def act(world, publisher, change):
+async def apply(world, publisher, change):
     result = await publisher.apply(change, lambda section, name: True)
-    told = result.ok.version if result.is_ok() else result.error.kind.value
-    world.log.append((change.author, told))
+    outcome = result.ok.version if result.is_ok() else result.error.kind.value
+    world.log.append((change.author, outcome))
 
 
 def operators(targets, publisher_class=Publisher):
-    """Return a set-up with one apply a name, each from version 1."""
+    """Return a setup with one apply per operator, each based on version 1."""
 
     def setup(world):
         world.tables.apply(unchecked_writes(DOCUMENT, 1))
@@ -83,7 +83,7 @@
             publisher._chunks.update(first_chunks())
             sections = with_share(organisation, SHARES[name])
             change = Change(f"id-{name}", name, 1, sections)
-            world.spawn(name, act(world, publisher, change))
+            world.spawn(name, apply(world, publisher, change))
 
     return setup
 
@@ -100,7 +100,7 @@
 
 
 def check_versions(targets):
-    """Return a check that no change is lost, doubled or undone."""
+    """Return a check that no change is lost, applied twice or undone."""
 
     def check(world):
         tables = world.tables
@@ -111,8 +111,8 @@
         ]
         heads = [decode_manifest(row.value) for row in rows]
         assert [head.version for head in heads] == list(range(1, len(heads) + 1))
-        top = tables.peek(CONFIG_TABLE, HEAD_KEY)
-        assert top.value == rows[-1].value, "head is not the highest version"
+        head_row = tables.peek(CONFIG_TABLE, HEAD_KEY)
+        assert head_row.value == rows[-1].value, "head is not the highest version"
         expected = flatten(DOCUMENT)
         for head in heads[1:]:
             name = head.author
@@ -121,16 +121,16 @@
             assert unflatten(entries_of(tables, head)) == unflatten(expected)
         authors = [head.author for head in heads[1:]]
         assert len(set(authors)) == len(authors), f"accepted twice: {authors}"
-        for name, told in world.log:
-            if isinstance(told, int):
-                assert heads[told - 1].author == name, f"{name} was told {told}"
-            if told in NOT_ACCEPTED:
-                assert name not in authors, f"{name} was told {told}"
+        for name, outcome in world.log:
+            if isinstance(outcome, int):
+                assert heads[outcome - 1].author == name, f"{name} got {outcome}"
+            if outcome in NOT_ACCEPTED:
+                assert name not in authors, f"{name} got {outcome}"
 
     return check
 
 
-def explored(name, targets, budget, publisher_class=Publisher):
+def run_exploration(name, targets, budget, publisher_class=Publisher):
     found = explore(
         operators(targets, publisher_class), check_versions(targets), budget
     )
@@ -144,26 +144,26 @@
 SAME = {"op-a": "amber", "op-b": "amber"}
 
 
-def test_two_operators_with_a_lost_answer_and_a_crash():
-    """Two operators change different organisations at the same time, one write
-    takes effect and its answer is lost, and one router dies. Both changes stay
-    in force, or the operator is not told that they do.
+def test_two_operators_with_lost_response_and_crash():
+    """Two operators change different organisations concurrently, the response to
+    one write is lost, and one router crashes. A change reported as accepted must
+    stay in force.
     """
-    assert explored("lost, crash", DIFFERENT, {LOST: 1, CRASH: 1}).states > 100
+    assert run_exploration("lost, crash", DIFFERENT, {LOST: 1, CRASH: 1}).states > 100
 
 
 def test_two_operators_with_late_writes():
-    """Two operators change the same share. One write lands at any time after its
-    operator has been answered, or never.
+    """Two operators change the same share. One write takes effect at any time
+    after its operator got a response, or never.
     """
-    assert explored("late", SAME, {LATE: 1, REFUSED: 1}).states > 100
+    assert run_exploration("late", SAME, {LATE: 1, REFUSED: 1}).states > 100
 
 
 class UnconditionalPublisher(Publisher):
-    """Writes the head whatever it holds."""
+    """Writes the head row without a condition."""
 
     async def apply(self, change, allows):
-        """Apply without conditions."""
+        """Apply a change without conditions."""
         original = publish.head_writes
 
         def unconditional(head, expect):
@@ -176,12 +176,12 @@
             publish.head_writes = original
 
 
-def test_unconditional_publisher_is_caught():
-    """A publisher without compare-and-swap loses a change; the exploration has
-    to see it.
+def test_unconditional_publisher_is_detected():
+    """A publisher without compare-and-swap loses a change; the exploration must
+    detect it.
     """
     try:
-        explored("unconditional", DIFFERENT, {}, UnconditionalPublisher)
+        run_exploration("unconditional", DIFFERENT, {}, UnconditionalPublisher)
     except ExplorationError:
         return
-    raise AssertionError("two operators overwrote each other unseen")
+    raise AssertionError("the exploration did not detect a lost change")
