--- a/packages/router/src/teaselledge/version/__init__.py
+++ b/packages/router/src/teaselledge/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one version of the configuration."""
+"""Versions of the configuration: how they are stored, checked and distributed."""
--- a/packages/router/src/teaselledge/version/assemble.py
+++ b/packages/router/src/teaselledge/version/assemble.py
@@ -1,4 +1,4 @@
-"""Build a document from chunks, parsing only those not seen before."""
+"""Build a document from chunks, parsing only new ones."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -29,56 +29,56 @@
     "objectives": TypeAdapter(dict[str, Objective]),
     "operators": TypeAdapter(dict[str, Operator]),
 }
-"""How the entries of each section are read."""
+"""Validates the entries of each section."""
 
 _service = TypeAdapter(Service)
 
 
 @dataclass(frozen=True)
-class _Built:
-    """A service and what it was made of."""
+class _BuiltService:
+    """A service and the values that it was built from."""
 
-    parts: tuple[Any, ...]
+    inputs: tuple[Any, ...]
     service: Service
 
 
 class DocumentBuilder:
-    """Builds documents and keeps the parsed chunks of the last one.
+    """Builds documents and caches the parsed chunks of the last one.
 
-    Parsing 750 organisations anew for each of thousands of changes a day would
-    show as processor time on every node. A chunk that two versions share is parsed
-    once, and a service is built again only if one of its parts changed.
+    Parsing 750 organisations again for each of thousands of changes a day would
+    take noticeable processor time on every node. A chunk that two versions share
+    is parsed once, and a service is rebuilt only if one of its inputs changed.
     """
 
     def __init__(self) -> None:
         self._parsed: dict[tuple[str, str], dict[str, Any]] = {}
-        self._services: dict[str, _Built] = {}
+        self._services: dict[str, _BuiltService] = {}
 
     def build(
-        self, head: VersionManifest, chunks: Mapping[str, bytes]
+        self, manifest: VersionManifest, chunks: Mapping[str, bytes]
     ) -> Result[Document, list[str]]:
-        """Build the document of a head.
+        """Build the document of a version.
 
         Parameters
         ----------
-        head : Head
-            Names the chunks.
+        manifest : VersionManifest
+            Lists the digests of the chunks.
         chunks : mapping of str to bytes
-            Content by digest, at least of all that the head names.
+            Content by digest, at least of all listed chunks.
 
         Returns
         -------
         Result of Document or list of str
-            The document, or what can't be read.
+            The document, or the faults that were found.
         """
         faults: list[str] = []
         parsed = {
             (section, digest): self._parse(section, digest, chunks, faults)
-            for section, digests in head.sections.items()
+            for section, digests in manifest.sections.items()
             for digest in digests
         }
-        unknown = [name for name in head.sections if name not in ENTRY_TYPES]
-        faults += [f"section {name}: not known to this release" for name in unknown]
+        unknown = [name for name in manifest.sections if name not in ENTRY_TYPES]
+        faults += [f"section {name}: unknown to this release" for name in unknown]
         if faults:
             return Error(faults)
         merged: dict[str, dict[str, Any]] = {name: {} for name in ENTRY_TYPES}
@@ -102,14 +102,14 @@
     def _parse(
         self, section: str, digest: str, chunks: Mapping[str, bytes], faults: list[str]
     ) -> dict[str, Any]:
-        known = self._parsed.get((section, digest))
-        if known is not None:
-            return known
-        reader = ENTRY_TYPES.get(section)
-        if reader is None:
+        cached = self._parsed.get((section, digest))
+        if cached is not None:
+            return cached
+        adapter = ENTRY_TYPES.get(section)
+        if adapter is None:
             return {}
         try:
-            return reader.validate_python(unpack_chunk(chunks[digest]))
+            return adapter.validate_python(unpack_chunk(chunks[digest]))
         except ChunkError as error:
             faults.append(f"{section}: {error}")
         except ValidationError as error:
@@ -120,23 +120,23 @@
 
     def _build_services(
         self, merged: Mapping[str, dict[str, Any]], faults: list[str]
-    ) -> dict[str, _Built]:
+    ) -> dict[str, _BuiltService]:
         endpoints: dict[str, dict[str, Endpoint]] = {n: {} for n in merged["services"]}
         for path, endpoint in sorted(merged[ENDPOINTS].items()):
             service, _, name = path.partition("/")
             if service in endpoints:
                 endpoints[service][name] = endpoint
         built = {}
-        for name, plain in merged["services"].items():
-            parts = (plain, endpoints[name])
+        for name, service_entry in merged["services"].items():
+            inputs = (service_entry, endpoints[name])
             old = self._services.get(name)
-            # endpoints that come from the same chunk compare by identity
-            if old is not None and old.parts == parts:
+            # comparison is fast: endpoints of an unchanged chunk are identical objects
+            if old is not None and old.inputs == inputs:
                 built[name] = old
                 continue
-            value = {**plain, ENDPOINTS: endpoints[name]}
+            value = {**service_entry, ENDPOINTS: endpoints[name]}
             try:
-                built[name] = _Built(parts, _service.validate_python(value))
+                built[name] = _BuiltService(inputs, _service.validate_python(value))
             except ValidationError as error:
                 for entry in error.errors(include_url=False, include_input=False):
                     path = ".".join(str(part) for part in entry["loc"])
--- a/packages/router/src/teaselledge/version/check.py
+++ b/packages/router/src/teaselledge/version/check.py
@@ -1,4 +1,4 @@
-"""What a document must fulfil beyond the types of its fields."""
+"""Checks of a document beyond the types of its fields."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -9,8 +9,8 @@
 __all__ = ["EDITABLE_SECTIONS", "DocumentIssue", "find_issues"]
 
 MAX_PORT = 65_535
-LISTED = 12
-"""Names that a message lists at most."""
+MAX_LISTED_NAMES = 12
+"""Names listed in a message."""
 
 EDITABLE_SECTIONS: tuple[str, ...] = (
     "zones",
@@ -19,7 +19,7 @@
     "objectives",
     "operators",
 )
-"""Sections of a document as operators write and own them."""
+"""Sections of a document that operators write and that permissions refer to."""
 
 
 @dataclass(frozen=True)
@@ -31,9 +31,9 @@
     path : tuple
         Keys from the root.
     found : str
-        What stands there.
+        The value found.
     allowed : str
-        What may stand there.
+        Description of valid values.
     """
 
     path: KeyPath
@@ -42,11 +42,15 @@
 
 
 def _one_of(names: object) -> str:
-    listed = sorted(names)  # type: ignore[call-overload]
-    if not listed:
-        return "nothing, since there is none"
-    rest = f" and {len(listed) - LISTED} more" if len(listed) > LISTED else ""
-    return f"one of {', '.join(listed[:LISTED])}{rest}"
+    ordered = sorted(names)  # type: ignore[call-overload]
+    if not ordered:
+        return "nothing, as none is defined"
+    rest = (
+        f" and {len(ordered) - MAX_LISTED_NAMES} more"
+        if len(ordered) > MAX_LISTED_NAMES
+        else ""
+    )
+    return f"one of {', '.join(ordered[:MAX_LISTED_NAMES])}{rest}"
 
 
 def _organisations(document: Document) -> Iterator[DocumentIssue]:
@@ -69,33 +73,35 @@
 
 def _services(document: Document) -> Iterator[DocumentIssue]:
     addresses: dict[str, str] = {}
-    reached = {s for o in document.organisations.values() for s in o.services}
+    used = {s for o in document.organisations.values() for s in o.services}
     for name, service in document.services.items():
         path = ("services", name)
-        staying = [e for e in service.endpoints.values() if not e.leaving]
-        if not staying:
-            found = "no endpoint that stays"
+        remaining = [e for e in service.endpoints.values() if not e.leaving]
+        if not remaining:
+            found = "no endpoint that is not leaving"
             yield DocumentIssue((*path, "endpoints"), found, "at least one")
         if not service.kinds:
             yield DocumentIssue((*path, "kinds"), "no kind", "at least one")
-        if name not in reached:
-            found = "shares that add up to 0"
+        if name not in used:
+            found = "no organisation with access"
             yield DocumentIssue(
-                path, found, "at least one organisation that may reach it"
+                path, found, "at least one organisation that may use it"
             )
         for endpoint, entry in service.endpoints.items():
-            where = (*path, "endpoints", endpoint)
+            endpoint_path = (*path, "endpoints", endpoint)
             if entry.zone not in document.zones:
                 yield DocumentIssue(
-                    (*where, "zone"), entry.zone, _one_of(document.zones)
+                    (*endpoint_path, "zone"), entry.zone, _one_of(document.zones)
                 )
             if not 1 <= int(entry.address.rpartition(":")[2]) <= MAX_PORT:
                 allowed = f"a port from 1 to {MAX_PORT}"
-                yield DocumentIssue((*where, "address"), entry.address, allowed)
+                yield DocumentIssue((*endpoint_path, "address"), entry.address, allowed)
             other = addresses.setdefault(entry.address, f"{name}.{endpoint}")
             if other != f"{name}.{endpoint}":
                 found = f"the address of {other}"
-                yield DocumentIssue((*where, "address"), found, "an address of its own")
+                yield DocumentIssue(
+                    (*endpoint_path, "address"), found, "an address of its own"
+                )
 
 
 def _kinds(document: Document) -> Iterator[DocumentIssue]:
@@ -109,9 +115,9 @@
                     path, "no method or no path", "at least one of each"
                 )
             if pairs and all(pair in seen for pair in pairs):
-                found = f"what {seen[pairs[0]]} takes already"
+                found = f"methods and paths matched by {seen[pairs[0]]} already"
                 yield DocumentIssue(
-                    (*path, "paths"), found, "a path that reaches this kind"
+                    (*path, "paths"), found, "a path that is matched by this kind first"
                 )
             for pair in pairs:
                 seen.setdefault(pair, kind)
@@ -122,7 +128,7 @@
 
 
 def _objectives(document: Document) -> Iterator[DocumentIssue]:
-    taken: dict[tuple[str, str, str], str] = {}
+    covered_by: dict[tuple[str, str, str], str] = {}
     for name, objective in document.objectives.items():
         path = ("objectives", name)
         service = document.services.get(objective.service)
@@ -138,9 +144,11 @@
                 yield DocumentIssue((*path, "organisations", i), organisation, allowed)
         for organisation in objective.organisations or ("",):
             key = (objective.service, objective.kind, organisation)
-            if taken.setdefault(key, name) != name:
-                found = f"the requests of {taken[key]}"
-                yield DocumentIssue(path, found, "one objective for the same requests")
+            if covered_by.setdefault(key, name) != name:
+                found = f"the same requests as {covered_by[key]}"
+                yield DocumentIssue(
+                    path, found, "a single objective per set of requests"
+                )
 
 
 def _operators(document: Document) -> Iterator[DocumentIssue]:
@@ -159,13 +167,15 @@
             )
         if operator.role != "editor" and operator.sections:
             found = f"sections of a {operator.role}"
-            yield DocumentIssue((*path, "sections"), found, "sections for editors only")
+            yield DocumentIssue(
+                (*path, "sections"), found, "sections for the role editor only"
+            )
         for i, key in enumerate(operator.keys):
             if owners.setdefault(key, name) != name:
                 found = f"a key of {owners[key]}"
                 yield DocumentIssue((*path, "keys", i), found, "keys of this one only")
     if not admins:
-        # with none, nobody could ever change the document again
+        # without an admin, nobody could change the document again
         found = "no admin with a key"
         yield DocumentIssue(("operators",), found, "at least one")
 
@@ -181,4 +191,4 @@
 
 def find_issues(document: Document) -> list[DocumentIssue]:
     """Return every fault of a document."""
-    return [finding for part in CHECKS for finding in part(document)]
+    return [finding for check in CHECKS for finding in check(document)]
--- a/packages/router/src/teaselledge/version/difference.py
+++ b/packages/router/src/teaselledge/version/difference.py
@@ -1,4 +1,4 @@
-"""What differs between two versions, entry by entry."""
+"""Differences between two versions by entry."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True)
 class EntryChange:
-    """One entry that differs.
+    """A changed entry.
 
     Attributes
     ----------
     section, name : str
-        The entry.
+        Section and name of the entry.
     old, new : object
-        Its value before and after; None where there is none.
+        Value before and after; None if the entry does not exist.
     """
 
     section: str
@@ -36,12 +36,12 @@
 
     @property
     def path(self) -> str:
-        """The entry as one text."""
+        """Section and name joined by a slash."""
         return f"{self.section}/{self.name}"
 
 
 def differences(old: Entries, new: Entries) -> list[EntryChange]:
-    """Return the entries that differ, in order."""
+    """Return the changed entries, ordered by section and name."""
     found = []
     for section in SECTIONS:
         before, after = old.get(section, {}), new.get(section, {})
@@ -53,7 +53,7 @@
 
 
 def apply_changes(entries: Entries, changes: list[EntryChange]) -> Entries:
-    """Return the entries after the changes."""
+    """Return a copy of the entries with the changes applied."""
     result = {section: dict(entries.get(section, {})) for section in SECTIONS}
     for change in changes:
         if change.new is None:
@@ -64,16 +64,16 @@
 
 
 def editable_path(section: str, name: str) -> tuple[str, str]:
-    """Return section and entry as operators own them: endpoints go with services."""
+    """Return section and name used for permissions: endpoints belong to services."""
     if section == ENDPOINTS:
         return "services", name.partition("/")[0]
     return section, name
 
 
 def format_field_changes(change: EntryChange) -> Iterator[str]:
-    """Return what differs within an entry, a line a field."""
-    old = dict(_flat(change.old)) if change.old is not None else {}
-    new = dict(_flat(change.new)) if change.new is not None else {}
+    """Yield the old and new value of each changed field of an entry."""
+    old = dict(_flatten_fields(change.old)) if change.old is not None else {}
+    new = dict(_flatten_fields(change.new)) if change.new is not None else {}
     for field in sorted(old.keys() | new.keys()):
         before, after = old.get(field, _ABSENT), new.get(field, _ABSENT)
         if before == after:
@@ -84,9 +84,9 @@
             yield f"+ {field}: {after}"
 
 
-def _flat(value: Any, path: str = "") -> Iterator[tuple[str, Any]]:
+def _flatten_fields(value: Any, path: str = "") -> Iterator[tuple[str, Any]]:
     if isinstance(value, Mapping) and value:
         for key, inner in value.items():
-            yield from _flat(inner, f"{path}.{key}" if path else str(key))
+            yield from _flatten_fields(inner, f"{path}.{key}" if path else str(key))
         return
     yield path or "value", value
--- a/packages/router/src/teaselledge/version/document.py
+++ b/packages/router/src/teaselledge/version/document.py
@@ -32,7 +32,7 @@
     Attributes
     ----------
     region : str
-        Its region; traffic between regions is paid.
+        Region of the zone; traffic between regions is charged.
     """
 
     region: Name
@@ -40,18 +40,18 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class Organisation:
-    """An organisation and what it may use.
+    """An organisation, its share and the services it may use.
 
     Attributes
     ----------
     share : float
-        Weight in the division of capacity.
+        Weight of the organisation in the division of capacity.
     keys : tuple of str
-        SHA-256 of each bearer key, in hex.
+        SHA-256 digest of each bearer key, in hex.
     services : tuple of str
-        Services that it may reach.
+        Services that it may use.
     max_waiting : int
-        Requests of it that may wait in one router.
+        Maximum number of its requests waiting in one router.
     """
 
     share: Positive
@@ -69,17 +69,17 @@
     methods : tuple of str
         HTTP methods.
     paths : tuple of str
-        Path patterns below the service, as `fnmatch` reads them.
+        Path patterns below the service, in the syntax of `fnmatch`.
     repeatable : bool
-        Whether running it twice does no harm.
+        Whether running a request twice is harmless.
     interactive : bool
-        Goes before the other kinds of its organisation.
+        Served before the other kinds of requests of the same organisation.
     cost_hint : float
-        Expected cost, in tokens or slot-seconds.
+        Expected cost of a request, in tokens or slot-seconds.
     deadline : float
-        Seconds from arrival until the caller gets a final answer.
+        Seconds from arrival until the caller gets its final response.
     latency_target : float or None
-        Wished time to first byte, in seconds.
+        Target for the time to first byte, in seconds.
     """
 
     methods: tuple[Literal["GET", "POST", "PUT", "PATCH", "DELETE", "HEAD"], ...]
@@ -93,22 +93,22 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class Endpoint:
-    """A process that answers requests of a service.
+    """A process that serves requests of a service.
 
     Attributes
     ----------
     address : str
         ``host:port``.
     zone : str
-        Its availability zone.
+        Availability zone of the endpoint.
     slots : int
-        Requests that it runs at once.
+        Number of requests that it runs concurrently.
     leaving : bool
-        It gets no new work.
+        Whether it gets no new requests.
     models : tuple of str
         Models that an engine has loaded.
     role : str
-        What an engine does: ``prefill``, ``decode`` or ``any``.
+        Work that an engine does: ``prefill``, ``decode`` or ``any``.
     """
 
     address: Annotated[str, Field(pattern=r"^[^\s:/]+:\d{1,5}$")]
@@ -126,7 +126,7 @@
     Attributes
     ----------
     version : str
-        Which weights.
+        Version of the weights.
     adapters : tuple of str
         Adapters loaded with it.
     """
@@ -144,21 +144,22 @@
     cost : str
         ``tokens`` for model engines, ``seconds`` for plain services.
     endpoints : dict of str to Endpoint
-        By name.
+        Endpoints by name.
     kinds : dict of str to Kind
-        By name; the first that matches names the request's kind.
+        Kinds of requests by name; the first that matches a request applies.
     resumes : bool
-        A broken stream can be resumed at its position.
+        Whether a broken stream can be resumed where it stopped.
     checks_fencing : bool
-        Orders with an old fencing number are refused.
+        Whether endpoints refuse orders with an old fencing number.
     reports_load : bool
-        The endpoints tell their load, with a lag.
+        Whether endpoints report their load, which arrives with a lag.
     preset : str
-        ``fairness`` reports service between routers soon, ``traffic`` seldom.
+        How often routers report service to each other: with ``fairness`` soon, with
+        ``traffic`` seldom.
     models : dict of str to Model
-        Version and adapters of the models that its engines name.
+        Version and adapters of the models that its engines load, by model name.
     loads_at_once : int
-        Engines that may load from the weight store at once.
+        Number of engines that may load from the weight store concurrently.
     """
 
     cost: Literal["tokens", "seconds"]
@@ -179,15 +180,15 @@
     Attributes
     ----------
     service, kind : str
-        Requests that it is about.
+        Service and kind of the requests that it applies to.
     target : float
-        Part of the requests that has to be good.
+        Fraction of the requests that must be good.
     seconds : float
-        A request is good if it does not fail and takes at most so long.
+        Maximum duration of a good request, which must not fail either.
     organisations : tuple of str
-        Organisations that it holds for; empty for all.
+        Organisations that it applies to; empty for all.
     window_hours : float
-        Time over which the error budget is counted.
+        Time window of the error budget, in hours.
     """
 
     service: Name
@@ -200,18 +201,18 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class Operator:
-    """Someone who may use the operators' interface.
+    """A user of the operators' interface.
 
     Attributes
     ----------
     keys : tuple of str
-        SHA-256 of each bearer key, in hex.
+        SHA-256 digest of each bearer key, in hex.
     role : str
-        ``viewer`` reads; ``editor`` changes the named sections too;
-        ``support`` settles orders and drains routers; ``admin`` may do all.
+        ``viewer`` reads; ``editor`` also changes the given sections; ``support``
+        reads, settles orders and drains routers; ``admin`` may do everything.
     sections : tuple of str
-        What an editor may change: a section, such as ``organisations``, or one
-        entry of it, such as ``services/registar``.
+        Sections that an editor may change, such as ``organisations``, or single
+        entries, such as ``services/registar``.
     """
 
     keys: tuple[Sha256, ...]
@@ -221,7 +222,7 @@
 
 @dataclass(frozen=True, config=_STRICT)
 class Document:
-    """The whole configuration.
+    """The complete configuration.
 
     Attributes
     ----------
@@ -246,7 +247,7 @@
 
 @dataclass(frozen=True)
 class Version:
-    """A numbered state of the document; requests keep theirs to the end."""
+    """A numbered version of the document; each request keeps that of its start."""
 
     number: int
     document: Document
--- a/packages/router/src/teaselledge/version/head.py
+++ b/packages/router/src/teaselledge/version/head.py
@@ -1,4 +1,4 @@
-"""The head of a version: its number, its chunks and who made it."""
+"""The manifest of a version: its number, its chunks and its author."""
 
 import json
 import zlib
@@ -29,37 +29,37 @@
 AUDIT_PREFIX = "audit/"
 
 FORMAT = 1
-"""Layout of the head that this release writes, and the highest it reads."""
+"""Format of the manifests that this release writes and reads."""
 
-MAX_HEAD_BYTES = 1024 * 1024
+MAX_MANIFEST_BYTES = 1024 * 1024
 
 
 class ManifestError(Exception):
-    """A head that is damaged or of a newer release."""
+    """A manifest is damaged or written by a newer release."""
 
 
 @dataclass(frozen=True)
 class VersionManifest:
-    """What names one version.
+    """Description of one version.
 
     Attributes
     ----------
     version : int
-        Number, one above the version before.
+        Number, one higher than that of the previous version.
     sections : dict of str to list of str
         Digests of the chunks of each section.
     author : str
-        The operator.
+        Operator who made the version.
     apply_id : str
-        Identifies the apply, so that it is found again if its answer is lost.
+        Identifies the apply, so that a retry finds its outcome if the response is lost.
     base : int
-        Version that the operator had seen.
+        Version that the change was based on.
     time : str
-        When it was accepted, for people.
+        Wall-clock time of acceptance, for display only.
     note : str
-        The operator's words.
+        The operator's comment.
     changed : list of str
-        Changed entries, ``section/name``, the first of them.
+        First changed entries, as ``section/name``.
     """
 
     version: int
@@ -82,34 +82,34 @@
 
 
 def version_key(version: int) -> str:
-    """Return the key of a version's row, which sorts by number."""
+    """Return the key of a version's row; keys sort by number."""
     return f"{VERSION_PREFIX}{version:012d}"
 
 
-def encode_manifest(head: VersionManifest) -> bytes:
-    """Return the bytes of a head as stored and sent."""
-    text = json.dumps({"format": FORMAT, **asdict(head)}, separators=(",", ":"))
+def encode_manifest(manifest: VersionManifest) -> bytes:
+    """Return the bytes of a manifest as stored and sent."""
+    text = json.dumps({"format": FORMAT, **asdict(manifest)}, separators=(",", ":"))
     return zlib.compress(text.encode(), 6)
 
 
 def decode_manifest(data: bytes) -> VersionManifest:
-    """Read a head.
+    """Decode a manifest.
 
     Raises
     ------
     ManifestError
-        If the bytes are no head, or one of a newer release.
+        If the bytes are no manifest, or one written by a newer release.
     """
     try:
         expander = zlib.decompressobj()
-        text = expander.decompress(data, MAX_HEAD_BYTES)
+        text = expander.decompress(data, MAX_MANIFEST_BYTES)
         value = _format.validate_json(text)
-        found = value.pop("format", None)
-        if found != FORMAT:
-            raise ManifestError(f"format {found!r}, this release reads {FORMAT}")
-        head = _reader.validate_python(value)
+        found_format = value.pop("format", None)
+        if found_format != FORMAT:
+            raise ManifestError(f"format {found_format!r}, this release reads {FORMAT}")
+        manifest = _reader.validate_python(value)
     except (zlib.error, ValidationError) as error:
         raise ManifestError("malformed") from error
-    if head.version < 1:
+    if manifest.version < 1:
         raise ManifestError("no version number")
-    return head
+    return manifest
--- a/packages/router/src/teaselledge/version/sections.py
+++ b/packages/router/src/teaselledge/version/sections.py
@@ -1,9 +1,9 @@
-"""Split a document into entries and chunks that are stored by digest.
+"""Split a document into entries and into chunks stored by digest.
 
-A document is a mapping of sections, a section one of named entries. Endpoints are
-split off their services, so that one that changes does not touch the others. The
-entries of a section are spread over chunks by the hash of their names: a change of
-one entry makes one new chunk, and all others keep their digest.
+A document is a mapping of sections, a section a mapping of named entries. Endpoints
+are a section of their own, so that a change of an endpoint leaves its service's entry
+unchanged. The entries of a section are distributed over chunks by the hash of their
+names: a changed entry results in one new chunk, and all others keep their digest.
 """
 
 import hashlib
@@ -28,7 +28,7 @@
 ]
 
 Entries = dict[str, dict[str, Any]]
-"""Values by section and by name."""
+"""Values by section and name."""
 
 ENDPOINTS = "endpoints"
 SECTIONS: tuple[str, ...] = (
@@ -39,19 +39,19 @@
     "objectives",
     "operators",
 )
-"""Sections as stored, in the order of building."""
+"""Sections as stored, in the order of processing."""
 
-CHUNK_ENTRIES = 64
-"""Entries a chunk holds on average, at most."""
+MAX_MEAN_CHUNK_ENTRIES = 64
+"""Maximum mean number of entries in the chunks of a section."""
 
 DIGEST_BYTES = 16
-"""Enough that no one finds other content with the same digest."""
+"""Long enough that finding other content with the same digest is infeasible."""
 
 MAX_CHUNK_BYTES = 4 * 1024 * 1024
 
 
 class ChunkError(Exception):
-    """A chunk that is damaged or too large."""
+    """A chunk is damaged or too large."""
 
 
 def flatten(document: Mapping[str, Any]) -> Entries:
@@ -63,19 +63,19 @@
     for name, service in entries["services"].items():
         if not isinstance(service, Mapping):
             continue
-        plain = dict(service)
-        endpoints = plain.pop(ENDPOINTS, None) or {}
+        service_entry = dict(service)
+        endpoints = service_entry.pop(ENDPOINTS, None) or {}
         if not isinstance(endpoints, Mapping):
             entries["services"][name] = service
             continue
         for endpoint, value in endpoints.items():
             entries[ENDPOINTS][f"{name}/{endpoint}"] = value
-        entries["services"][name] = plain
+        entries["services"][name] = service_entry
     return entries
 
 
 def unflatten(entries: Entries) -> dict[str, Any]:
-    """Return the document of which these are the entries."""
+    """Return the document that consists of the entries."""
     document: dict[str, Any] = {
         section: dict(entries.get(section, {}))
         for section in SECTIONS
@@ -93,13 +93,13 @@
 
 
 def chunk_digest(data: bytes) -> str:
-    """Return the name under which a chunk is stored."""
+    """Return the digest under which a chunk is stored."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def _bucket_count(entries: int) -> int:
     buckets = 1
-    while buckets * CHUNK_ENTRIES < entries:
+    while buckets * MAX_MEAN_CHUNK_ENTRIES < entries:
         buckets *= 2
     return buckets
 
@@ -112,8 +112,8 @@
 def pack_chunks(entries: Mapping[str, Any]) -> list[bytes]:
     """Return the chunks of one section, in order of their bucket.
 
-    Entries are sorted by name. Within a value the order stays, since the first
-    kind that matches a request names it.
+    Entries are sorted by name. The order within a value is kept, since the first
+    kind that matches a request determines its kind.
     """
     count = _bucket_count(len(entries))
     buckets: list[dict[str, Any]] = [{} for _ in range(count)]
@@ -128,22 +128,22 @@
     Raises
     ------
     ChunkError
-        If the bytes are no chunk.
+        If the bytes are not a valid chunk.
     """
     try:
         expander = zlib.decompressobj()
-        # a few bytes can expand to gigabytes; stop at the limit
+        # a few bytes can decompress to gigabytes
         text = expander.decompress(data, MAX_CHUNK_BYTES)
         if expander.unconsumed_tail or not expander.eof:
-            raise ChunkError("too large or cut short")
+            raise ChunkError("too large or truncated")
         entries = json.loads(text)
     except (zlib.error, ValueError, RecursionError) as error:
         raise ChunkError(str(error)) from error
     if not isinstance(entries, dict):
-        raise ChunkError("no mapping")
+        raise ChunkError("not a mapping")
     return entries
 
 
 def missing_digests(digests: Iterable[str], known: Mapping[str, Any]) -> list[str]:
-    """Return the digests that are not known, each once."""
+    """Return the digests that are not in `known`, each once."""
     return [digest for digest in dict.fromkeys(digests) if digest not in known]
--- a/packages/router/src/teaselledge/version/source.py
+++ b/packages/router/src/teaselledge/version/source.py
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True)
 class CheckedDocument:
-    """A checked document.
+    """A document that passed all checks.
 
     Attributes
     ----------
     value : dict
-        Plain mappings, as written.
+        The document as plain mappings.
     document : Document
-        The document.
+        The validated document.
     """
 
     value: dict[str, Any]
@@ -41,7 +41,7 @@
 
 
 def find_yaml_files(paths: Iterable[Path]) -> list[Path]:
-    """Return the YAML files that paths name, directories searched in order."""
+    """Return the given files and, sorted, the YAML files of given directories."""
     found: list[Path] = []
     for path in paths:
         if not path.is_dir():
@@ -53,40 +53,40 @@
 
 
 def load_source(paths: Iterable[Path]) -> Result[Source, list[ConfigIssue]]:
-    """Read and merge the files that paths name."""
+    """Read and merge the given files and directories."""
     files = find_yaml_files(paths)
     sources: list[Source] = []
-    mistakes: list[ConfigIssue] = []
+    issues: list[ConfigIssue] = []
     for file in files:
         result = yamlsource.read(file)
         if result.is_error():
-            mistakes.extend(result.error)
+            issues.extend(result.error)
             continue
         sources.append(result.ok)
     if not files:
-        mistakes.append(ConfigIssue("", 1, "", "no file", "at least one YAML file"))
+        issues.append(ConfigIssue("", 1, "", "no file", "at least one YAML file"))
     merged = yamlsource.merge(sources)
     if merged.is_error():
-        mistakes.extend(merged.error)
-    if mistakes:
-        return Error(mistakes)
+        issues.extend(merged.error)
+    if issues:
+        return Error(issues)
     return merged
 
 
 def check_source(source: Source) -> Result[CheckedDocument, list[ConfigIssue]]:
-    """Check a whole document and return every fault in it."""
+    """Check a document and return all its faults."""
     result = yamlsource.validate_as(Document, source)
     if result.is_error():
         return Error(result.error)
-    mistakes = [
+    issues = [
         yamlsource.issue_at(source, f.path, f.found, f.allowed)
         for f in find_issues(result.ok)
     ]
-    if mistakes:
-        return Error(mistakes)
+    if issues:
+        return Error(issues)
     return Ok(CheckedDocument(source.value, result.ok))
 
 
 def check_value(value: Mapping[str, Any]) -> Result[CheckedDocument, list[ConfigIssue]]:
-    """Check a whole document that comes from no file."""
+    """Check a document that was not read from files."""
     return check_source(Source("document", dict(value)))
--- a/packages/router/tests/test_check.py
+++ b/packages/router/tests/test_check.py
@@ -70,7 +70,7 @@
     "operators.erin.keys.0": ("operators.erin.keys", [KEY(3)]),
     "operators": ("operators.dana.role", "viewer"),
 }
-"""Place of each finding, and the change of a right document that makes it."""
+"""Path of each fault, and the change to a valid document that causes it."""
 
 
 def changed(path, value):
@@ -83,27 +83,27 @@
     return document
 
 
-def test_a_right_document_has_no_findings():
+def test_valid_document_has_no_issues():
     checked = check_value(DOCUMENT)
     assert checked.is_ok()
     assert find_issues(checked.ok.document) == []
 
 
-def test_each_fault_is_found_at_its_place():
-    for place, (path, value) in FAULTS.items():
+def test_each_fault_is_reported_with_its_path():
+    for expected, (path, value) in FAULTS.items():
         checked = check_value(changed(path, value))
-        assert checked.is_error(), place
-        found = {mistake.path for mistake in checked.error}
-        assert place in found, (place, found)
-        for mistake in checked.error:
-            assert mistake.found and mistake.allowed
+        assert checked.is_error(), expected
+        found = {issue.path for issue in checked.error}
+        assert expected in found, (expected, found)
+        for issue in checked.error:
+            assert issue.found and issue.allowed
 
 
-def test_all_faults_of_a_document_are_listed_at_once():
+def test_all_faults_of_a_document_are_reported():
     document = changed("organisations.amber.services", ["nothing"])
     document["objectives"]["work"]["kind"] = "nothing"
     document["operators"]["erin"]["sections"] = []
-    found = {mistake.path for mistake in check_value(document).error}
+    found = {issue.path for issue in check_value(document).error}
     assert found == {
         "organisations.amber.services.0",
         "objectives.work.kind",
@@ -111,13 +111,13 @@
     }
 
 
-def test_long_lists_of_names_are_cut():
-    """An organisation names a wrong service among hundreds of right ones."""
+def test_long_lists_of_names_are_truncated():
+    """An organisation uses an unknown service where hundreds are defined."""
     document = changed("organisations.amber.services", ["nothing"])
     for i in range(300):
         service = copy.deepcopy(document["services"]["models"])
         service["endpoints"]["e-0"]["address"] = f"10.1.{i // 200}.{i % 200}:1"
         document["services"][f"service-{i}"] = service
         document["organisations"]["birch"]["services"].append(f"service-{i}")
-    (mistake,) = check_value(document).error
-    assert "and 290 more" in mistake.allowed and len(mistake.allowed) < 400
+    (issue,) = check_value(document).error
+    assert "and 290 more" in issue.allowed and len(issue.allowed) < 400
--- a/packages/router/tests/test_head.py
+++ b/packages/router/tests/test_head.py
@@ -1,4 +1,4 @@
-"""Tests of what is stored and sent for a version."""
+"""Tests of the encoding of manifests and chunks."""
 
 import json
 import zlib
@@ -12,7 +12,7 @@
     encode_manifest,
 )
 from teaselledge.version.sections import (
-    CHUNK_ENTRIES,
+    MAX_MEAN_CHUNK_ENTRIES,
     ChunkError,
     chunk_digest,
     flatten,
@@ -38,7 +38,7 @@
 
 
 @given(SERVICES, ENTRIES)
-def test_a_document_survives_its_entries(services, organisations):
+def test_flatten_round_trip(services, organisations):
     document = {
         "zones": {},
         "organisations": organisations,
@@ -50,13 +50,13 @@
 
 
 @given(MANY, st.integers(0, 299).map("org-{:03d}".format))
-def test_a_changed_entry_changes_one_chunk_at_most(entries, name):
+def test_changed_entry_changes_at_most_one_chunk(entries, name):
     chunks = pack_chunks(entries)
     found = {}
     for chunk in chunks:
         found.update(unpack_chunk(chunk))
     assert found == entries
-    assert len(chunks) * CHUNK_ENTRIES >= len(entries)
+    assert len(chunks) * MAX_MEAN_CHUNK_ENTRIES >= len(entries)
     if name not in entries:
         return
     other = pack_chunks({**entries, name: {"other": 1}})
@@ -64,36 +64,36 @@
 
 
 @given(MANY)
-def test_chunks_do_not_hang_on_the_order_of_entries(entries):
+def test_chunks_do_not_depend_on_order_of_entries(entries):
     backwards = dict(reversed(entries.items()))
     assert [chunk_digest(c) for c in pack_chunks(entries)] == [
         chunk_digest(c) for c in pack_chunks(backwards)
     ]
 
 
-def test_head_round_trip():
-    head = VersionManifest(
+def test_manifest_round_trip():
+    manifest = VersionManifest(
         7, {"zones": ["ab"]}, "dana", "id", 6, "now", "why", ["zones/a"]
     )
-    assert decode_manifest(encode_manifest(head)) == head
+    assert decode_manifest(encode_manifest(manifest)) == manifest
 
 
-def test_further_fields_of_a_head_are_ignored():
-    """A newer release tells more in the head, in a layout that still holds."""
+def test_unknown_fields_of_manifest_are_ignored():
+    """A newer release adds fields to the manifest without changing its format."""
     text = '{"format": 1, "version": 3, "sections": {}, "more": 1}'
     assert decode_manifest(zlib.compress(text.encode())) == VersionManifest(3, {})
 
 
-def refused(read, error, data):
+def is_rejected(decode, error, data):
     try:
-        read(data)
+        decode(data)
     except error:
         return True
     return False
 
 
-def test_hostile_heads_and_chunks_are_refused():
-    """A peer or the store gives bytes that no release has written."""
+def test_hostile_manifests_and_chunks_are_rejected():
+    """A peer or the store sends bytes that no release has written."""
     bomb = zlib.compress(b" " * 50_000_000)
     texts = [
         "",
@@ -108,19 +108,19 @@
         "[" * 100_000,
     ]
     for data in [bomb, bomb[:100], b"", *(zlib.compress(t.encode()) for t in texts)]:
-        assert refused(decode_manifest, ManifestError, data), data[:60]
+        assert is_rejected(decode_manifest, ManifestError, data), data[:60]
     for text in ("", "[]", "7", "[" * 100_000):
-        assert refused(unpack_chunk, ChunkError, zlib.compress(text.encode())), text
-    assert refused(unpack_chunk, ChunkError, bomb)
-    assert refused(unpack_chunk, ChunkError, bomb[:100])
+        assert is_rejected(unpack_chunk, ChunkError, zlib.compress(text.encode())), text
+    assert is_rejected(unpack_chunk, ChunkError, bomb)
+    assert is_rejected(unpack_chunk, ChunkError, bomb[:100])
 
 
 @given(st.binary(max_size=200), st.booleans())
-def test_any_bytes_are_read_or_refused(data, packed):
+def test_any_bytes_are_decoded_or_rejected(data, packed):
     given_data = zlib.compress(data) if packed else data
-    for read, error in ((decode_manifest, ManifestError), (unpack_chunk, ChunkError)):
+    for decode, error in ((decode_manifest, ManifestError), (unpack_chunk, ChunkError)):
         try:
-            read(given_data)
+            decode(given_data)
         except error:
             pass
 
@@ -138,11 +138,11 @@
         optional={"author": JSON, "changed": JSON, "base": JSON},
     )
 )
-def test_any_json_is_read_or_refused_as_head(value):
+def test_any_json_is_decoded_or_rejected_as_manifest(value):
     data = zlib.compress(json.dumps(value).encode())
     try:
-        head = decode_manifest(data)
+        manifest = decode_manifest(data)
     except ManifestError:
         return
-    assert head.version >= 1
-    assert all(isinstance(digest, str) for digest in head.digests)
+    assert manifest.version >= 1
+    assert all(isinstance(digest, str) for digest in manifest.digests)
