--- a/packages/router/src/teaselledge/connection/peer.py
+++ b/packages/router/src/teaselledge/connection/peer.py
@@ -1,4 +1,4 @@
-"""Connections between routers: one task for each, framed thrift messages."""
+"""Connections between routers, carrying framed thrift messages."""
 
 import asyncio
 import random
@@ -24,41 +24,41 @@
 
 _log = get_log("peer")
 
-MAX_QUEUED = 10_000
-"""Messages that wait for one router."""
+MAX_QUEUED_MESSAGES = 10_000
+"""Maximum number of messages queued for one router."""
 
 MAX_CONNECTIONS = 2000
-"""Connections that other routers may have open to this one."""
+"""Maximum number of connections from other routers."""
 
-MAX_MESSAGES = 5000
-"""Messages in one frame, so that a frame can be encoded in little time."""
+MAX_FRAME_MESSAGES = 5000
+"""Maximum number of messages in a frame, so that encoding it takes little time."""
 
 READ_BUFFER_BYTES = 5 << 20
-"""Read buffer of a connection; holds the largest frame."""
+"""Size of a connection's read buffer, which must hold the largest frame."""
 
-CONNECT_SECONDS = 2.0
-HELLO_SECONDS = 5.0
-"""Time in which a new connection must introduce itself."""
+CONNECT_TIMEOUT_SECONDS = 2.0
+HELLO_TIMEOUT_SECONDS = 5.0
+"""Time in which the hello message of a new connection must arrive."""
 
-IDLE_SECONDS = 30.0
-"""A connection on which nothing was sent for so long is closed."""
+IDLE_TIMEOUT_SECONDS = 30.0
+"""Time without a message sent after which a connection is closed."""
 
-FIRST_RETRY_SECONDS = 0.25
-LAST_RETRY_SECONDS = 8.0
-FLUSH_SECONDS = 0.5
-LOG_SECONDS = 10.0
-"""Least time between two lines about bad connections."""
+MIN_RETRY_SECONDS = 0.25
+MAX_RETRY_SECONDS = 8.0
+FLUSH_TIMEOUT_SECONDS = 0.5
+LOG_INTERVAL_SECONDS = 10.0
+"""Minimum interval between two log lines about bad connections."""
 
 
-class _RefusedPeerError(Exception):
-    """A connection whose other end is not who it should be."""
+class _PeerRejectedError(Exception):
+    """The peer on a connection is not the expected one."""
 
 
 class _Link:
-    """Messages on their way to one router, sent by one task.
+    """Queue of messages to one router, and the task that sends them.
 
-    The connection is opened when there is something to send and closed when
-    there was nothing for long.
+    The connection is opened when there is a message to send and closed when it has
+    been idle.
     """
 
     def __init__(self, mesh: "PeerMesh", vm: str) -> None:
@@ -66,22 +66,22 @@
         self._vm = vm
         self._queue: deque[Message] = deque()
         self._wake = asyncio.Event()
-        self._retry = FIRST_RETRY_SECONDS
+        self._retry_seconds = MIN_RETRY_SECONDS
         self.task = asyncio.create_task(self._run())
 
     @property
     def queued(self) -> int:
-        """Messages that wait."""
+        """Number of queued messages."""
         return len(self._queue)
 
-    def push(self, sent: Message) -> None:
+    def push(self, message: Message) -> None:
         """Queue a message."""
-        # a peer that is cut off must not fill the memory; what is dropped here
-        # is repeated by the next snapshot, report or beat
-        if len(self._queue) >= MAX_QUEUED:
+        # messages for an unreachable peer must not fill the memory; the next
+        # snapshot, report or beat repeats what is dropped here
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
             self._mesh.count_dropped(len(self._queue))
             self._queue.clear()
-        self._queue.append(sent)
+        self._queue.append(message)
         self._wake.set()
 
     async def _run(self) -> None:
@@ -90,50 +90,50 @@
             await self._wake.wait()
             stream = await self._mesh.connect(self._vm)
             if stream is None:
-                # old messages are worthless to a router that comes back later
+                # a router that is reachable later has no use for old messages
                 self._mesh.count_dropped(len(self._queue))
                 self._queue.clear()
                 self._wake.clear()
                 await self._back_off()
                 continue
-            opened = loop.time()
+            opened_at = loop.time()
             try:
                 await self._write_all(stream)
             except StreamClosedError:
-                _log.info(f"Connection to {self._vm} is lost.")
-                if loop.time() - opened > LAST_RETRY_SECONDS:
-                    self._retry = FIRST_RETRY_SECONDS
-                # a peer that accepts and then closes, such as one that does not
-                # trust this router, must not be called again without pause
+                _log.info(f"Connection to {self._vm} lost.")
+                if loop.time() - opened_at > MAX_RETRY_SECONDS:
+                    self._retry_seconds = MIN_RETRY_SECONDS
+                # reconnect with a delay to a peer that accepts and then closes, such
+                # as one that does not trust this router
                 await self._back_off()
-                # look for the way: a refusal tells that the process ended
+                # reconnect: if refused, the peer's process has ended
                 self._wake.set()
             finally:
-                # else closing an idle connection would open it again
+                # otherwise closing an idle connection would reopen it
                 stream.set_close_callback(None)
                 stream.close()
 
     async def _back_off(self) -> None:
-        # routers that lost the same peer must not all return in step
-        await asyncio.sleep(self._retry * random.uniform(0.5, 1.5))
-        self._retry = min(2 * self._retry, LAST_RETRY_SECONDS)
+        # spread the reconnections of routers that lost the same peer
+        await asyncio.sleep(self._retry_seconds * random.uniform(0.5, 1.5))
+        self._retry_seconds = min(2 * self._retry_seconds, MAX_RETRY_SECONDS)
 
     async def _write_all(self, stream: IOStream) -> None:
-        # without the callback the loss of an idle connection shows at the second
-        # write after it, and the first one is lost
+        # without the callback the loss of an idle connection would be detected at
+        # the second write, and the message of the first would be lost
         stream.set_close_callback(self._wake.set)
         while True:
             try:
-                async with asyncio.timeout(IDLE_SECONDS):
+                async with asyncio.timeout(IDLE_TIMEOUT_SECONDS):
                     await self._wake.wait()
             except TimeoutError:
                 return
             self._wake.clear()
             if stream.closed():
                 raise StreamClosedError
-            # one frame takes all that this turn of the loop has queued
+            # send all messages queued in this iteration of the event loop in one frame
             while self._queue:
-                count = min(len(self._queue), MAX_MESSAGES)
+                count = min(len(self._queue), MAX_FRAME_MESSAGES)
                 batch = [self._queue.popleft() for _ in range(count)]
                 for frame in self._mesh.encode_batch(batch):
                     await stream.write(frame)
@@ -156,18 +156,18 @@
     origin : Origin
         This router.
     address_of : callable
-        Where a router listens, None while unknown.
+        Returns the address of a router, or None while unknown.
     metrics : Metrics
-        Where to count.
+        Receives counters.
     server_tls, client_tls : ssl.SSLContext or None
         Contexts for mutual TLS.
 
     Attributes
     ----------
     make_hello : callable
-        What is said first on each connection.
+        Returns the first message sent on each connection.
     on_connection_refused : callable
-        Called with a VM whose host refuses connections.
+        Called with the name of a VM that refuses connections.
     """
 
     def __init__(
@@ -187,23 +187,23 @@
         self._links: dict[str, _Link] = {}
         self._client = TCPClient()
         self._client_tls = client_tls
-        self._served: set[IOStream] = set()
-        self._next_log = 0.0
+        self._incoming: set[IOStream] = set()
+        self._next_log_at = 0.0
         options: dict[str, Any] = {"ssl_options": server_tls} if server_tls else {}
         self._server = _Server(self, **options)
 
     @property
     def origin(self) -> Origin:
-        """This router as a sender."""
+        """Origin of the messages of this router."""
         return self._origin
 
     @property
     def connections(self) -> int:
-        """Connections that other routers have open to this one."""
-        return len(self._served)
+        """Number of connections from other routers."""
+        return len(self._incoming)
 
     def subscribe(self, body: str, handler: Handler) -> None:
-        """Call a handler for each message with that body."""
+        """Register a handler for messages with that body."""
         self._registry.subscribe(body, handler)
 
     def listen(self, host: str, port: int) -> int:
@@ -212,29 +212,29 @@
         self._server.add_sockets(sockets)
         return sockets[0].getsockname()[1]
 
-    def send(self, vm: str, sent: Message) -> None:
-        """Send to a router; to itself on the next turn of the loop."""
+    def send(self, vm: str, message: Message) -> None:
+        """Send a message; to this router, it arrives in the next loop iteration."""
         if vm == self._origin.vm:
             loop = asyncio.get_running_loop()
-            loop.call_soon(self._deliver, self._origin, sent)
+            loop.call_soon(self._deliver, self._origin, message)
             return
         link = self._links.get(vm)
         if link is None or link.task.done():
             link = self._links[vm] = _Link(self, vm)
-        link.push(sent)
+        link.push(message)
 
     def count_dropped(self, count: int) -> None:
-        """Count messages that are given up."""
+        """Count dropped messages."""
         if count:
             self._metrics.count("peer.dropped_messages", count)
 
     def encode_batch(self, batch: list[Message]) -> list[bytes]:
-        """Encode a batch as a frame, or as several where it is too large."""
+        """Encode a batch as a frame, or as several frames if it is too large."""
         try:
             frame = pack(encode(batch, self._origin.incarnation))
         except FrameError:
             if len(batch) == 1:
-                # one message over the limit would block the link for ever
+                # a message over the limit would block the link forever
                 self.count_dropped(1)
                 return []
             half = len(batch) // 2
@@ -243,7 +243,7 @@
         return [frame]
 
     async def connect(self, vm: str) -> IOStream | None:
-        """Connect to a router and introduce this one."""
+        """Connect to a router and send the hello message."""
         address = self._address_of(vm)
         if not address:
             return None
@@ -251,17 +251,20 @@
         stream = None
         try:
             stream = await self._client.connect(
-                host, int(port), ssl_options=self._client_tls, timeout=CONNECT_SECONDS
+                host,
+                int(port),
+                ssl_options=self._client_tls,
+                timeout=CONNECT_TIMEOUT_SECONDS,
             )
             stream.set_nodelay(True)
             self._check_server(stream, vm)
-            await self._say_hello(stream, vm)
-        except (OSError, ValueError, TimeoutError, _RefusedPeerError) as error:
-            # StreamClosedError and ssl.SSLError are kinds of OSError
+            await self._send_hello(stream, vm)
+        except (OSError, ValueError, TimeoutError, _PeerRejectedError) as error:
+            # StreamClosedError and ssl.SSLError are subclasses of OSError
             cause = getattr(error, "real_error", None) or error
             if isinstance(cause, ConnectionRefusedError):
                 self.on_connection_refused(vm)
-            self._note(f"No connection to {vm}: {error}.")
+            self._log_limited(f"Cannot connect to {vm}: {error}.")
         else:
             return stream
         if stream is not None:
@@ -269,40 +272,40 @@
         return None
 
     async def serve(self, stream: IOStream) -> None:
-        """Read frames of one connection until it ends."""
-        if len(self._served) >= MAX_CONNECTIONS:
+        """Process the frames of a connection until it is closed."""
+        if len(self._incoming) >= MAX_CONNECTIONS:
             stream.close()
-            self._note("Connection closed: too many are open.")
+            self._log_limited("Connection refused: too many are open.")
             return
-        self._served.add(stream)
+        self._incoming.add(stream)
         try:
             stream.set_nodelay(True)
             origin = await self._read_hello(stream)
             while True:
-                self._take(origin, decode(await read_frame(stream)))
+                self._process(origin, decode(await read_frame(stream)))
         except StreamClosedError:
             return
-        except (FrameError, CodecError, _RefusedPeerError, TimeoutError) as error:
+        except (FrameError, CodecError, _PeerRejectedError, TimeoutError) as error:
             self._metrics.count("peer.bad_frames")
-            self._note(f"Connection closed: {error or 'no introduction'}.")
+            self._log_limited(f"Connection closed: {error or 'no hello message'}.")
         except OSError as error:
-            self._note(f"Connection closed: {error}.")
+            self._log_limited(f"Connection closed: {error}.")
         finally:
-            self._served.discard(stream)
+            self._incoming.discard(stream)
             stream.close()
 
     async def close(self) -> None:
-        """Send what is queued, stop listening and drop all links."""
+        """Stop listening, send queued messages and close all connections."""
         self._server.stop()
         try:
-            async with asyncio.timeout(FLUSH_SECONDS):
+            async with asyncio.timeout(FLUSH_TIMEOUT_SECONDS):
                 while any(link.queued for link in self._links.values()):
                     await asyncio.sleep(0.01)
         except TimeoutError:
             pass
         for link in self._links.values():
             link.task.cancel()
-        for stream in list(self._served):
+        for stream in list(self._incoming):
             stream.close()
         self._client.close()
 
@@ -311,55 +314,55 @@
             return
         names = certificate_dns_names(stream.socket.getpeercert())
         if vm not in names:
-            raise _RefusedPeerError(f"its certificate is for {sorted(names)}")
+            raise _PeerRejectedError(f"certificate is for {sorted(names)}")
 
-    async def _say_hello(self, stream: IOStream, vm: str) -> None:
+    async def _send_hello(self, stream: IOStream, vm: str) -> None:
         hello = self.make_hello()
-        # an address may have passed to another VM since it was learnt
+        # another VM may have the address by now
         hello.receiver = None if vm.startswith("@") else vm
         for frame in self.encode_batch([make_message("heartbeat", hello)]):
             await stream.write(frame)
 
     async def _read_hello(self, stream: IOStream) -> Origin:
-        async with asyncio.timeout(HELLO_SECONDS):
+        async with asyncio.timeout(HELLO_TIMEOUT_SECONDS):
             if isinstance(stream, SSLIOStream):
                 await stream.wait_for_handshake()
             envelope = decode(await read_frame(stream))
         body = envelope.messages[0].body if envelope.messages else None
         hello = body.heartbeat if body is not None else None
         if hello is None or not hello.vm:
-            raise _RefusedPeerError("it does not introduce itself")
+            raise _PeerRejectedError("first message is no hello")
         if hello.receiver and hello.receiver != self._origin.vm:
-            raise _RefusedPeerError(f"{hello.vm} wants {hello.receiver}")
+            raise _PeerRejectedError(f"{hello.vm} expected to reach {hello.receiver}")
         if isinstance(stream, SSLIOStream):
             names = certificate_dns_names(stream.socket.getpeercert())
             if hello.vm not in names:
-                raise _RefusedPeerError(
-                    f"it says to be {hello.vm}, its certificate is for {sorted(names)}"
+                raise _PeerRejectedError(
+                    f"hello from {hello.vm}, but certificate is for {sorted(names)}"
                 )
         origin = Origin(hello.vm, envelope.incarnation)
-        self._take(origin, envelope)
+        self._process(origin, envelope)
         return origin
 
-    def _take(self, origin: Origin, envelope: Envelope) -> None:
+    def _process(self, origin: Origin, envelope: Envelope) -> None:
         if envelope.incarnation != origin.incarnation:
-            raise _RefusedPeerError(f"{origin.vm} changed its incarnation")
-        for received in envelope.messages:
-            self._deliver(origin, received)
+            raise _PeerRejectedError(f"{origin.vm} changed its incarnation")
+        for message in envelope.messages:
+            self._deliver(origin, message)
 
-    def _deliver(self, origin: Origin, received: Message) -> None:
+    def _deliver(self, origin: Origin, message: Message) -> None:
         try:
-            self._registry.deliver(origin, received)
+            self._registry.deliver(origin, message)
         except Exception as error:
-            # a message that some part can't take, from a release with a fault or
-            # from a hostile peer, must harm neither its connection nor others
+            # a message that a handler fails on, from a faulty release or a hostile
+            # peer, must affect neither its connection nor others
             self._metrics.count("peer.bad_messages")
-            self._note(f"A message of {origin.vm} is not understood: {error!r}.")
+            self._log_limited(f"Cannot process a message from {origin.vm}: {error!r}.")
 
-    def _note(self, line: str) -> None:
-        """Log at most one line a period; the rest shows in the metrics."""
+    def _log_limited(self, line: str) -> None:
+        """Log at most one line per interval; the rest shows in metrics."""
         now = asyncio.get_running_loop().time()
-        if now < self._next_log:
+        if now < self._next_log_at:
             return
-        self._next_log = now + LOG_SECONDS
+        self._next_log_at = now + LOG_INTERVAL_SECONDS
         _log.warning(line)
--- a/packages/router/tests/test_peer.py
+++ b/packages/router/tests/test_peer.py
@@ -1,4 +1,4 @@
-"""Tests of the links between routers, over loopback."""
+"""Tests of connections between routers, over loopback."""
 
 import asyncio
 import struct
@@ -24,7 +24,7 @@
 
 
 class CountingMetrics(NullMetrics):
-    """Metrics that count."""
+    """Metrics that record counters."""
 
     def __init__(self):
         self.counts = Counter()
@@ -36,31 +36,31 @@
 
 
 class Node:
-    """A mesh that keeps what it receives."""
+    """A mesh that records received messages and refused connections."""
 
     def __init__(self, vm, addresses, tls=None):
         self.metrics = CountingMetrics()
-        self.got = []
+        self.received = []
         self.refused = []
         origin = Origin(vm, 7)
         contexts = server_context(tls), client_context(tls)
         self.mesh = PeerMesh(origin, addresses.get, self.metrics, *contexts)
         self.mesh.on_connection_refused = self.refused.append
-        self.mesh.subscribe("beat", self._take)
+        self.mesh.subscribe("beat", self._record)
         self.port = self.mesh.listen("127.0.0.1", 0)
         addresses[vm] = f"127.0.0.1:{self.port}"
 
-    def _take(self, origin, service, zone, body):
+    def _record(self, origin, service, zone, body):
         if body.beat == 666:
-            raise ValueError("a part that can't take this")
-        self.got.append((origin.vm, body.beat))
+            raise ValueError("this value makes the handler fail")
+        self.received.append((origin.vm, body.beat))
 
 
 def beat(number):
     return make_message("beat", Beat(number, 0, 1, 0.0, False, False))
 
 
-async def until(condition, seconds=3.0):
+async def wait_until(condition, seconds=3.0):
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.01)
@@ -91,21 +91,21 @@
     return pack(encode([make_message("heartbeat", body)], incarnation))
 
 
-async def closes(reader):
+async def is_closed(reader):
     async with asyncio.timeout(3.0):
         return await reader.read() == b""
 
 
-async def test_foreign_and_malformed_frames_close_their_connection_alone(pair):
-    """Something else connects to the peers' port, a scanner or a client of another
-    service. Its connection is closed with one line in the log; the connections of
-    other routers and their messages are not touched.
+async def test_malformed_frames_close_only_their_connection(pair):
+    """A port scanner or a client of another service connects to the peers' port.
+    Its connection is closed with one log line; the connections of other routers and
+    their messages are not affected.
     """
     a, b = pair
     lines = []
-    sink = loguru.logger.add(lambda line: lines.append(line), level="WARNING")
+    log_handler = loguru.logger.add(lambda line: lines.append(line), level="WARNING")
     a.mesh.send("b", beat(1))
-    await until(lambda: b.got == [("a", 1)])
+    await wait_until(lambda: b.received == [("a", 1)])
     huge = struct.pack(">I", MAX_FRAME + 1)
     for junk in (
         b"GET / HTTP/1.1\r\n\r\n",
@@ -120,27 +120,27 @@
         hello("c") + pack(encode([beat(1)], 2)),
     ):
         reader, writer = await connect(b, junk)
-        assert await closes(reader), junk
+        assert await is_closed(reader), junk
         writer.close()
     a.mesh.send("b", beat(2))
-    await until(lambda: b.got == [("a", 1), ("a", 2)])
+    await wait_until(lambda: b.received == [("a", 1), ("a", 2)])
     assert b.metrics.counts["peer.bad_frames"] == 10
     assert len(lines) == 1
-    loguru.logger.remove(sink)
+    loguru.logger.remove(log_handler)
 
 
-async def test_message_that_a_part_cannot_take_harms_no_other(pair):
-    """A newer release sends a value that this one's code raises on."""
+async def test_failing_handler_does_not_affect_other_messages(pair):
+    """A newer release sends a value that a handler of this release fails on."""
     a, b = pair
     for number in (1, 666, 2):
         a.mesh.send("b", beat(number))
-    await until(lambda: b.got == [("a", 1), ("a", 2)])
+    await wait_until(lambda: b.received == [("a", 1), ("a", 2)])
     assert b.metrics.counts["peer.bad_messages"] == 1
 
 
 def newer_envelope():
-    """Return an envelope as a later release may send it: a higher protocol
-    version, an unknown field and a message of an unknown kind before a known one.
+    """Return an envelope of a later release, with a higher protocol version, an
+    unknown field, and a message of an unknown kind before a known one.
     """
     transport = TMemoryBuffer()
     out = TCompactProtocol(transport)
@@ -178,77 +178,77 @@
     return pack(transport.getvalue())
 
 
-async def test_newer_release_is_understood_as_far_as_known(pair):
+async def test_unknown_parts_of_messages_of_newer_release_are_ignored(pair):
     """Half of the fleet runs the next release during an upgrade."""
     _, b = pair
     _, writer = await connect(b, hello("c"), newer_envelope())
-    await until(lambda: b.got == [("c", 5)])
+    await wait_until(lambda: b.received == [("c", 5)])
     writer.close()
 
 
-async def test_silent_connection_is_closed():
-    """Something connects and says nothing; many of these would use up the limit."""
-    usual, peer.HELLO_SECONDS = peer.HELLO_SECONDS, 0.1
+async def test_connection_without_hello_is_closed():
+    """A client connects and sends nothing; many of them would reach the limit."""
+    original, peer.HELLO_TIMEOUT_SECONDS = peer.HELLO_TIMEOUT_SECONDS, 0.1
     try:
         async with pair() as (_, b):
             reader, writer = await connect(b)
-            assert await closes(reader)
+            assert await is_closed(reader)
             assert b.mesh.connections == 0
             writer.close()
     finally:
-        peer.HELLO_SECONDS = usual
+        peer.HELLO_TIMEOUT_SECONDS = original
 
 
-async def test_peer_that_went_away_is_told_as_refused_and_found_again(pair):
-    """A router's process ends while others are connected to it. They learn it from
-    the refused connection, long before its silence would tell; when it is back at
-    the same address, messages arrive again.
+async def test_stopped_peer_is_reported_and_reconnected(pair):
+    """A router's process ends while others are connected to it. They detect it by
+    the refused connection, much earlier than by missing heartbeats; once it has
+    restarted at the same address, messages arrive again.
     """
     a, b = pair
     a.mesh.send("b", beat(1))
-    await until(lambda: b.got)
+    await wait_until(lambda: b.received)
     await b.mesh.close()
-    await until(lambda: a.refused == ["b"])
-    again = Node("b", {})
-    a.addresses["b"] = f"127.0.0.1:{again.port}"
+    await wait_until(lambda: a.refused == ["b"])
+    restarted = Node("b", {})
+    a.addresses["b"] = f"127.0.0.1:{restarted.port}"
 
     def arrived():
         a.mesh.send("b", beat(2))
-        return again.got
+        return restarted.received
 
-    await until(arrived, 10.0)
-    await again.mesh.close()
+    await wait_until(arrived, 10.0)
+    await restarted.mesh.close()
 
 
-async def test_queue_for_an_unreachable_router_is_bounded(pair):
+async def test_queue_for_unreachable_router_is_limited(pair):
     a, _ = pair
     a.addresses["gone"] = "127.0.0.1:1"
-    for number in range(peer.MAX_QUEUED * 2):
+    for number in range(peer.MAX_QUEUED_MESSAGES * 2):
         a.mesh.send("gone", beat(number))
-    assert a.mesh._links["gone"].queued <= peer.MAX_QUEUED
-    await until(lambda: a.mesh._links["gone"].queued == 0)
-    assert a.metrics.counts["peer.dropped_messages"] >= peer.MAX_QUEUED
+    assert a.mesh._links["gone"].queued <= peer.MAX_QUEUED_MESSAGES
+    await wait_until(lambda: a.mesh._links["gone"].queued == 0)
+    assert a.metrics.counts["peer.dropped_messages"] >= peer.MAX_QUEUED_MESSAGES
 
 
-async def test_idle_connection_closes_and_opens_again_on_demand():
-    """With hundreds of routers a connection to each one that was ever needed would
-    use up memory and files.
+async def test_idle_connection_is_closed_and_reopened_on_demand():
+    """With hundreds of routers, permanent connections to all of them would exhaust
+    memory and file descriptors.
     """
-    usual, peer.IDLE_SECONDS = peer.IDLE_SECONDS, 0.1
+    original, peer.IDLE_TIMEOUT_SECONDS = peer.IDLE_TIMEOUT_SECONDS, 0.1
     try:
         async with pair() as (a, b):
             a.mesh.send("b", beat(1))
-            await until(lambda: b.got)
-            await until(lambda: b.mesh.connections == 0)
+            await wait_until(lambda: b.received)
+            await wait_until(lambda: b.mesh.connections == 0)
             a.mesh.send("b", beat(2))
-            await until(lambda: b.got == [("a", 1), ("a", 2)])
+            await wait_until(lambda: b.received == [("a", 1), ("a", 2)])
     finally:
-        peer.IDLE_SECONDS = usual
+        peer.IDLE_TIMEOUT_SECONDS = original
 
 
 async def test_batch_over_the_frame_limit_is_split_and_one_message_dropped(pair):
-    """A full view of a large fleet and sections of the configuration can meet in
-    one batch. A frame over the limit would be refused and block the link.
+    """A full snapshot of a large fleet and configuration sections can be in the same
+    batch. A frame over the limit would be rejected and block the link.
     """
     a, b = pair
     half = SectionAnswer({"x": b"0" * (MAX_FRAME // 2)})
@@ -256,7 +256,7 @@
     for body in (half, half, over, half):
         a.mesh.send("b", make_message("section_answer", body))
     a.mesh.send("b", beat(1))
-    await until(lambda: b.got == [("a", 1)], 10.0)
+    await wait_until(lambda: b.received == [("a", 1)], 10.0)
     assert a.metrics.counts["peer.dropped_messages"] == 1
     assert b.metrics.counts["peer.bad_frames"] == 0
 
@@ -265,7 +265,7 @@
     _, b = pair
     empty = pack(encode([Message(None), beat(3)], 1))
     _, writer = await connect(b, hello("c"), empty)
-    await until(lambda: b.got == [("c", 3)])
+    await wait_until(lambda: b.received == [("c", 3)])
     writer.close()
 
 
@@ -282,38 +282,38 @@
     b = Node("b", addresses, authority.issue(["b"]))
     a.mesh.send("b", beat(1))
     b.mesh.send("a", beat(2))
-    await until(lambda: b.got == [("a", 1)] and a.got == [("b", 2)])
+    await wait_until(lambda: b.received == [("a", 1)] and a.received == [("b", 2)])
     for node in (a, b):
         await node.mesh.close()
 
 
 async def test_wrong_certificates_get_no_connection(folder):
-    """A stolen or foreign certificate is used to speak as another router: one of
-    an unknown authority, one of another VM, one of a VM that answers at the
-    address of another, and no TLS at all.
+    """A client impersonates a router: with a certificate of an unknown authority,
+    with that of another VM, or without TLS. Also, a router that connects to the
+    address of another VM must reject its certificate.
     """
     authority, foreign = Authority(folder), Authority(folder, "foreign")
     addresses = {}
     b = Node("b", addresses, authority.issue(["b"]))
-    liar = Node("a", dict(addresses), authority.issue(["c"]))
-    stranger = Node("a", dict(addresses), foreign.issue(["a"], authority.path))
+    wrong_vm = Node("a", dict(addresses), authority.issue(["c"]))
+    unknown_authority = Node("a", dict(addresses), foreign.issue(["a"], authority.path))
     plain = Node("a", dict(addresses))
-    misled = Node("d", {"x": addresses["b"]}, authority.issue(["d"]))
-    for node in (liar, stranger, plain):
+    wrong_address = Node("d", {"x": addresses["b"]}, authority.issue(["d"]))
+    for node in (wrong_vm, unknown_authority, plain):
         node.mesh.send("b", beat(1))
-    misled.mesh.send("x", beat(1))
+    wrong_address.mesh.send("x", beat(1))
     await asyncio.sleep(1.0)
-    assert b.got == []
+    assert b.received == []
     good = Node("a", addresses, authority.issue(["a"]))
     good.mesh.send("b", beat(9))
-    await until(lambda: b.got == [("a", 9)])
-    for node in (b, liar, stranger, plain, misled, good):
+    await wait_until(lambda: b.received == [("a", 9)])
+    for node in (b, wrong_vm, unknown_authority, plain, wrong_address, good):
         await node.mesh.close()
 
 
-async def test_peer_that_closes_at_once_is_not_called_without_pause(pair):
-    """A router does not trust this one, or its limit of connections is reached: it
-    accepts and closes. Calling again at once costs both sides a core.
+async def test_reconnection_to_peer_that_closes_at_once_is_delayed(pair):
+    """A router that does not trust this one, or has too many connections, accepts
+    and closes. Reconnecting without delay would use a core on both sides.
     """
     a, _ = pair
     accepted = []
@@ -331,11 +331,13 @@
     server.close()
 
 
-def test_listener_without_tls_beyond_loopback_is_told_loudly():
+def test_plaintext_listener_beyond_loopback_is_logged():
     lines = []
-    sink = loguru.logger.add(lambda line: lines.append(str(line)), level="WARNING")
+    log_handler = loguru.logger.add(
+        lambda line: lines.append(str(line)), level="WARNING"
+    )
     assert not warn_if_plaintext("peers'", Listener("127.0.0.1", 1))
     assert not lines
     assert warn_if_plaintext("peers'", Listener("0.0.0.0", 1))
     assert "has no TLS" in lines[0]
-    loguru.logger.remove(sink)
+    loguru.logger.remove(log_handler)
