--- a/packages/router/src/teaselledge/connection/operator.py
+++ b/packages/router/src/teaselledge/connection/operator.py
@@ -1,4 +1,4 @@
-"""The operators' interface over HTTP, on a port of its own."""
+"""The operators' HTTP interface, on a port of its own."""
 
 import hashlib
 import json
@@ -40,8 +40,8 @@
 _log = get_log("operator")
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
-MAX_HISTORY = 500
-MAX_NOTE = 500
+MAX_PAGE_ENTRIES = 500
+MAX_NOTE_CHARACTERS = 500
 
 APPLY_STATUS: dict[ApplyErrorKind, int] = {
     ApplyErrorKind.CONFLICT: 409,
@@ -52,18 +52,18 @@
     ApplyErrorKind.STORE: 503,
     ApplyErrorKind.UNCERTAIN: 504,
 }
-"""HTTP status of each way in which an apply can fail."""
+"""HTTP status of each kind of failed apply."""
 
 
 class Drainer(Protocol):
-    """Takes this router out of service gracefully."""
+    """Drains this router."""
 
     def start(self) -> None:
-        """Start to drain; doing it again changes nothing."""
+        """Start to drain; has no effect if called again."""
 
 
 class OrderAdmin(Protocol):
-    """What operators may do with the order journal; answers are plain values."""
+    """Operators' access to the order journal; results are plain values."""
 
     async def list(
         self, organisation: str, state: str, limit: int, after: str
@@ -76,11 +76,11 @@
     async def settle(
         self, organisation: str, key: str, outcome: str, operator: str
     ) -> Result[dict[str, Any], str]:
-        """Record what an operator found out about an order."""
+        """Record the outcome of an order as determined by an operator."""
 
 
 class StatusSource(Protocol):
-    """Where the status comes from."""
+    """Source of the router's status."""
 
     def report(self) -> dict[str, Any]:
         """Return the status as plain values."""
@@ -88,24 +88,24 @@
 
 @dataclass(frozen=True)
 class OperatorContext:
-    """What the operators' interface works on.
+    """Objects that the operators' interface uses.
 
     Attributes
     ----------
     version : callable
-        The configuration in force.
+        Returns the configuration in force.
     highest_known_version : callable
-        Highest version known to the fleet.
+        Returns the highest version known to the fleet.
     publisher : Publisher
         Accepts changes.
     status : StatusSource
         Status of this router.
-    objectives : Objectives
-        What it counted.
+    objectives : ObjectiveTracker
+        Requests counted by latency objective.
     first_key : str or None
-        Hash of the key that may make the first version.
+        Hash of the key that may create the first version.
     drainer : Drainer or None
-        Takes the router out of service.
+        Drains the router.
     orders : OrderAdmin or None
         The order journal.
     """
@@ -153,54 +153,56 @@
 
 
 class _Handler(RequestHandler):
-    """What the operators' handlers share."""
+    """Base class of the operators' handlers."""
 
-    site: OperatorContext
-    permit: Permissions
-    needs: dict[str, str] = {"GET": READ, "POST": CHANGE}  # noqa: RUF012
+    context: OperatorContext
+    permissions: Permissions
+    required_actions: dict[str, str] = {"GET": READ, "POST": CHANGE}  # noqa: RUF012
 
-    def initialize(self, site: OperatorContext) -> None:
-        """Take what the interface works on."""
-        self.site = site
+    def initialize(self, context: OperatorContext) -> None:
+        """Set the objects that the handler uses."""
+        self.context = context
 
     def set_default_headers(self) -> None:
-        """Drop the server's name."""
+        """Remove the header with the server's name."""
         self.clear_header("Server")
 
     def prepare(self) -> None:
-        """Find out who asks and whether the role includes the act."""
+        """Authenticate the operator and check that the role allows the action."""
         authorization = self.request.headers.get("Authorization", "")
-        # while nothing is known of any version, the first key may make one
-        version = self.site.version()
-        first = None if self.site.highest_known_version() else self.site.first_key
-        permit = permissions_of(version, authorization, first)
-        if permit is None:
+        # while no version is known, the first key may create one
+        version = self.context.version()
+        first_key = (
+            None if self.context.highest_known_version() else self.context.first_key
+        )
+        permissions = permissions_of(version, authorization, first_key)
+        if permissions is None:
             self.set_header("WWW-Authenticate", 'Basic realm="teaselledge"')
             self.refuse(Fault(ErrorKind.UNAUTHENTICATED))
             return
-        act = self.needs.get(self.request.method or "", CHANGE)
-        if not permit.allows(act):
-            detail = f"role {permit.role} does not include {act}"
+        action = self.required_actions.get(self.request.method or "", CHANGE)
+        if not permissions.allows(action):
+            detail = f"role {permissions.role} does not include {action}"
             self.refuse(Fault(ErrorKind.FORBIDDEN, detail=detail))
             return
-        self.permit = permit
+        self.permissions = permissions
 
     def refuse(self, fault: Fault) -> None:
-        """Answer with a problem object."""
-        answer = problem(fault, "")
-        self.set_status(answer.status)
-        for name, value in answer.headers.items():
+        """Respond with a problem object."""
+        response = problem(fault, "")
+        self.set_status(response.status)
+        for name, value in response.headers.items():
             self.set_header(name, value)
-        self.finish(json.dumps(answer.body))
+        self.finish(json.dumps(response.body))
 
-    def answer(self, value: Any, status: int = 200) -> None:
-        """Answer with JSON."""
+    def respond(self, value: Any, status: int = 200) -> None:
+        """Respond with JSON."""
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.finish(json.dumps(value))
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer for what no handler took."""
+        """Respond to a request that no handler has processed."""
         kinds = {
             400: ErrorKind.BAD_REQUEST,
             404: ErrorKind.NOT_FOUND,
@@ -209,11 +211,11 @@
         self.refuse(Fault(kinds.get(status_code, ErrorKind.INTERNAL)))
 
     def log_exception(self, *args: Any) -> None:
-        """Log a fault without the request's content."""
-        _log.error(f"Operators' request failed: {type(args[1]).__name__}.")
+        """Log an exception without the request's content."""
+        _log.error(f"Operator's request failed: {type(args[1]).__name__}.")
 
-    def body_as(self, reader: TypeAdapter) -> Any:
-        """Return the body, or None after a refusal."""
+    def parse_body(self, reader: TypeAdapter) -> Any:
+        """Return the parsed body, or None after refusing the request."""
         try:
             return reader.validate_json(self.request.body)
         except ValidationError as error:
@@ -223,20 +225,20 @@
             self.refuse(Fault(ErrorKind.BAD_REQUEST, detail=detail))
             return None
 
-    def number(self, name: str, default: int, most: int) -> int:
-        """Return a number from the query, within bounds."""
+    def int_argument(self, name: str, default: int, maximum: int) -> int:
+        """Return an integer query argument, limited to a maximum."""
         text = self.get_query_argument(name, str(default))
-        return min(most, int(text)) if text.isdecimal() else default
+        return min(maximum, int(text)) if text.isdecimal() else default
 
-    def fail(self, error: ApplyError) -> None:
-        """Answer why an apply failed."""
+    def respond_error(self, error: ApplyError) -> None:
+        """Respond with the reason why an apply failed."""
         value = {
             "kind": error.kind.value,
             "detail": error.detail,
-            "mistakes": [asdict(mistake) for mistake in error.issues],
+            "mistakes": [asdict(issue) for issue in error.issues],
             "conflicts": [asdict(conflict) for conflict in error.conflicts],
         }
-        self.answer(value, APPLY_STATUS[error.kind])
+        self.respond(value, APPLY_STATUS[error.kind])
 
 
 class _UnknownHandler(_Handler):
@@ -249,35 +251,37 @@
 
 class _HistoryHandler(_Handler):
     async def get(self) -> None:
-        """Answer with the latest versions."""
-        found = await self.site.publisher.history(self.number("limit", 20, MAX_HISTORY))
+        """Respond with the latest versions."""
+        found = await self.context.publisher.history(
+            self.int_argument("limit", 20, MAX_PAGE_ENTRIES)
+        )
         if found.is_error():
-            self.fail(found.error)
+            self.respond_error(found.error)
             return
-        entries = [asdict(head) for head in found.ok]
+        entries = [asdict(manifest) for manifest in found.ok]
         for entry in entries:
             del entry["sections"]
-        self.answer(entries)
+        self.respond(entries)
 
 
 class _VersionHandler(_Handler):
     async def get(self, number: str) -> None:
-        """Answer with a version; ``head`` is the latest."""
-        wanted = 0 if number == "head" else int(number[:12])
-        found = await self.site.publisher.load(wanted)
+        """Respond with a version; ``head`` is the latest."""
+        version_number = 0 if number == "head" else int(number[:12])
+        found = await self.context.publisher.load(version_number)
         if found.is_error():
-            self.fail(found.error)
+            self.respond_error(found.error)
             return
-        head, document = found.ok
-        entry = asdict(head)
+        manifest, document = found.ok
+        entry = asdict(manifest)
         del entry["sections"]
-        self.answer({"head": entry, "document": document})
+        self.respond({"head": entry, "document": document})
 
 
 class _ApplyHandler(_Handler):
     async def post(self) -> None:
-        """Make a change the next version."""
-        body = self.body_as(_apply_body)
+        """Apply a change as the next version."""
+        body = self.parse_body(_apply_body)
         if body is None:
             return
         unknown = sorted(set(body.sections) - set(EDITABLE_SECTIONS))
@@ -286,148 +290,161 @@
             self.refuse(Fault(ErrorKind.BAD_REQUEST, detail=detail))
             return
         change = Change(
-            apply_key(self.permit.name, body.apply_id),
-            self.permit.name,
+            scoped_apply_id(self.permissions.name, body.apply_id),
+            self.permissions.name,
             body.base,
             body.sections,
-            body.note[:MAX_NOTE],
-            self.permit.bootstrap_only,
+            body.note[:MAX_NOTE_CHARACTERS],
+            self.permissions.bootstrap_only,
         )
         await self.apply(change)
 
     async def apply(self, change: Change) -> None:
-        """Apply and answer."""
-        result = await self.site.publisher.apply(change, self.permit.may_change)
+        """Apply a change and respond."""
+        result = await self.context.publisher.apply(change, self.permissions.may_change)
         if result.is_error():
             _log.warning(f"Apply by {change.author}: {result.error.kind.value}.")
-            self.fail(result.error)
+            self.respond_error(result.error)
             return
         applied: ApplyResult = result.ok
-        self.answer(asdict(applied))
+        self.respond(asdict(applied))
 
 
 class _RollbackHandler(_ApplyHandler):
     async def post(self) -> None:
-        """Make the content of an older version the next version."""
-        body = self.body_as(_rollback_body)
+        """Apply the content of an older version as the next version."""
+        body = self.parse_body(_rollback_body)
         if body is None:
             return
-        found = await self.site.publisher.load(body.to)
+        found = await self.context.publisher.load(body.to)
         if found.is_error():
-            self.fail(found.error)
+            self.respond_error(found.error)
             return
         _, document = found.ok
         change = Change(
-            apply_key(self.permit.name, body.apply_id),
-            self.permit.name,
+            scoped_apply_id(self.permissions.name, body.apply_id),
+            self.permissions.name,
             body.base,
             document,
-            body.note[:MAX_NOTE] or f"rollback to version {body.to}",
+            body.note[:MAX_NOTE_CHARACTERS] or f"rollback to version {body.to}",
         )
         await self.apply(change)
 
 
 class _StatusHandler(_Handler):
     def get(self) -> None:
-        """Answer with the status of this router."""
-        self.answer(self.site.status.report())
+        """Respond with the status of this router."""
+        self.respond(self.context.status.report())
 
 
 class _StatusPageHandler(_Handler):
     def get(self) -> None:
-        """Answer with the status as a page."""
+        """Respond with the status as an HTML page."""
         self.set_header("Content-Type", "text/html; charset=utf-8")
         self.set_header(
             "Content-Security-Policy", "default-src 'none'; style-src 'unsafe-inline'"
         )
-        self.finish(status_page(self.site.status.report()))
+        self.finish(status_page(self.context.status.report()))
 
 
 class _ObjectivesHandler(_Handler):
     def get(self) -> None:
-        """Answer with what this router counted."""
+        """Respond with the objectives' counts of this router."""
         service = self.get_query_argument("service", "")
         organisation = self.get_query_argument("organisation", "")
-        self.answer(self.site.objectives.report(service, organisation))
+        self.respond(self.context.objectives.report(service, organisation))
 
 
 class _DrainHandler(_Handler):
-    needs = {"POST": DRAIN}  # noqa: RUF012
+    required_actions = {"POST": DRAIN}  # noqa: RUF012
 
     async def post(self) -> None:
-        """Take this router out of service."""
-        drainer = self.site.drainer
+        """Drain this router."""
+        drainer = self.context.drainer
         if drainer is None:
-            detail = "this router can't drain"
+            detail = "this router cannot be drained"
             self.refuse(Fault(ErrorKind.NOT_FOUND, detail=detail))
             return
-        vm = self.site.status.report()["vm"]
-        await self.site.publisher.write_audit_row(self.permit.name, "drain", vm, vm)
+        vm = self.context.status.report()["vm"]
+        await self.context.publisher.write_audit_row(
+            self.permissions.name, "drain", vm, vm
+        )
         drainer.start()
-        self.answer({"draining": vm})
+        self.respond({"draining": vm})
 
 
 class _OrdersHandler(_Handler):
-    needs = {"GET": ORDERS, "POST": ORDERS}  # noqa: RUF012
+    required_actions = {"GET": ORDERS, "POST": ORDERS}  # noqa: RUF012
 
     async def get(self) -> None:
-        """Answer with a page of orders."""
-        desk = self.site.orders
-        if desk is None:
-            self.refuse(Fault(ErrorKind.NOT_FOUND, detail="there is no journal"))
+        """Respond with a page of orders."""
+        order_admin = self.context.orders
+        if order_admin is None:
+            self.refuse(
+                Fault(ErrorKind.NOT_FOUND, detail="this router has no order journal")
+            )
             return
-        await self.pass_on(
-            desk.list(
+        await self.respond_result(
+            order_admin.list(
                 self.get_query_argument("organisation", ""),
                 self.get_query_argument("state", ""),
-                self.number("limit", 100, MAX_HISTORY),
+                self.int_argument("limit", 100, MAX_PAGE_ENTRIES),
                 self.get_query_argument("after", ""),
             )
         )
 
-    async def pass_on(self, asked: Awaitable[Result[dict[str, Any], str]]) -> None:
-        """Answer with what the journal tells."""
-        result = await asked
+    async def respond_result(
+        self, pending: Awaitable[Result[dict[str, Any], str]]
+    ) -> None:
+        """Respond with the result of a journal request."""
+        result = await pending
         if result.is_error():
-            self.answer({"kind": "order", "detail": result.error}, 409)
+            self.respond({"kind": "order", "detail": result.error}, 409)
             return
-        self.answer(result.ok)
+        self.respond(result.ok)
 
 
 class _OrderHandler(_OrdersHandler):
     async def get(self, organisation: str, key: str) -> None:  # type: ignore[override]
-        """Answer with one order."""
-        desk = self.site.orders
-        if desk is None:
-            self.refuse(Fault(ErrorKind.NOT_FOUND, detail="there is no journal"))
+        """Respond with one order."""
+        order_admin = self.context.orders
+        if order_admin is None:
+            self.refuse(
+                Fault(ErrorKind.NOT_FOUND, detail="this router has no order journal")
+            )
             return
-        await self.pass_on(desk.show(organisation, key))
+        await self.respond_result(order_admin.show(organisation, key))
 
     async def post(self, organisation: str, key: str) -> None:
-        """Record what the operator found out."""
-        body = self.body_as(_settle_body)
-        desk = self.site.orders
+        """Record the outcome that the operator has determined."""
+        body = self.parse_body(_settle_body)
+        order_admin = self.context.orders
         if body is None:
             return
-        if desk is None:
-            self.refuse(Fault(ErrorKind.NOT_FOUND, detail="there is no journal"))
+        if order_admin is None:
+            self.refuse(
+                Fault(ErrorKind.NOT_FOUND, detail="this router has no order journal")
+            )
             return
         what = f"{organisation}/{key} {body.outcome}"
         name = hashlib.sha256(what.encode()).hexdigest()[:16]
-        audited = await self.site.publisher.write_audit_row(
-            self.permit.name, "settle", what, name
+        audited = await self.context.publisher.write_audit_row(
+            self.permissions.name, "settle", what, name
         )
         if not audited:
-            # an act without its audit row can't be accounted for later
-            self.answer({"kind": "store", "detail": "no audit row, not settled"}, 503)
+            # an action without an audit row could not be traced later
+            self.respond(
+                {"kind": "store", "detail": "audit row not written, order not settled"},
+                503,
+            )
             return
-        await self.pass_on(
-            desk.settle(organisation, key, body.outcome, self.permit.name)
+        await self.respond_result(
+            order_admin.settle(organisation, key, body.outcome, self.permissions.name)
         )
 
 
-def apply_key(operator: str, apply_id: str) -> str:
-    """Return the identifier of an apply, apart for each operator."""
+def scoped_apply_id(operator: str, apply_id: str) -> str:
+    """Return the identifier of an apply, made unique per operator."""
     digest = hashlib.sha256(f"{operator}\0{apply_id}".encode())
     return digest.hexdigest()[:32]
 
@@ -436,9 +453,9 @@
     """The operators' HTTP server of one router."""
 
     def __init__(
-        self, site: OperatorContext, tls: ssl.SSLContext | None = None
+        self, context: OperatorContext, tls: ssl.SSLContext | None = None
     ) -> None:
-        options = {"site": site}
+        options = {"context": context}
         application = Application(
             [
                 (r"/v1/versions", _HistoryHandler, options),
@@ -466,6 +483,6 @@
         return int(sockets[0].getsockname()[1])
 
     async def close(self) -> None:
-        """Stop listening and drop all connections."""
+        """Stop listening and close all connections."""
         self._server.stop()
         await self._server.close_all_connections()
--- a/packages/router/src/teaselledge/connection/operatorauth.py
+++ b/packages/router/src/teaselledge/connection/operatorauth.py
@@ -1,4 +1,4 @@
-"""Find the operator of a bearer key and what it may do."""
+"""Permissions of the operator who holds a bearer key."""
 
 import base64
 import binascii
@@ -21,25 +21,25 @@
     "support": frozenset({READ, ORDERS, DRAIN}),
     "admin": frozenset({READ, CHANGE, ORDERS, DRAIN}),
 }
-"""What each role may do."""
+"""Actions that each role allows."""
 
 NO_DIGEST = "0" * 64
 
 
 @dataclass(frozen=True)
 class Permissions:
-    """What the bearer of a key may do.
+    """Permissions of the bearer of a key.
 
     Attributes
     ----------
     name : str
-        The operator.
+        Name of the operator.
     role : str
-        The role.
+        Role of the operator.
     sections : tuple of str
         Sections or entries that an editor may change.
     bootstrap_only : bool
-        It may only make the first version.
+        Whether the bearer may only create the first version.
     """
 
     name: str
@@ -47,12 +47,12 @@
     sections: tuple[str, ...] = ()
     bootstrap_only: bool = False
 
-    def allows(self, act: str) -> bool:
-        """Return whether the role includes an act."""
-        return act in ROLES[self.role]
+    def allows(self, action: str) -> bool:
+        """Return whether the role allows an action."""
+        return action in ROLES[self.role]
 
     def may_change(self, section: str, name: str) -> bool:
-        """Return whether it may change an entry."""
+        """Return whether the operator may change an entry."""
         if not self.allows(CHANGE):
             return False
         if self.role == "admin":
@@ -61,7 +61,7 @@
 
 
 def extract_key(authorization: str) -> str:
-    """Return the key of a header: a bearer key, or a browser's password."""
+    """Return the bearer key, or the basic-auth password, of a header."""
     scheme, _, value = authorization.partition(" ")
     if scheme.lower() == "bearer":
         return value.strip()
@@ -77,29 +77,31 @@
 def permissions_of(
     version: Version | None, authorization: str, first_key: str | None
 ) -> Permissions | None:
-    """Return the permit of a key, None where nobody has it.
+    """Return the permissions of a key, or None for an unknown key.
 
     Parameters
     ----------
     version : Version or None
         The configuration in force.
     authorization : str
-        The header.
+        The Authorization header.
     first_key : str or None
-        Hash of the key that may make the first version, while there is none.
+        Hash of the key that may create the first version while there is none.
     """
     key = extract_key(authorization)
     if not key:
         return None
     digest = hashlib.sha256(key.encode()).hexdigest()
     if version is None:
-        known = first_key or NO_DIGEST
-        same = hmac.compare_digest(known, digest)
-        return Permissions("first", "admin", (), True) if same and first_key else None
+        expected = first_key or NO_DIGEST
+        matches = hmac.compare_digest(expected, digest)
+        return (
+            Permissions("first", "admin", (), True) if matches and first_key else None
+        )
     found = None
-    # every key is compared, so that the time tells nothing about which matched
+    # compare all keys, so that the duration does not reveal which one matched
     for name, operator in version.document.operators.items():
-        for known in operator.keys:
-            if hmac.compare_digest(known, digest):
+        for expected in operator.keys:
+            if hmac.compare_digest(expected, digest):
                 found = Permissions(name, operator.role, operator.sections)
     return found
--- a/packages/router/tests/test_operator.py
+++ b/packages/router/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' port."""
+"""Tests of the operators' HTTP interface."""
 
 import asyncio
 import base64
@@ -36,8 +36,8 @@
 
 
 @asynccontextmanager
-async def empty():
-    """A router beside a store that holds no version."""
+async def unconfigured_router():
+    """A router with a store without any version."""
     async with running_fleet() as found:
         document = found.document()
         found.tables._tables.clear()
@@ -46,7 +46,7 @@
         object.__setattr__(settings, "first_key", digest)
         object.__setattr__(settings, "vm", "alone")
         router = Router.from_config(settings)
-        # a fleet of its own: it must not learn a version from the others
+        # without peers, which would send it a version
         router.node.membership._vm_list = type("None", (), {"list": no_list})()
         router.listen()
         await router.start()
@@ -70,15 +70,15 @@
     return await client.fetch(request, raise_error=False)
 
 
-async def test_callers_keys_do_not_open_the_operators_port(fleet):
-    """A caller finds the operators' port and tries its own key there."""
+async def test_callers_keys_are_rejected_on_operators_port(fleet):
+    """A caller connects to the operators' port with its own key."""
     for key in (key_of("amber"), "", "x" * 10_000):
         response = await call(fleet.routers["r1"], "GET", "/v1/status", key=key)
         assert response.code == 401
         assert json.loads(response.body)["kind"] == ErrorKind.UNAUTHENTICATED.value
 
 
-async def test_the_page_opens_in_a_browser_with_the_key_as_password(fleet):
+async def test_status_page_accepts_key_as_basic_auth_password(fleet):
     password = base64.b64encode(f"dana:{key_of(OPERATOR)}".encode()).decode()
     router = fleet.routers["r1"]
     response = await call(router, "GET", "/status", key=password, scheme="Basic")
@@ -89,10 +89,10 @@
     assert response.code == 401 and "Basic" in response.headers["WWW-Authenticate"]
 
 
-async def test_malformed_requests_are_refused_and_the_router_lives(fleet):
-    """A broken tool, or someone who means harm, sends what is no change."""
+async def test_malformed_requests_are_refused(fleet):
+    """A faulty tool or an attacker sends malformed changes, and the router survives."""
     router = fleet.routers["r1"]
-    whole = {"apply_id": "a", "base": 1, "sections": {}}
+    valid = {"apply_id": "a", "base": 1, "sections": {}}
     deep = b'{"a":' * 5000 + b"1" + b"}" * 5000
     bodies = [
         b"",
@@ -100,15 +100,15 @@
         b"[]",
         deep,
         b'{"apply_id": 1}',
-        {**whole, "base": "one"},
-        {**whole, "sections": []},
-        {**whole, "sections": {"nonsense": {}}},
-        {**whole, "sections": {"services": {"models": 3}}},
-        {**whole, "sections": {"services": {"models": {"endpoints": 3}}}},
-        {**whole, "sections": {"organisations": {"amber": None}}},
-        {**whole, "sections": {"organisations": {"amber/../x": {"share": 1}}}},
-        {**whole, "base": 99},
-        {**whole, "base": -1},
+        {**valid, "base": "one"},
+        {**valid, "sections": []},
+        {**valid, "sections": {"nonsense": {}}},
+        {**valid, "sections": {"services": {"models": 3}}},
+        {**valid, "sections": {"services": {"models": {"endpoints": 3}}}},
+        {**valid, "sections": {"organisations": {"amber": None}}},
+        {**valid, "sections": {"organisations": {"amber/../x": {"share": 1}}}},
+        {**valid, "base": 99},
+        {**valid, "base": -1},
     ]
     for body in bodies:
         response = await call(router, "POST", "/v1/apply", body)
@@ -125,14 +125,14 @@
     assert (await call(router, "GET", "/v1/versions/head")).code == 200
 
 
-async def test_the_first_key_makes_the_first_version_and_no_other(empty):
-    """A new installation has no operators; later the first key is worth nothing."""
-    router, document = empty
+async def test_first_key_creates_only_the_first_version(unconfigured_router):
+    """The first key configures a new installation; afterwards it is invalid."""
+    router, document = unconfigured_router
     body = {"apply_id": "f", "base": 0, "sections": document}
     assert (await call(router, "POST", "/v1/apply", body, "guess")).code == 401
     response = await call(router, "POST", "/v1/apply", body, FIRST_KEY)
     assert json.loads(response.body)["version"] == 1
-    # before the router has read the version, the store refuses a second one
+    # the store refuses a second one even before the router has read the first
     body = {**body, "apply_id": "g"}
     response = await call(router, "POST", "/v1/apply", body, FIRST_KEY)
     assert response.code in (401, 403)
@@ -144,7 +144,7 @@
 
 
 async def test_orders_are_listed_and_settled_with_an_audit_row(fleet):
-    """An order's answer was lost; an operator asks the ledger and settles it."""
+    """The response to an order was lost; an operator settles the order."""
     record = OrderRecord(
         OrderState.UNKNOWN, "d" * 64, "a1", "r1/1", "ledger", "order", 1.0, 2.0
     )
@@ -166,18 +166,18 @@
     response = await call(router, "POST", path, {"outcome": "ran"})
     assert response.code == 409
     rows = (await fleet.tables.scan(CONFIG_TABLE, AUDIT_PREFIX, 10)).ok
-    acts = [json.loads(row.value) for row in rows]
+    audit_rows = [json.loads(row.value) for row in rows]
     assert {
         "operator": OPERATOR,
         "action": "settle",
         "what": "amber/order 1/2 ran",
-    }.items() <= acts[-1].items()
+    }.items() <= audit_rows[-1].items()
 
 
-async def test_nothing_secret_stands_in_logs_or_answers(fleet):
-    """Keys travel in headers; neither log nor status may show them."""
+async def test_logs_and_responses_contain_no_secrets(fleet):
+    """Keys are sent in headers; neither log nor responses may contain them."""
     lines = []
-    sink = loguru.logger.add(lines.append, level="DEBUG")
+    log_handler = loguru.logger.add(lines.append, level="DEBUG")
     router = fleet.routers["r1"]
     body = {"apply_id": "a", "base": 1, "sections": {"zones": {}}}
     seen = b""
@@ -185,7 +185,7 @@
         seen += (await call(router, "GET", path)).body
     seen += (await call(router, "POST", "/v1/apply", body)).body
     seen += (await call(router, "GET", "/v1/status", key="guess-of-someone")).body
-    loguru.logger.remove(sink)
+    loguru.logger.remove(log_handler)
     text = seen.decode() + "".join(lines)
     secrets = ["guess-of-someone", key_of(OPERATOR), key_of("amber")]
     secrets += [hashlib.sha256(secret.encode()).hexdigest() for secret in secrets]
@@ -193,7 +193,7 @@
         assert secret not in text
 
 
-def test_roles_and_sections():
+def test_permissions_of_roles_and_sections():
     editor = Permissions("e", "editor", ("zones", "services/models"))
     assert editor.may_change("zones", "north-a")
     assert editor.may_change("services", "models")
