--- a/packages/router/src/teaselledge/connection/__init__.py
+++ b/packages/router/src/teaselledge/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives as long as one connection."""
+"""Connections to callers, endpoints, operators and other routers."""
--- a/packages/router/src/teaselledge/connection/auth.py
+++ b/packages/router/src/teaselledge/connection/auth.py
@@ -1,4 +1,4 @@
-"""Find the organisation of a bearer key."""
+"""Authentication of organisations by bearer keys."""
 
 import hashlib
 import hmac
@@ -13,9 +13,9 @@
 class Authenticator:
     """Looks up organisations by the hashes of their keys.
 
-    The index is made once a version. Looking a SHA-256 digest up in a mapping
-    tells nothing by its duration that helps to guess a key; the digests are
-    compared in constant time all the same.
+    The index is built once per version. The duration of a lookup by SHA-256 digest
+    reveals nothing that helps to guess a key; the digests are nevertheless compared
+    in constant time.
     """
 
     def __init__(self) -> None:
@@ -31,8 +31,8 @@
         name = self._index_of(version.document).get(digest)
         if name is None:
             return None
-        known = version.document.organisations[name].keys
-        if not any(hmac.compare_digest(digest, entry) for entry in known):
+        digests = version.document.organisations[name].keys
+        if not any(hmac.compare_digest(digest, entry) for entry in digests):
             return None
         return name
 
--- a/packages/router/src/teaselledge/connection/bodyclock.py
+++ b/packages/router/src/teaselledge/connection/bodyclock.py
@@ -1,43 +1,44 @@
-"""Cut off callers that send their body too slowly."""
+"""Time limit for callers that send their body."""
 
 import asyncio
 from collections.abc import Callable
 
 __all__ = ["BodyTimeout"]
 
-PAUSE_SECONDS = 20.0
-"""Longest pause between two parts of a body."""
+MAX_PAUSE_SECONDS = 20.0
+"""Maximum pause between two chunks of a body."""
 
-TOTAL_SECONDS = 600.0
-"""Longest time that the router waits for one body in all."""
+MAX_TOTAL_SECONDS = 600.0
+"""Maximum total time that the router waits for a body."""
 
 
 class BodyTimeout:
-    """Runs while the router waits for a part of a body.
+    """Timer that runs while the router waits for a chunk of a body.
 
-    Without it, callers that send a byte now and then hold their connections
-    and reserved memory for ever, and others are told that the router is full.
-    Time in which the router makes the caller wait does not count.
+    Without it, callers that send single bytes with long pauses would keep their
+    connections and reserved memory indefinitely, and other requests would be refused
+    because the router is full. Time in which the router itself delays the caller does
+    not count.
     """
 
     def __init__(self, on_timeout: Callable[[], None]) -> None:
-        self._cut_off = on_timeout
-        self._left = TOTAL_SECONDS
-        self._since = 0.0
+        self._on_timeout = on_timeout
+        self._remaining_seconds = MAX_TOTAL_SECONDS
+        self._started_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Start to wait for the next part."""
+        """Start the timer for the next chunk."""
         self.stop()
         loop = asyncio.get_running_loop()
-        self._since = loop.time()
-        pause = max(0.0, min(PAUSE_SECONDS, self._left))
-        self._timer = loop.call_later(pause, self._cut_off)
+        self._started_at = loop.time()
+        delay = max(0.0, min(MAX_PAUSE_SECONDS, self._remaining_seconds))
+        self._timer = loop.call_later(delay, self._on_timeout)
 
     def stop(self) -> None:
-        """Note that a part arrived, or that no more is expected."""
+        """Stop the timer, as a chunk arrived or no more is expected."""
         if self._timer is None:
             return
         self._timer.cancel()
         self._timer = None
-        self._left -= asyncio.get_running_loop().time() - self._since
+        self._remaining_seconds -= asyncio.get_running_loop().time() - self._started_at
--- a/packages/router/src/teaselledge/connection/caller.py
+++ b/packages/router/src/teaselledge/connection/caller.py
@@ -1,4 +1,4 @@
-"""The callers' interface over HTTP."""
+"""The callers' HTTP interface."""
 
 import json
 from typing import TYPE_CHECKING
@@ -17,20 +17,20 @@
 
 
 class AddressesHandler(BaseHandler):
-    """Tells callers which routers to use."""
+    """Lists the routers that callers should use."""
 
     def get(self) -> None:
-        """Answer with the routers to use, nearest to the caller's zone first."""
+        """Respond with the routers to use, nearest to the caller's zone first."""
         zone = self.get_query_argument("zone", None)
         self.set_header("Content-Type", "application/json")
         self.finish(json.dumps(self.router.addresses(zone)))
 
 
 class HealthHandler(BaseHandler):
-    """Tells whether the process is alive or ready."""
+    """Reports whether the process is alive and ready."""
 
     def get(self, name: str) -> None:
-        """Answer 200 where it is."""
+        """Respond with status 200 if the check passes."""
         if name == "readyz" and not self.router.ready:
             self.refuse(Fault(ErrorKind.NOT_CONFIGURED))
             return
@@ -39,7 +39,7 @@
 
 
 def make_application(router: "Router") -> Application:
-    """Return the callers' application of a router."""
+    """Return the tornado application for callers of a router."""
     options = {"router": router}
     return Application(
         [
--- a/packages/router/src/teaselledge/connection/endpoint.py
+++ b/packages/router/src/teaselledge/connection/endpoint.py
@@ -1,4 +1,4 @@
-"""Exchanges with endpoints over HTTP/1.1, by tornado's connection class."""
+"""HTTP/1.1 requests to endpoints, with tornado's connection class."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -29,26 +29,26 @@
     "SendFailure",
 ]
 
-CONNECT_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 2.0
 CHUNK_BYTES = 64 * 1024
 MAX_HEADER_BYTES = 64 * 1024
-MAX_ANSWER_BYTES = 1 << 40
+MAX_RESPONSE_BYTES = 1 << 40
 
 
 @dataclass(frozen=True)
 class OutboundRequest:
-    """A request as it goes to an endpoint.
+    """A request to an endpoint.
 
     Attributes
     ----------
     method, path : str
-        Of the request line.
+        Method and path of the request line.
     headers : HTTPHeaders
         All headers.
     body : bytes
-        The body, or its first part.
+        The complete body, or its beginning.
     upload : Upload or None
-        The rest of the body.
+        Source of the remaining body.
     """
 
     method: str
@@ -60,18 +60,18 @@
 
 @dataclass(frozen=True)
 class SendFailure:
-    """No answer came.
+    """A request got no response.
 
     Attributes
     ----------
     maybe_sent : bool
         Whether the endpoint may have received anything.
     detail : str
-        What happened.
+        Description of the failure.
     malformed : bool
-        The endpoint sent something that is no HTTP.
+        Whether the endpoint sent malformed HTTP.
     refused : bool
-        Its host refused the connection: nothing listens there.
+        Whether the host refused the connection, as no process listens there.
     """
 
     maybe_sent: bool
@@ -81,11 +81,11 @@
 
 
 class IncompleteResponseError(Exception):
-    """The endpoint stopped in the middle of its answer."""
+    """The endpoint closed the connection before the end of its response."""
 
 
 class EndpointResponse(Protocol):
-    """An answer that has begun."""
+    """A response of which the head has arrived."""
 
     @property
     def status(self) -> int:
@@ -98,11 +98,11 @@
     def chunks(self) -> AsyncIterator[bytes]:
         """Iterate over the body.
 
-        Raises `IncompleteResponseError` where it stops short.
+        Raises `IncompleteResponseError` if the response is incomplete.
         """
 
     def close(self) -> None:
-        """Drop the exchange; an engine takes that as a cancellation."""
+        """Close the connection; an engine treats this as a cancellation."""
 
 
 class EndpointClient(Protocol):
@@ -111,14 +111,14 @@
     async def send(
         self, address: str, request: OutboundRequest
     ) -> Result[EndpointResponse, SendFailure]:
-        """Send a request and wait for the head of its answer."""
+        """Send a request and wait for the head of its response."""
 
 
-class _Delegate(HTTPMessageDelegate):
-    """Hands one answer over, a chunk at a time.
+class _ResponseDelegate(HTTPMessageDelegate):
+    """Passes on a response chunk by chunk.
 
-    The queue holds one chunk: reading from the endpoint stops while the
-    caller is slow, so a stream takes a fixed amount of memory.
+    The queue holds one chunk: reading from the endpoint stops while the caller is
+    slow, so that a stream takes a fixed amount of memory.
     """
 
     def __init__(self) -> None:
@@ -141,14 +141,14 @@
         self.finished = True
 
 
-class _HttpAnswer:
-    """An answer read from a connection by one task."""
+class _HttpResponse:
+    """A response that a task reads from a connection."""
 
     def __init__(self, stream: IOStream, connection: HTTP1Connection) -> None:
         self._stream = stream
-        self._delegate = _Delegate()
-        self._sending: asyncio.Task[None] | None = None
-        self._task = asyncio.create_task(self._read(connection))
+        self._delegate = _ResponseDelegate()
+        self._send_task: asyncio.Task[None] | None = None
+        self._read_task = asyncio.create_task(self._read(connection))
 
     async def _read(self, connection: HTTP1Connection) -> None:
         delegate = self._delegate
@@ -165,28 +165,30 @@
             return
         await delegate.queue.put(None)
 
-    def send_rest(self, connection: HTTP1Connection, upload: Upload | None) -> None:
-        """Send the rest of the body beside reading the answer."""
+    def send_remaining_body(
+        self, connection: HTTP1Connection, upload: Upload | None
+    ) -> None:
+        """Send the remaining body while the response is read."""
         if upload is None:
             connection.finish()
             return
-        self._sending = asyncio.create_task(self._send(connection, upload))
+        self._send_task = asyncio.create_task(self._send_upload(connection, upload))
 
-    async def _send(self, connection: HTTP1Connection, upload: Upload) -> None:
+    async def _send_upload(self, connection: HTTP1Connection, upload: Upload) -> None:
         try:
             async for chunk in upload.chunks():
                 await connection.write(chunk)
             connection.finish()
         except StreamClosedError:
-            # the endpoint closed the connection; reading the answer tells how
+            # the endpoint closed the connection; reading the response reports it
             return
         except HTTPOutputError:
-            # the body is not of the announced length: the endpoint must not
-            # take it for whole
+            # the body does not match its Content-Length; closing the connection
+            # keeps the endpoint from treating it as complete
             self._stream.close()
 
-    async def head(self) -> None:
-        """Wait for the head."""
+    async def wait_for_head(self) -> None:
+        """Wait for the head of the response."""
         await asyncio.shield(self._delegate.head)
 
     @property
@@ -207,11 +209,11 @@
             raise IncompleteResponseError
 
     def close(self) -> None:
-        self._task.cancel()
-        if self._sending is not None:
-            self._sending.cancel()
+        self._read_task.cancel()
+        if self._send_task is not None:
+            self._send_task.cancel()
         self._stream.close()
-        # whoever still reads must not wait for a task that has ended
+        # a pending read of chunks() must not wait for the cancelled task
         queue = self._delegate.queue
         if queue.full():
             queue.get_nowait()
@@ -219,10 +221,10 @@
 
 
 class HttpEndpointClient:
-    """Sends each request on a connection of its own.
+    """Sends each request on its own connection.
 
-    A kept-alive connection may be closed by the endpoint just as the next
-    request goes out; the router could then not tell whether the request ran.
+    An endpoint may close a kept-alive connection just as the next request is sent;
+    the router could then not determine whether the request ran.
     """
 
     def __init__(self) -> None:
@@ -231,16 +233,16 @@
     async def send(
         self, address: str, request: OutboundRequest
     ) -> Result[EndpointResponse, SendFailure]:
-        """Send a request and wait for the head of its answer."""
+        """Send a request and wait for the head of its response."""
         host, port = address.rsplit(":", 1)
         try:
             stream = await self._client.connect(
-                host, int(port), timeout=CONNECT_SECONDS
+                host, int(port), timeout=CONNECT_TIMEOUT_SECONDS
             )
         except (OSError, StreamClosedError, TimeoutError) as error:
             cause = getattr(error, "real_error", None) or error
             refused = isinstance(cause, ConnectionRefusedError)
-            detail = "the endpoint refuses connections"
+            detail = "cannot connect to the endpoint"
             return Error(SendFailure(False, detail, refused=refused))
         stream.set_nodelay(True)
         connection = HTTP1Connection(
@@ -250,23 +252,23 @@
                 no_keep_alive=True,
                 chunk_size=CHUNK_BYTES,
                 max_header_size=MAX_HEADER_BYTES,
-                max_body_size=MAX_ANSWER_BYTES,
+                max_body_size=MAX_RESPONSE_BYTES,
             ),
         )
-        answer: _HttpAnswer | None = None
+        response: _HttpResponse | None = None
         try:
             line = RequestStartLine(request.method, request.path, "HTTP/1.1")
             await connection.write_headers(line, request.headers, request.body)
-            answer = _HttpAnswer(stream, connection)
-            answer.send_rest(connection, request.upload)
-            await answer.head()
+            response = _HttpResponse(stream, connection)
+            response.send_remaining_body(connection, request.upload)
+            await response.wait_for_head()
         except (HTTPInputError, StreamClosedError, OSError) as error:
             stream.close()
-            garbage = isinstance(error, HTTPInputError)
-            return Error(SendFailure(True, "the endpoint gave no answer", garbage))
+            malformed = isinstance(error, HTTPInputError)
+            return Error(SendFailure(True, "the endpoint did not respond", malformed))
         except asyncio.CancelledError:
-            if answer is not None:
-                answer.close()
+            if response is not None:
+                response.close()
             stream.close()
             raise
-        return Ok(answer)
+        return Ok(response)
--- a/packages/router/src/teaselledge/connection/headers.py
+++ b/packages/router/src/teaselledge/connection/headers.py
@@ -1,11 +1,11 @@
-"""Which headers pass from one side of the router to the other."""
+"""Headers forwarded between callers and endpoints."""
 
-from teaselledge_fleet.request.headers import forwardable_headers as without_hop
+from teaselledge_fleet.request.headers import forwardable_headers as without_hop_headers
 from tornado.httputil import HTTPHeaders
 
 __all__ = ["header_size", "forwardable_headers"]
 
-OWN = frozenset(
+ROUTER_HEADERS = frozenset(
     {
         "authorization",
         "content-length",
@@ -14,21 +14,21 @@
         "x-request-id",
     }
 )
-"""Headers that the router reads or sets itself.
+"""Headers that the router processes or sets itself.
 
-The bearer key must not reach an endpoint, which could use it elsewhere.
+The bearer key must not reach an endpoint, which could misuse it.
 """
 
-SEPARATORS_BYTES = 4
+SEPARATOR_BYTES = 4
 
 
 def forwardable_headers(headers: HTTPHeaders) -> HTTPHeaders:
-    """Return the headers without those of one hop and the router's own."""
-    return without_hop(headers, OWN)
+    """Return the headers without hop-by-hop headers and those of the router."""
+    return without_hop_headers(headers, ROUTER_HEADERS)
 
 
 def header_size(headers: HTTPHeaders) -> int:
-    """Return the bytes that the headers take on the wire."""
+    """Return the size of the headers in HTTP/1.1 encoding."""
     return sum(
-        len(name) + len(value) + SEPARATORS_BYTES for name, value in headers.get_all()
+        len(name) + len(value) + SEPARATOR_BYTES for name, value in headers.get_all()
     )
--- a/packages/router/src/teaselledge/connection/orders.py
+++ b/packages/router/src/teaselledge/connection/orders.py
@@ -1,4 +1,4 @@
-"""Callers' questions about their orders."""
+"""Queries of callers about their orders."""
 
 import json
 
@@ -10,13 +10,13 @@
 
 
 class OrdersHandler(BaseHandler):
-    """Tells an organisation what became of one of its orders."""
+    """Reports the state of an order to its organisation."""
 
     async def get(self, key: str) -> None:
-        """Answer with the state of an order.
+        """Respond with the state of an order.
 
-        The key is looked up below the caller's organisation only, so that one
-        organisation learns nothing of another's orders, not even their keys.
+        The key is looked up only among the orders of the caller's organisation, so
+        that an organisation cannot find out another's orders or their keys.
         """
         version = self.router.version
         if version is None:
@@ -33,8 +33,8 @@
             self.refuse(Fault(ErrorKind.JOURNAL_UNAVAILABLE, Ran.UNKNOWN))
             return
         if result.ok is None:
-            # an attempt may be on its way to the journal at this moment, so
-            # the absence of a record does not prove that nothing will run
+            # an attempt may be about to write its record, so a missing record
+            # does not prove that the order will not run
             detail = "the journal has no order under this key"
             self.refuse(Fault(ErrorKind.NOT_FOUND, Ran.UNKNOWN, detail))
             return
--- a/packages/router/src/teaselledge/connection/server.py
+++ b/packages/router/src/teaselledge/connection/server.py
@@ -11,23 +11,23 @@
 
 __all__ = ["CallerServer"]
 
-IDLE_SECONDS = 75.0
-"""A connection without a request is closed after this time."""
+IDLE_TIMEOUT_SECONDS = 75.0
+"""Time without a request after which a connection is closed."""
 
 
 class CallerServer(HTTPServer):
-    """An HTTP server that refuses connections over a limit at once."""
+    """HTTP server that immediately refuses connections over a limit."""
 
     def initialize(self, *args: Any, **options: Any) -> None:
-        """Take the options of the HTTP server and ``max_connections``."""
+        """Set ``max_connections``; other options are those of the HTTP server."""
         self._max_connections = options.pop("max_connections")
         self._refusals: set[asyncio.Future[None]] = set()
-        options["idle_connection_timeout"] = IDLE_SECONDS
+        options["idle_connection_timeout"] = IDLE_TIMEOUT_SECONDS
         super().initialize(*args, **options)
 
     @property
     def connections(self) -> int:
-        """Connections that are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     def handle_stream(self, stream: IOStream, address: tuple[Any, ...]) -> None:
@@ -41,10 +41,10 @@
 
 
 async def _refuse(stream: IOStream) -> None:
-    answer = problem(Fault(ErrorKind.ROUTER_FULL, detail="too many connections"), "")
-    body = json.dumps(answer.body).encode()
-    lines = [f"HTTP/1.1 {answer.status} Service Unavailable"]
-    lines += [f"{name}: {value}" for name, value in answer.headers.items()]
+    response = problem(Fault(ErrorKind.ROUTER_FULL, detail="too many connections"), "")
+    body = json.dumps(response.body).encode()
+    lines = [f"HTTP/1.1 {response.status} Service Unavailable"]
+    lines += [f"{name}: {value}" for name, value in response.headers.items()]
     lines += [f"Content-Length: {len(body)}", "Connection: close", "", ""]
     try:
         await stream.write("\r\n".join(lines).encode() + body)
--- a/packages/router/src/teaselledge/connection/sink.py
+++ b/packages/router/src/teaselledge/connection/sink.py
@@ -1,4 +1,4 @@
-"""Write an answer to a caller, with a bounded buffer."""
+"""Write a response to a caller, with a limited buffer."""
 
 import asyncio
 
@@ -11,50 +11,50 @@
 __all__ = ["STREAM_BUFFER_BYTES", "HandlerSink"]
 
 STREAM_BUFFER_BYTES = 256 * 1024
-"""Bytes of one answer that wait for a slow caller.
+"""Maximum number of buffered bytes of a response to a slow caller.
 
-An endpoint's slot is held while its answer is read. With no buffer, each pause
-of a caller would hold the slot; with no bound, a caller that reads nothing
+An endpoint's slot is occupied while its response is read. Without a buffer, each
+pause of a caller would prolong this; without a limit, a caller that reads nothing
 would fill the router's memory.
 """
 
-STALL_SECONDS = 30.0
-"""A caller that takes nothing for so long, with a full buffer, is cut off.
+STALL_TIMEOUT_SECONDS = 30.0
+"""Time with a full buffer after which a caller's connection is closed.
 
-Otherwise it would hold a slot that others wait for, for as long as it likes.
+Otherwise a caller that does not read could occupy a slot indefinitely.
 """
 
-NO_BODY_STATUS = frozenset({204, 304})
+STATUSES_WITHOUT_BODY = frozenset({204, 304})
 
 
 class HandlerSink:
-    """Passes an answer through a tornado handler."""
+    """Writes a response through a tornado handler."""
 
     def __init__(self, handler: RequestHandler) -> None:
         self._handler = handler
         self._started = False
         self._aborted = False
         self._buffered = 0
-        self._room = asyncio.Event()
-        self._room.set()
+        self._has_room = asyncio.Event()
+        self._has_room.set()
 
     @property
     def started(self) -> bool:
-        """Whether anything has reached the caller."""
+        """Whether the response has been started."""
         return self._started
 
     @property
     def aborted(self) -> bool:
-        """Whether the answer was ended visibly broken."""
+        """Whether the connection was closed before the response was complete."""
         return self._aborted
 
     @property
     def buffered(self) -> int:
-        """Bytes that wait for the caller."""
+        """Number of bytes not yet written to the connection."""
         return self._buffered
 
     async def start(self, status: int, headers: HTTPHeaders) -> None:
-        """Send the head."""
+        """Send the head of the response."""
         self._started = True
         handler = self._handler
         handler.set_status(status)
@@ -62,29 +62,29 @@
             handler.add_header(name, value)
         if "Content-Length" in headers:
             handler.set_header("Content-Length", headers["Content-Length"])
-        if status not in NO_BODY_STATUS:
+        if status not in STATUSES_WITHOUT_BODY:
             self._flush(0)
 
     async def write(self, chunk: bytes) -> None:
-        """Send a part of the body; waits while the buffer is full."""
+        """Send a chunk of the body, waiting while the buffer is full."""
         self._handler.write(chunk)
         self._flush(len(chunk))
         if self._buffered < STREAM_BUFFER_BYTES:
             return
-        self._room.clear()
+        self._has_room.clear()
         try:
-            async with asyncio.timeout(STALL_SECONDS):
-                await self._room.wait()
+            async with asyncio.timeout(STALL_TIMEOUT_SECONDS):
+                await self._has_room.wait()
         except TimeoutError:
             self.abort()
             raise StreamClosedError from None
 
     async def finish(self) -> None:
-        """Mark the answer as whole."""
+        """Complete the response."""
         await self._handler.finish()
 
     def abort(self) -> None:
-        """End the answer visibly broken, by closing the connection."""
+        """Close the connection, so that the caller sees an incomplete response."""
         self._aborted = True
         connection = self._handler.request.connection
         if connection is not None:
@@ -94,13 +94,13 @@
         self._buffered += size
         flushed = asyncio.ensure_future(self._handler.flush())
 
-        def note(future: "asyncio.Future[None]") -> None:
-            # reading the exception keeps asyncio from logging it; the closed
-            # connection cancels the request
+        def on_flushed(future: "asyncio.Future[None]") -> None:
+            # retrieve the exception, or asyncio logs it; the closed connection
+            # cancels the request
             if not future.cancelled():
                 future.exception()
             self._buffered -= size
             if self._buffered < STREAM_BUFFER_BYTES:
-                self._room.set()
+                self._has_room.set()
 
-        flushed.add_done_callback(note)
+        flushed.add_done_callback(on_flushed)
--- a/packages/router/src/teaselledge/connection/statuspage.py
+++ b/packages/router/src/teaselledge/connection/statuspage.py
@@ -1,4 +1,4 @@
-"""The status of one router as a page for a browser."""
+"""Status of a router as an HTML page."""
 
 from collections.abc import Iterable, Mapping
 from html import escape
@@ -35,9 +35,9 @@
     head = "".join(f"<th>{escape(name.replace('_', ' '))}</th>" for name in names)
     lines = []
     for row in list(rows)[:MAX_ROWS]:
-        mark = ' class="look"' if row.get("state") == "look" else ""
+        row_class = ' class="look"' if row.get("state") == "look" else ""
         cells = "".join(_cell(row.get(name)) for name in names)
-        lines.append(f"<tr{mark}>{cells}</tr>")
+        lines.append(f"<tr{row_class}>{cells}</tr>")
     if not lines:
         return f"<h2>{escape(title)}</h2><p>None.</p>"
     body = "\n".join(lines)
@@ -45,7 +45,7 @@
 
 
 def status_page(report: Mapping[str, Any]) -> str:
-    """Return the page, which needs nothing else."""
+    """Return the page, which loads no other resources."""
     vm = escape(str(report["vm"]))
     configuration = report["configuration"]
     parts = [
--- a/packages/router/src/teaselledge/connection/web.py
+++ b/packages/router/src/teaselledge/connection/web.py
@@ -1,4 +1,4 @@
-"""What the handlers of the callers' interface share."""
+"""Base class of the handlers of the callers' interface."""
 
 import json
 from typing import TYPE_CHECKING, Any
@@ -31,40 +31,40 @@
     router: "Router"
 
     def initialize(self, router: "Router") -> None:
-        """Take the router that serves."""
+        """Set the router and the request's identifier."""
         self.router = router
         self.request_id = router.next_request_id()
         self.set_header("X-Request-Id", self.request_id)
 
     def set_default_headers(self) -> None:
-        """Drop the server's name and the content type of pages."""
+        """Remove the headers for server name and content type."""
         self.clear_header("Server")
         self.clear_header("Content-Type")
 
     def refuse(
         self, fault: Fault, verified: bool = False, keep_open: bool = False
     ) -> None:
-        """Answer with a problem object.
+        """Respond with a problem object.
 
         Parameters
         ----------
         fault : Fault
-            What to tell.
+            Reason of the refusal.
         verified : bool
-            Whether the fault speaks for all attempts under the request's
-            idempotency key; otherwise "not run" is not told for a keyed one.
+            Whether the fault applies to all attempts with the request's
+            idempotency key. Otherwise "not run" is not reported if it has one.
         keep_open : bool
-            Send the whole answer, and leave it to the caller to finish.
+            Send the complete response, but leave it unfinished.
         """
         if not verified:
             key = self.request.headers.get("Idempotency-Key")
             fault = as_unverified(fault, key)
-        answer = problem(fault, self.request_id)
+        response = problem(fault, self.request_id)
         self.router.metrics.count("request.refused", 1, fault.kind.value)
-        self.set_status(answer.status)
-        for name, value in answer.headers.items():
+        self.set_status(response.status)
+        for name, value in response.headers.items():
             self.set_header(name, value)
-        body = json.dumps(answer.body)
+        body = json.dumps(response.body)
         if not keep_open:
             self.finish(body)
             return
@@ -73,18 +73,18 @@
         self.flush()
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer for what no handler took, or for a fault of the router."""
+        """Respond to unhandled requests and to internal errors."""
         kind = STATUS_KINDS.get(status_code, ErrorKind.INTERNAL)
         self.refuse(Fault(kind))
 
     def log_exception(self, *args: Any) -> None:
-        """Log a fault of the router without the request's content."""
+        """Log an internal error without the request's content."""
         error = args[1]
         _log.error(f"Request {self.request_id} failed: {type(error).__name__}.")
 
 
 class UnknownHandler(BaseHandler):
-    """Answers for paths that do not exist."""
+    """Handles requests to paths that do not exist."""
 
     def prepare(self) -> None:
         """Refuse every method."""
--- a/packages/router/tests/test_sink.py
+++ b/packages/router/tests/test_sink.py
@@ -1,4 +1,4 @@
-"""Tests of writing answers to callers."""
+"""Tests of writing responses to callers."""
 
 import asyncio
 
@@ -10,30 +10,30 @@
 
 
 class StalledHandler:
-    """A handler whose caller takes nothing until it is let."""
+    """A handler whose caller reads nothing until `reading` is set."""
 
     def __init__(self):
         self.request = self
         self.connection = self
         self.stream = self
         self.closed = False
-        self.taken = asyncio.Event()
+        self.reading = asyncio.Event()
 
     def write(self, chunk):
-        """Take a part."""
+        """Accept a chunk."""
 
     async def flush(self):
         """Wait until the caller reads."""
-        await self.taken.wait()
+        await self.reading.wait()
 
     def close(self):
-        """Note the end."""
+        """Record the call."""
         self.closed = True
 
 
-async def test_caller_that_reads_nothing_stops_the_endpoint_at_the_bound():
-    """A caller stops reading while the endpoint goes on to send. The router
-    keeps up to the bound and then reads no more from the endpoint.
+async def test_reading_from_endpoint_stops_at_buffer_limit():
+    """A caller stops reading while the endpoint continues to send. The router
+    buffers data up to the limit and then stops reading from the endpoint.
     """
     handler = StalledHandler()
     sink = HandlerSink(handler)
@@ -48,14 +48,14 @@
     task = asyncio.create_task(relay())
     await asyncio.sleep(1)
     assert written <= STREAM_BUFFER_BYTES <= sink.buffered
-    handler.taken.set()
+    handler.reading.set()
     await task
     assert written == 2 * STREAM_BUFFER_BYTES
 
 
-async def test_caller_that_stalls_for_long_is_cut_off():
-    """A caller keeps its connection and never reads again. Its slot would be
-    held for ever, so the router ends the answer visibly broken.
+async def test_stalled_caller_is_disconnected():
+    """A caller keeps its connection open without reading. Its slot would never be
+    released, so the router closes the connection.
     """
     handler = StalledHandler()
     sink = HandlerSink(handler)
