--- a/packages/router/src/teaselledge/connection/operator.py
+++ b/packages/router/src/teaselledge/connection/operator.py
@@ -220,7 +220,7 @@
             return reader.validate_json(self.request.body)
         except ValidationError as error:
             entry = error.errors(include_url=False, include_input=False)[0]
-            path = ".".join(str(part) for part in entry["loc"])
+            path = ".".join(str(key) for key in entry["loc"])
             detail = f"body {path}: {entry['msg']}"
             self.refuse(Fault(ErrorKind.BAD_REQUEST, detail=detail))
             return None
--- a/packages/router/src/teaselledge/version/assemble.py
+++ b/packages/router/src/teaselledge/version/assemble.py
@@ -114,7 +114,7 @@
             faults.append(f"{section}: {error}")
         except ValidationError as error:
             for entry in error.errors(include_url=False, include_input=False):
-                path = ".".join(str(part) for part in entry["loc"])
+                path = ".".join(str(key) for key in entry["loc"])
                 faults.append(f"{section}.{path}: {entry['msg']}")
         return {}
 
@@ -139,6 +139,6 @@
                 built[name] = _BuiltService(inputs, _service.validate_python(value))
             except ValidationError as error:
                 for entry in error.errors(include_url=False, include_input=False):
-                    path = ".".join(str(part) for part in entry["loc"])
+                    path = ".".join(str(key) for key in entry["loc"])
                     faults.append(f"services.{name}.{path}: {entry['msg']}")
         return built
--- a/packages/router/src/teaselledge/version/publish.py
+++ b/packages/router/src/teaselledge/version/publish.py
@@ -400,7 +400,7 @@
             list(changed[:MAX_LISTED_CHANGES]),
         )
         old = set(state.manifest.digests)
-        new = {d: c for part in sections.values() for d, c in part.items()}
+        new = {d: c for chunks in sections.values() for d, c in chunks.items()}
         writes = chunk_writes({d: c for d, c in new.items() if d not in old})
         for start in range(0, len(writes), WRITES_PER_COMMIT):
             written = await self.tables.commit(
@@ -476,8 +476,8 @@
 
         entries: Entries = {}
         for section, digests in manifest.sections.items():
-            parts = await asyncio.gather(*(load(digest) for digest in digests))
-            entries[section] = {k: v for part in parts for k, v in part.items()}
+            chunks = await asyncio.gather(*(load(digest) for digest in digests))
+            entries[section] = {k: v for chunk in chunks for k, v in chunk.items()}
         return entries
 
     async def _read_chunk(self, digest: str) -> dict[str, Any]:
@@ -508,12 +508,12 @@
 
 
 def _with_sections(base: Entries, sections: Mapping[str, Mapping[str, Any]]) -> Entries:
-    given = flatten(sections)
+    flattened = flatten(sections)
     result = {section: dict(entries) for section, entries in base.items()}
     for section in sections:
-        result[section] = given[section]
+        result[section] = flattened[section]
     if "services" in sections:
-        result[ENDPOINTS] = given[ENDPOINTS]
+        result[ENDPOINTS] = flattened[ENDPOINTS]
     return result
 
 
