--- a/packages/router/tests/test_sink.py
+++ b/packages/router/tests/test_sink.py
@@ -10,30 +10,30 @@
 
 
 class StalledHandler:
-    """A handler whose caller reads nothing until `reading` is set."""
+    """A handler whose caller reads nothing until an event is set."""
 
     def __init__(self):
         self.request = self
         self.connection = self
         self.stream = self
         self.closed = False
-        self.reading = asyncio.Event()
+        self.taken = asyncio.Event()
 
     def write(self, chunk):
         """Accept a chunk."""
 
     async def flush(self):
         """Wait until the caller reads."""
-        await self.reading.wait()
+        await self.taken.wait()
 
     def close(self):
-        """Record the call."""
+        """Record that the connection was closed."""
         self.closed = True
 
 
-async def test_reading_from_endpoint_stops_at_buffer_limit():
+async def test_reading_from_the_endpoint_stops_at_the_buffer_limit():
     """A caller stops reading while the endpoint continues to send. The router
-    buffers data up to the limit and then stops reading from the endpoint.
+    must buffer up to the limit only, and then stop reading from the endpoint.
     """
     handler = StalledHandler()
     sink = HandlerSink(handler)
@@ -48,14 +48,14 @@
     task = asyncio.create_task(relay())
     await asyncio.sleep(1)
     assert written <= STREAM_BUFFER_BYTES <= sink.buffered
-    handler.reading.set()
+    handler.taken.set()
     await task
     assert written == 2 * STREAM_BUFFER_BYTES
 
 
-async def test_stalled_caller_is_disconnected():
-    """A caller keeps its connection open without reading. Its slot would never be
-    released, so the router closes the connection.
+async def test_connection_of_a_stalled_caller_is_closed():
+    """A caller keeps its connection open but never reads. Its slot would stay
+    occupied for ever, so the router must close the connection.
     """
     handler = StalledHandler()
     sink = HandlerSink(handler)
