--- a/packages/router/src/teaselledge/version/document.py
+++ b/packages/router/src/teaselledge/version/document.py
@@ -104,7 +104,7 @@
     slots : int
         Number of requests that it runs concurrently.
     leaving : bool
-        Whether it gets no new requests.
+        Whether it gets no new work.
     models : tuple of str
         Models that an engine has loaded.
     role : str
@@ -148,14 +148,14 @@
     kinds : dict of str to Kind
         Kinds of requests by name; the first that matches a request applies.
     resumes : bool
-        Whether a broken stream can be resumed where it stopped.
+        Whether a broken stream can be resumed at its position.
     checks_fencing : bool
         Whether endpoints refuse orders with an old fencing number.
     reports_load : bool
         Whether endpoints report their load, which arrives with a lag.
     preset : str
-        How often routers report service to each other: with ``fairness`` soon, with
-        ``traffic`` seldom.
+        Exchange of usage reports between routers: with ``fairness`` at short, with
+        ``traffic`` at long intervals.
     models : dict of str to Model
         Version and adapters of the models that its engines load, by model name.
     loads_at_once : int
@@ -184,7 +184,7 @@
     target : float
         Fraction of the requests that must be good.
     seconds : float
-        Maximum duration of a good request, which must not fail either.
+        Maximum duration of a good request, in seconds; it must not fail either.
     organisations : tuple of str
         Organisations that it applies to; empty for all.
     window_hours : float
