--- a/packages/ctl/src/teaselctl/__init__.py
+++ b/packages/ctl/src/teaselctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command."""
+"""Command-line tool for operators of a router fleet."""
--- a/packages/ctl/src/teaselctl/burn.py
+++ b/packages/ctl/src/teaselctl/burn.py
@@ -1,4 +1,4 @@
-"""Merge the routers' counts into burn rates and error budgets."""
+"""Merge the counts of all routers into burn rates and error budgets."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -14,29 +14,32 @@
 
 @dataclass(frozen=True)
 class Alert:
-    """A pair of windows that must both burn fast.
+    """An alert that holds while the burn rates of two windows exceed a limit.
 
-    The long window keeps a short burst from alarming anyone, the short one ends
-    the alarm soon after the cause has gone.
+    The long window prevents alerts for short bursts; the short window ends the
+    alert soon after its cause has ended.
 
     Attributes
     ----------
     name : str
-        ``page`` wakes someone, ``ticket`` waits for the day.
-    long, short : int
-        Seconds of the windows.
-    budget : float
-        Part of the error budget that the long window may burn.
+        ``page`` for immediate attention, ``ticket`` for working hours.
+    long_seconds, short_seconds : int
+        Lengths of the windows.
+    budget_fraction : float
+        Fraction of the error budget that may be spent within the long window.
     """
 
     name: str
-    long: int
-    short: int
-    budget: float
+    long_seconds: int
+    short_seconds: int
+    budget_fraction: float
 
-    def threshold(self, window: float) -> float:
-        """Return the burn rate from which the alert holds."""
-        return self.budget * window / self.long
+    def threshold(self, window_seconds: float) -> float:
+        """Return the burn rate above which the alert holds.
+
+        ``window_seconds`` is the window of the objective.
+        """
+        return self.budget_fraction * window_seconds / self.long_seconds
 
 
 ALERTS: tuple[Alert, ...] = (
@@ -50,7 +53,7 @@
 
 @dataclass(frozen=True)
 class _Series:
-    """What one router tells of one kind of request."""
+    """Counts of one router for one kind of request, as it reports them."""
 
     objective: str
     organisation: str
@@ -65,33 +68,37 @@
 
 
 @dataclass(frozen=True)
-class _Answer:
-    """What one router tells."""
+class _RouterCounts:
+    """Response of one router to a request for its counts."""
 
     uptime: float
     evicted: int
     series: list[_Series]
 
 
-_reader = TypeAdapter(_Answer)
+_counts_adapter = TypeAdapter(_RouterCounts)
 
 
 @dataclass
 class Row:
-    """One organisation, service and kind over the fleet.
+    """Counts of the whole fleet for an organisation, service and kind of request.
 
     Attributes
     ----------
     objective, organisation, service, kind : str
-        What it is about.
-    target, seconds, window : float
-        The objective.
+        What the counts belong to.
+    target : float
+        Fraction of requests that must be good.
+    latency_seconds : float
+        Duration within which a good request ends.
+    window_seconds : float
+        Time over which the target must be met.
     counts : dict of int to tuple of int
-        Good and bad events by window in seconds.
+        Good and bad requests by length of the window in seconds.
     good, bad : int
-        Events of the objective's window.
+        Requests in the objective's window.
     sketch : DDSketch
-        Durations of the last hour or two.
+        Durations of requests in the last one to two hours.
     """
 
     objective: str
@@ -99,8 +106,8 @@
     service: str
     kind: str
     target: float
-    seconds: float
-    window: float
+    latency_seconds: float
+    window_seconds: float
     counts: dict[int, tuple[int, int]] = field(default_factory=dict)
     good: int = 0
     bad: int = 0
@@ -108,34 +115,37 @@
 
     @property
     def budget_left(self) -> float | None:
-        """Part of the error budget that is left; negative when overspent."""
+        """Remaining fraction of the error budget; negative when overspent."""
         if not self.good + self.bad:
             return None
         return 1.0 - self.bad / (self.good + self.bad) / (1.0 - self.target)
 
     @property
     def alert(self) -> str:
-        """Name of the first alert that holds, empty for none."""
+        """Name of the first alert that holds, or an empty string."""
         for alert in ALERTS:
-            limit = alert.threshold(self.window)
-            burns = [self.burn(alert.long), self.burn(alert.short)]
+            limit = alert.threshold(self.window_seconds)
+            burns = [self.burn(alert.long_seconds), self.burn(alert.short_seconds)]
             if all(burn is not None and burn > limit for burn in burns):
                 return alert.name
         return ""
 
-    def burn(self, seconds: int) -> float | None:
-        """Return the burn rate: 1 spends the budget exactly in its window."""
-        good, bad = self.counts.get(seconds, (0, 0))
+    def burn(self, window_seconds: int) -> float | None:
+        """Return the burn rate over a window, None without requests.
+
+        At a rate of 1 the error budget lasts exactly for the objective's window.
+        """
+        good, bad = self.counts.get(window_seconds, (0, 0))
         if not good + bad:
             return None
         return bad / (good + bad) / (1.0 - self.target)
 
-    def quantile(self, part: float) -> float | None:
+    def quantile(self, fraction: float) -> float | None:
         """Return a quantile of the durations, in seconds."""
-        return self.sketch.get_quantile_value(part)
+        return self.sketch.get_quantile_value(fraction)
 
     def add(self, series: _Series) -> None:
-        """Add what a further router tells."""
+        """Add the counts of one router."""
         for window, (good, bad) in series.counts.items():
             old = self.counts.get(int(window), (0, 0))
             self.counts[int(window)] = (old[0] + good, old[1] + bad)
@@ -143,7 +153,7 @@
         self.bad += series.budget[1]
         add_sketch(self.sketch, series.sketch)
 
-    def value(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """Return plain values for JSON."""
         return {
             "objective": self.objective,
@@ -151,8 +161,8 @@
             "service": self.service,
             "kind": self.kind,
             "target": self.target,
-            "seconds": self.seconds,
-            "window_hours": self.window / 3600,
+            "seconds": self.latency_seconds,
+            "window_hours": self.window_seconds / 3600,
             "good": self.good,
             "bad": self.bad,
             "budget_left": self.budget_left,
@@ -164,20 +174,20 @@
 
 @dataclass(frozen=True)
 class BurnReport:
-    """The whole report.
+    """Burn rates and error budgets of the fleet, and what they leave out.
 
     Attributes
     ----------
     rows : tuple of Row
-        The worst first.
+        In ascending order of the remaining error budget.
     missing : tuple of str
-        Routers that gave no answer.
+        Routers that did not respond.
     wrong : tuple of str
-        Routers whose answer can't be read.
+        Routers whose response is malformed.
     uptimes : dict of str to float
-        Seconds that each router has counted.
+        Seconds for which each router has been counting.
     evicted : int
-        Series that routers dropped for want of room.
+        Series that routers dropped to limit their memory.
     """
 
     rows: tuple[Row, ...]
@@ -186,19 +196,19 @@
     uptimes: dict[str, float]
     evicted: int
 
-    def coverage(self, seconds: float) -> float:
-        """Return the part of a window that the routers' counts cover."""
+    def coverage(self, window_seconds: float) -> float:
+        """Return the fraction of a window that the counts of all routers cover."""
         routers = len(self.uptimes) + len(self.missing) + len(self.wrong)
         if not routers:
             return 0.0
-        covered = sum(min(up, seconds) for up in self.uptimes.values())
-        return covered / (routers * seconds)
+        covered = sum(min(up, window_seconds) for up in self.uptimes.values())
+        return covered / (routers * window_seconds)
 
-    def value(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """Return plain values for JSON."""
         windows = sorted({w for row in self.rows for w in row.counts})
         return {
-            "rows": [row.value() for row in self.rows],
+            "rows": [row.to_dict() for row in self.rows],
             "missing": list(self.missing),
             "wrong": list(self.wrong),
             "evicted": self.evicted,
@@ -206,48 +216,55 @@
         }
 
 
-def _worst(row: Row) -> tuple[float, str, str, str]:
+def _by_budget_left(row: Row) -> tuple[float, str, str, str]:
     left = row.budget_left
     rank = math.inf if left is None else left
     return rank, row.service, row.kind, row.organisation
 
 
-def _read(answer: Any) -> _Answer | None:
+def _decode(response: Any) -> _RouterCounts | None:
     try:
-        read = _reader.validate_python(answer)
-        for series in read.series:
+        decoded = _counts_adapter.validate_python(response)
+        for series in decoded.series:
             add_sketch(new_sketch(), series.sketch)
     except (ValidationError, ValueError):
         return None
-    return read
+    return decoded
+
 
+def merge(responses: Mapping[str, Any]) -> BurnReport:
+    """Merge the responses of routers into one report.
 
-def merge(answers: Mapping[str, Any]) -> BurnReport:
-    """Merge the answers of routers, None for one that gave none.
+    The report lists routers whose response is None or malformed, so that their
+    requests are not taken for good ones.
 
-    A router whose answer is missing or wrong adds nothing, and is named: its
-    requests must not pass for good ones.
+    Parameters
+    ----------
+    responses : mapping of str to object
+        Responses by VM, None for a router that did not respond.
     """
     rows: dict[tuple[str, ...], Row] = {}
     missing, wrong = [], []
     uptimes: dict[str, float] = {}
     evicted = 0
-    for vm, answer in sorted(answers.items()):
-        if answer is None:
+    for vm, response in sorted(responses.items()):
+        if response is None:
             missing.append(vm)
             continue
-        read = _read(answer)
-        if read is None:
+        decoded = _decode(response)
+        if decoded is None:
             wrong.append(vm)
             continue
-        uptimes[vm] = read.uptime
-        evicted += read.evicted
-        _add_all(rows, read.series)
-    ordered = tuple(sorted(rows.values(), key=_worst))
+        uptimes[vm] = decoded.uptime
+        evicted += decoded.evicted
+        _add_series(rows, decoded.series)
+    ordered = tuple(sorted(rows.values(), key=_by_budget_left))
     return BurnReport(ordered, tuple(missing), tuple(wrong), uptimes, evicted)
 
 
-def _add_all(rows: dict[tuple[str, ...], Row], all_series: Iterable[_Series]) -> None:
+def _add_series(
+    rows: dict[tuple[str, ...], Row], all_series: Iterable[_Series]
+) -> None:
     for series in all_series:
         key = (series.objective, series.organisation, series.service, series.kind)
         row = rows.get(key)
--- a/packages/ctl/src/teaselctl/client.py
+++ b/packages/ctl/src/teaselctl/client.py
@@ -1,4 +1,4 @@
-"""Call the operators' port of routers."""
+"""HTTP client for the operators' port of routers."""
 
 import asyncio
 import json
@@ -17,23 +17,23 @@
 
 __all__ = ["Client", "read_key"]
 
-CALL_SECONDS = 20.0
-FLEET_SECONDS = 5.0
-"""Time for one router when all are asked; a dead one must not hold the rest."""
+REQUEST_TIMEOUT_SECONDS = 20.0
+FLEET_REQUEST_TIMEOUT_SECONDS = 5.0
+"""Shorter when all routers are queried, so that a dead one doesn't delay the others."""
 
-MAX_CALLS = 64
-MAX_ANSWER_BYTES = 64 * 1024 * 1024
-OK_STATUS = 200
-UNAUTHENTICATED = 401
+MAX_CONCURRENT_REQUESTS = 64
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+HTTP_OK = 200
+HTTP_UNAUTHORIZED = 401
 
 
 def read_key(path: str) -> str:
-    """Return the key in a file.
+    """Return the operator's key from a file.
 
     Raises
     ------
     CommandError
-        If there is none.
+        If no file is named, or it doesn't hold a key on one line.
     """
     if not path:
         raise CommandError("no key: name the file that holds it with --key_file")
@@ -48,12 +48,12 @@
 
 
 def read_tls(flags: FlagValues) -> ssl.SSLContext | None:
-    """Return the context for TLS that the flags name, None without an authority.
+    """Return the TLS context for the files in the flags, None if there are none.
 
     Raises
     ------
     CommandError
-        If a file is missing or holds no such thing.
+        If a flag or file is missing, or a file can't be loaded.
     """
     named = (flags.ca, flags.certificate, flags.certificate_key)
     if not any(named):
@@ -67,16 +67,16 @@
 
 
 class Client:
-    """Calls one router, and through its member list all others.
+    """Sends requests to one router, and to all others that it lists.
 
     Parameters
     ----------
     router : str
-        ``host:port`` of a router's operators' port.
+        ``host:port`` of the router's operators' port.
     key : str
         The operator's key.
     tls : ssl.SSLContext or None
-        For routers whose operators' port has TLS.
+        TLS context; None for plain HTTP.
     """
 
     def __init__(
@@ -93,8 +93,8 @@
         self._scheme = "https" if tls is not None else "http"
         self._http = SimpleAsyncHTTPClient(
             force_instance=True,
-            max_clients=MAX_CALLS,
-            max_body_size=MAX_ANSWER_BYTES,
+            max_clients=MAX_CONCURRENT_REQUESTS,
+            max_body_size=MAX_RESPONSE_BYTES,
         )
 
     @classmethod
@@ -103,44 +103,55 @@
         return cls(flags.router, read_key(flags.key_file), read_tls(flags))
 
     async def get(self, path: str, **query: Any) -> Any:
-        """Read from the router."""
-        given = {
+        """Send a GET request to the router, without empty query parameters."""
+        parameters = {
             name: value for name, value in query.items() if value not in ("", None)
         }
-        full = f"{path}?{urlencode(given)}" if given else path
-        return await self._call(self._router, "GET", full, None, CALL_SECONDS)
+        full = f"{path}?{urlencode(parameters)}" if parameters else path
+        return await self._request(
+            self._router, "GET", full, None, REQUEST_TIMEOUT_SECONDS
+        )
 
     async def post(self, path: str, body: Any) -> Any:
-        """Send to the router."""
+        """Send a POST request with a JSON body to the router."""
         data = json.dumps(body).encode()
-        return await self._call(self._router, "POST", path, data, CALL_SECONDS)
+        return await self._request(
+            self._router, "POST", path, data, REQUEST_TIMEOUT_SECONDS
+        )
 
-    async def fleet(self, path: str) -> dict[str, Any]:
-        """Read from every router that the first one knows.
+    async def get_from_all(self, path: str) -> dict[str, Any]:
+        """Send a GET request to every router in the router's member list.
 
         Returns
         -------
         dict
-            Answers by VM, None where there was none.
+            Responses by VM, None for a router that did not respond.
         """
         status = await self.get("/v1/status")
         addresses = {m["vm"]: m["operator_address"] for m in status["members"]}
         addresses.update(dict.fromkeys(status["silent"], ""))
-        answers = await asyncio.gather(
-            *(self._try(address, path) for address in addresses.values())
+        responses = await asyncio.gather(
+            *(self._get_or_none(address, path) for address in addresses.values())
         )
-        return dict(zip(addresses, answers, strict=True))
+        return dict(zip(addresses, responses, strict=True))
 
-    async def _try(self, address: str, path: str) -> Any:
+    async def _get_or_none(self, address: str, path: str) -> Any:
         if not address:
             return None
         try:
-            return await self._call(address, "GET", path, None, FLEET_SECONDS)
+            return await self._request(
+                address, "GET", path, None, FLEET_REQUEST_TIMEOUT_SECONDS
+            )
         except CommandError:
             return None
 
-    async def _call(
-        self, router: str, method: str, path: str, body: bytes | None, seconds: float
+    async def _request(
+        self,
+        router: str,
+        method: str,
+        path: str,
+        body: bytes | None,
+        timeout_seconds: float,
     ) -> Any:
         request = HTTPRequest(
             f"{self._scheme}://{router}{path}",
@@ -148,8 +159,8 @@
             ssl_options=self._tls,
             headers={"Authorization": f"Bearer {self._key}"},
             body=body,
-            request_timeout=seconds,
-            connect_timeout=min(seconds, FLEET_SECONDS),
+            request_timeout=timeout_seconds,
+            connect_timeout=min(timeout_seconds, FLEET_REQUEST_TIMEOUT_SECONDS),
         )
         try:
             response = await self._http.fetch(request, raise_error=False)
@@ -160,18 +171,18 @@
             value = json.loads(response.body)
         except ValueError:
             value = {}
-        if response.code == OK_STATUS:
+        if response.code == HTTP_OK:
             return value
         if response.code >= 599:  # noqa: PLR2004
             raise CommandError(f"router {router} gave no answer in time")
-        raise _refusal(router, response.code, value)
+        raise _error_from_response(router, response.code, value)
 
 
-def _refusal(router: str, status: int, value: Any) -> CommandError:
+def _error_from_response(router: str, status: int, value: Any) -> CommandError:
     if not isinstance(value, dict):
         value = {}
-    if status == UNAUTHENTICATED:
+    if status == HTTP_UNAUTHORIZED:
         message = f"router {router} knows no operator with this key"
         return CommandError(message, USAGE, value)
-    what = value.get("detail") or value.get("title") or f"status {status}"
-    return CommandError(f"refused: {what}", FAULTY, value)
+    reason = value.get("detail") or value.get("title") or f"status {status}"
+    return CommandError(f"refused: {reason}", FAULTY, value)
--- a/packages/ctl/src/teaselctl/commands/__init__.py
+++ b/packages/ctl/src/teaselctl/commands/__init__.py
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True)
 class Command:
-    """A command as the help shows it.
+    """A command with its help texts.
 
     Attributes
     ----------
     module : str
-        Holds ``run(args)``.
+        Module with the function ``run(args)``.
     usage : str
         Arguments and flags.
     summary : str
         What it does, in one sentence.
     details : str
-        What a newcomer should know.
+        Further explanation, may be empty.
     """
 
     module: str
@@ -34,7 +34,7 @@
     details: str = ""
 
     def load(self) -> Run:
-        """Return the function that runs it."""
+        """Import the module and return its function ``run``."""
         return cast(Run, import_module(self.module).run)
 
 
@@ -65,7 +65,7 @@
         "--router=HOST:PORT --key_file=FILE",
         "Make the files the next version.",
         "--base is the version that you started from; `show`, `diff` and `history` "
-        "tell it. Changes that others made since stay in force. If they changed "
+        "print it. Changes that others made since stay in force. If they changed "
         "the same entries, nothing is applied and you see who changed what.",
     ),
     "history": Command(
@@ -84,14 +84,14 @@
         "teaselctl.commands.status",
         "status [--seconds=S] --router=HOST:PORT --key_file=FILE",
         "Show routers, versions in force, services, shares and health.",
-        "It looks twice, --seconds apart, to tell what organisations receive now.",
+        "Reads the status twice, --seconds apart, to show what organisations receive.",
     ),
     "routers": Command(
         "teaselctl.commands.routers",
         "routers --router=HOST:PORT",
         "Show routers on the platform by zone, as one of them sees them.",
-        "HOST:PORT is the router's port for other routers. It tells the version in "
-        "force, the store's era and the age of what is known of it.",
+        "HOST:PORT is the router's port for other routers. Shows the version in "
+        "force, the store's era and the age of the router's store cache.",
     ),
     "drain": Command(
         "teaselctl.commands.drain",
@@ -109,9 +109,9 @@
     "explain": Command(
         "teaselctl.commands.explain",
         "explain ID [FILE...]",
-        "Tell the story of one request from the routers' logs.",
+        "Show the lines of one request in the routers' logs, with related events.",
         "Reads JSON lines from the files, or from standard input. Lines that can't "
-        "be read are counted. Exit code 0: found, 1: no line tells of it.",
+        "be read are counted. Exit code 0: found, 1: no line has this id.",
     ),
     "report": Command(
         "teaselctl.commands.report",
@@ -122,15 +122,15 @@
         "writes a page with plots.",
     ),
 }
-"""The commands; adding one takes a line here and a module."""
+"""Commands by name; a new command needs an entry here and a module."""
 
 
 class CommandNotFoundError(LookupError):
-    """There is no command of that name."""
+    """No command has the given name."""
 
 
 def get_command_by_name(name: str) -> Command:
-    """Return a command.
+    """Return the command with a name.
 
     Raises
     ------
--- a/packages/ctl/src/teaselctl/commands/apply.py
+++ b/packages/ctl/src/teaselctl/commands/apply.py
@@ -1,4 +1,4 @@
-"""Make files the next version."""
+"""Apply sections of files as the next version."""
 
 import secrets
 from typing import Any
@@ -8,7 +8,7 @@
 
 from teaselctl.client import Client
 from teaselctl.commands.diff import change_lines
-from teaselctl.files import as_errors, located, open_source, sections_of
+from teaselctl.files import issues_error, locate_issues, open_source, sections_of
 from teaselctl.options import FLAGS
 from teaselctl.output import FAULTY, CommandError, Output
 
@@ -16,12 +16,12 @@
 
 
 def new_apply_id() -> str:
-    """Return the identifier that the operator gave, or a fresh one."""
+    """Return the identifier from the flags, or a new random one."""
     return FLAGS.apply_id or secrets.token_hex(8)
 
 
 async def run(args: list[str]) -> Output:
-    """Send the sections of the files."""
+    """Send the sections of the files to a router."""
     source = open_source(args)
     sections = sections_of(source, FLAGS.section)
     if FLAGS.base is None:
@@ -39,12 +39,12 @@
 
 
 async def send(path: str, body: dict[str, Any], source: Source | None) -> Output:
-    """Send a change and tell what became of it."""
+    """Send a change and return its result."""
     client = Client.from_flags(FLAGS)
     try:
         applied = await client.post(path, body)
     except CommandError as error:
-        raise _explained(error, body, source) from None
+        raise _describe_error(error, body, source) from None
     lines = [f"version {applied['version']} is accepted"]
     if applied["found_again"]:
         lines = [f"version {applied['version']} holds this change already"]
@@ -57,13 +57,13 @@
     return Output({**applied, "apply_id": body["apply_id"]}, "\n".join(lines))
 
 
-def _explained(
+def _describe_error(
     error: CommandError, body: dict[str, Any], source: Source | None
 ) -> CommandError:
     value = error.value if isinstance(error.value, dict) else {}
     kind = value.get("kind", "")
     if value.get("mistakes") and source is not None:
-        return as_errors(located(source, value["mistakes"]))
+        return issues_error(locate_issues(source, value["mistakes"]))
     if kind == "conflict":
         return CommandError(conflict_text(value["conflicts"]), FAULTY, value)
     if "kind" not in value or kind in ("store", "uncertain"):
@@ -79,7 +79,7 @@
 
 
 def conflict_text(conflicts: list[dict[str, Any]]) -> str:
-    """Return who changed what meanwhile."""
+    """Describe the conflicting changes and their authors."""
     lines = [
         "others changed the same entries since your base; nothing was applied, "
         "and your files are as they were"
--- a/packages/ctl/src/teaselctl/commands/check.py
+++ b/packages/ctl/src/teaselctl/commands/check.py
@@ -2,18 +2,18 @@
 
 from teaselledge.version.source import check_source
 
-from teaselctl.files import as_errors, open_source
+from teaselctl.files import issues_error, open_source
 from teaselctl.output import Output
 
 __all__ = ["run"]
 
 
 async def run(args: list[str]) -> Output:
-    """Check the files and count what they hold."""
+    """Check the files and print the number of entries by type."""
     source = open_source(args)
     checked = check_source(source)
     if checked.is_error():
-        raise as_errors(checked.error)
+        raise issues_error(checked.error)
     document = checked.ok.document
     counts = {
         "zones": len(document.zones),
--- a/packages/ctl/src/teaselctl/commands/diff.py
+++ b/packages/ctl/src/teaselctl/commands/diff.py
@@ -1,4 +1,4 @@
-"""Show what differs between files and versions."""
+"""Show the differences between files and versions."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 
 
 def change_lines(change: EntryChange) -> list[str]:
-    """Return one changed entry as lines."""
+    """Format a changed entry as lines."""
     kind = "changed"
     if change.old is None:
         kind = "new"
@@ -31,7 +31,7 @@
 
 
 async def run(args: list[str]) -> Output:
-    """Compare files, or two versions."""
+    """Compare files with a version, or two versions."""
     client = Client.from_flags(FLAGS)
     if not args and FLAGS.base is None:
         raise CommandError("name files, or a version with --base")
@@ -39,7 +39,7 @@
     old = flatten(first["document"])
     if args:
         source = open_source(args)
-        new = _with(old, sections_of(source, FLAGS.section))
+        new = _replace_sections(old, sections_of(source, FLAGS.section))
         title = f"version {first['head']['version']} and the files"
     else:
         second = await client.get(f"/v1/versions/{FLAGS.to or 'head'}")
@@ -56,9 +56,9 @@
     return Output(value, text)
 
 
-def _with(old: Entries, sections: dict[str, Any]) -> Entries:
-    given = flatten(sections)
-    new = {**old, **{name: given[name] for name in sections}}
+def _replace_sections(old: Entries, sections: dict[str, Any]) -> Entries:
+    replaced = flatten(sections)
+    new = {**old, **{name: replaced[name] for name in sections}}
     if "services" in sections:
-        new[ENDPOINTS] = given[ENDPOINTS]
+        new[ENDPOINTS] = replaced[ENDPOINTS]
     return new
--- a/packages/ctl/src/teaselctl/commands/drain.py
+++ b/packages/ctl/src/teaselctl/commands/drain.py
@@ -8,7 +8,9 @@
 
 
 async def run(args: list[str]) -> Output:
-    """Ask the router to drain."""
+    """Request that the router drains."""
     client = Client.from_flags(FLAGS)
-    answer = await client.post("/v1/drain", {})
-    return Output(answer, f"{answer['draining']} drains; `status` shows it as leaving")
+    response = await client.post("/v1/drain", {})
+    return Output(
+        response, f"{response['draining']} drains; `status` shows it as leaving"
+    )
--- a/packages/ctl/src/teaselctl/commands/explain.py
+++ b/packages/ctl/src/teaselctl/commands/explain.py
@@ -1,33 +1,39 @@
-"""Tell the story of one request from logs."""
+"""Print the log lines that belong to one request."""
 
 import sys
 from collections.abc import Iterator
 from pathlib import Path
 
 from teaselctl.output import FAULTY, USAGE, CommandError, Output
-from teaselctl.story import Line, Story, read_story
+from teaselctl.story import LogLine, RequestLog, read_request_log
 
 __all__ = ["run"]
 
-HIDDEN = frozenset({"at", "level", "part", "event", "id"})
+HIDDEN_FIELDS = frozenset({"at", "level", "part", "event", "id"})
 
 
 async def run(args: list[str]) -> Output:
-    """Read logs and print what they tell of a request."""
+    """Read logs from files or standard input and print the lines of a request."""
     if not args:
         raise CommandError("explain needs the id of a request")
-    story = read_story(args[0], _texts(args[1:]))
+    request_log = read_request_log(args[0], _read_lines(args[1:]))
     value = {
-        "lines": [{"source": line.source, **line.fields} for line in story.lines],
-        "around": [{"source": line.source, **line.fields} for line in story.around],
-        "malformed_lines": story.malformed,
+        "lines": [{"source": line.source, **line.fields} for line in request_log.lines],
+        "around": [
+            {"source": line.source, **line.fields} for line in request_log.related
+        ],
+        "malformed_lines": request_log.malformed_count,
     }
-    if not story.lines:
-        return Output(value, f"No line tells of {args[0]}.{_skipped(story)}", FAULTY)
-    return Output(value, _told(story))
+    if not request_log.lines:
+        return Output(
+            value,
+            f"No line tells of {args[0]}.{_format_malformed(request_log)}",
+            FAULTY,
+        )
+    return Output(value, _format_log(request_log))
 
 
-def _texts(names: list[str]) -> Iterator[tuple[str, str]]:
+def _read_lines(names: list[str]) -> Iterator[tuple[str, str]]:
     if not names:
         yield from (("standard input", line) for line in sys.stdin)
         return
@@ -39,25 +45,25 @@
             raise CommandError(str(error), USAGE) from error
 
 
-def _told(story: Story) -> str:
-    start = story.lines[0].at
-    text = [_shown(line, start) for line in story.lines]
-    if story.around:
+def _format_log(request_log: RequestLog) -> str:
+    start = request_log.lines[0].at
+    text = [_format_line(line, start) for line in request_log.lines]
+    if request_log.related:
         text += ["", "At the same routers, within 5 s:"]
-        text += [_shown(line, start) for line in story.around]
-    return "\n".join(text) + _skipped(story)
+        text += [_format_line(line, start) for line in request_log.related]
+    return "\n".join(text) + _format_malformed(request_log)
 
 
-def _shown(line: Line, start: float) -> str:
+def _format_line(line: LogLine, start: float) -> str:
     fields = ", ".join(
         f"{name} {value}"
         for name, value in line.fields.items()
-        if name not in HIDDEN and value is not None
+        if name not in HIDDEN_FIELDS and value is not None
     )
     return f"{line.at - start:+8.3f} s  {line.source}  {line.event}: {fields}"
 
 
-def _skipped(story: Story) -> str:
-    if not story.malformed:
+def _format_malformed(request_log: RequestLog) -> str:
+    if not request_log.malformed_count:
         return ""
-    return f"\n{story.malformed} lines could not be read."
+    return f"\n{request_log.malformed_count} lines could not be read."
--- a/packages/ctl/src/teaselctl/commands/orders.py
+++ b/packages/ctl/src/teaselctl/commands/orders.py
@@ -17,7 +17,7 @@
     return f"/v1/orders/{quote(organisation, safe='')}/{quote(key, safe='')}"
 
 
-def _text(order: dict[str, Any]) -> str:
+def _format_order(order: dict[str, Any]) -> str:
     width = max(len(name) for name in order)
     return "\n".join(f"{name.ljust(width)}  {value}" for name, value in order.items())
 
@@ -40,7 +40,7 @@
     if len(args) != 2:  # noqa: PLR2004
         raise CommandError("orders show takes an organisation and a key")
     order = await client.get(_path(*args))
-    return Output(order, _text(order))
+    return Output(order, _format_order(order))
 
 
 async def _settle(client: Client, args: list[str]) -> Output:
@@ -48,14 +48,14 @@
         choices = " or ".join(OUTCOMES)
         raise CommandError(f"orders settle takes an organisation, a key and {choices}")
     order = await client.post(_path(*args[:2]), {"outcome": args[2]})
-    return Output(order, f"settled\n{_text(order)}")
+    return Output(order, f"settled\n{_format_order(order)}")
 
 
 ACTIONS = {"list": _list, "show": _show, "settle": _settle}
 
 
 async def run(args: list[str]) -> Output:
-    """Do what the first argument names."""
+    """Run the action that the first argument names."""
     action = ACTIONS.get(args[0]) if args else None
     if action is None:
         raise CommandError(f"orders takes one of {', '.join(ACTIONS)}")
--- a/packages/ctl/src/teaselctl/commands/report.py
+++ b/packages/ctl/src/teaselctl/commands/report.py
@@ -1,4 +1,4 @@
-"""Report on service-level burn."""
+"""Report burn rates and error budgets of the service-level objectives."""
 
 from pathlib import Path
 from typing import Any
@@ -18,7 +18,7 @@
         "organisation": row.organisation,
         "service": row.service,
         "kind": row.kind,
-        "objective": f"{100 * row.target:g}% in {row.seconds:g} s",
+        "objective": f"{100 * row.target:g}% in {row.latency_seconds:g} s",
         "good": row.good,
         "bad": row.bad,
         "budget_left": None if left is None else f"{100 * left:.0f}%",
@@ -26,14 +26,14 @@
         "p95_s": row.quantile(0.95),
     }
     for alert in ALERTS:
-        cells[f"burn_{alert.short}s"] = row.burn(alert.short)
-        cells[f"burn_{alert.long}s"] = row.burn(alert.long)
+        cells[f"burn_{alert.short_seconds}s"] = row.burn(alert.short_seconds)
+        cells[f"burn_{alert.long_seconds}s"] = row.burn(alert.long_seconds)
     return cells
 
 
 def report_text(report: BurnReport) -> str:
-    """Return the report as a table with its gaps."""
-    windows = sorted({w for a in ALERTS for w in (a.short, a.long)})
+    """Return the report as a table, followed by the gaps in its data."""
+    windows = sorted({w for a in ALERTS for w in (a.short_seconds, a.long_seconds)})
     columns = ["organisation", "service", "kind", "objective", "good", "bad"]
     columns += ["budget_left", "alert", "p95_s", *(f"burn_{w}s" for w in windows)]
     lines = [table(columns, (_cells(row) for row in report.rows))]
@@ -49,7 +49,7 @@
 
 
 def _write_page(path: str, report: BurnReport) -> None:
-    # matplotlib takes a second to load, which only the page needs
+    # matplotlib, which only the page needs, takes a second to import
     from teaselctl.burnpage import burn_page  # noqa: PLC0415
 
     try:
@@ -59,14 +59,14 @@
 
 
 async def run(args: list[str]) -> Output:
-    """Merge what all routers counted."""
+    """Fetch the counts of all routers and print the merged report."""
     if args != ["burn"]:
         raise CommandError("report takes one argument, burn")
     client = Client.from_flags(FLAGS)
     query = urlencode({"service": FLAGS.service, "organisation": FLAGS.organisation})
-    report = merge(await client.fleet(f"/v1/objectives?{query}"))
+    report = merge(await client.get_from_all(f"/v1/objectives?{query}"))
     text = report_text(report)
     if FLAGS.html:
         _write_page(FLAGS.html, report)
         text += f"\npage: {FLAGS.html}"
-    return Output(report.value(), text)
+    return Output(report.to_dict(), text)
--- a/packages/ctl/src/teaselctl/commands/rollback.py
+++ b/packages/ctl/src/teaselctl/commands/rollback.py
@@ -8,7 +8,7 @@
 
 
 async def run(args: list[str]) -> Output:
-    """Ask a router to roll back."""
+    """Request that a router applies the content of an older version."""
     if FLAGS.to is None or FLAGS.base is None:
         raise CommandError(
             "rollback needs --to=N, the version to go back to, and --base=M, the "
--- a/packages/ctl/src/teaselctl/commands/routers.py
+++ b/packages/ctl/src/teaselctl/commands/routers.py
@@ -1,4 +1,4 @@
-"""Show the fleet on the platform as one of its routers sees it."""
+"""Show the routers on the platform by zone, from the state of one of them."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -22,7 +22,7 @@
 
 
 async def run(args: list[str]) -> Output:
-    """Fetch what a router knows and print it by zone."""
+    """Fetch the state of a router and print it by zone."""
     if args or not FLAGS.router:
         raise CommandError("routers needs --router=HOST:PORT, a router's peers' port")
     client = StateClient()
@@ -33,10 +33,12 @@
     if fetched.is_error():
         raise CommandError(f"{FLAGS.router}: {fetched.error}")
     state = fetched.ok
-    routers = [_row(MemberReport.from_wire(info)) for info in state.routers or ()]
-    own = _row(MemberReport(Member.from_wire(state.sender), 0.0))
+    routers = [
+        _router_row(MemberReport.from_wire(info)) for info in state.routers or ()
+    ]
+    own = _router_row(MemberReport(Member.from_wire(state.sender), 0.0))
     value = {**_summary(state), "routers": [own, *routers]}
-    return Output(value, _told(value))
+    return Output(value, _format_state(value))
 
 
 def _summary(state: WholeState) -> dict[str, Any]:
@@ -52,7 +54,7 @@
     }
 
 
-def _row(report: MemberReport) -> dict[str, Any]:
+def _router_row(report: MemberReport) -> dict[str, Any]:
     member = report.member
     return {
         "vm": member.vm,
@@ -63,39 +65,39 @@
     }
 
 
-def _told(value: dict[str, Any]) -> str:
+def _format_state(value: dict[str, Any]) -> str:
     age = value["store_seconds"]
-    known = "never read" if age is None else f"read {age:.1f} s ago"
+    store = "never read" if age is None else f"read {age:.1f} s ago"
     lines = [
-        f"As {value['router']} sees it: version {value['version']}, store {known}, "
+        f"As {value['router']} sees it: version {value['version']}, store {store}, "
         f"era {value['store_era']}, {value['endpoints']} endpoints, "
         f"{value['leaving']} of them leaving.",
         "",
-        table(COLUMNS, _zones(value["routers"])),
+        table(COLUMNS, _zone_rows(value["routers"])),
     ]
     return "\n".join(lines)
 
 
-def _zones(routers: Iterable[dict[str, Any]]) -> list[dict[str, Any]]:
+def _zone_rows(routers: Iterable[dict[str, Any]]) -> list[dict[str, Any]]:
     zones = defaultdict(list)
     for router in routers:
         zones[router["zone"]].append(router)
-    return [_zone(name, members) for name, members in sorted(zones.items())]
+    return [_zone_row(name, members) for name, members in sorted(zones.items())]
 
 
-def _zone(name: str, routers: list[dict[str, Any]]) -> dict[str, Any]:
+def _zone_row(name: str, routers: list[dict[str, Any]]) -> dict[str, Any]:
     busiest = max(routers, key=lambda router: router["busy"])
     ready = MemberState.READY.name.lower()
     return {
         "zone": name,
         "routers": len(routers),
         "ready": sum(router["state"] == ready for router in routers),
-        "answering": sum(_answers(router["silent_seconds"]) for router in routers),
+        "answering": sum(_is_answering(router["silent_seconds"]) for router in routers),
         "busiest": busiest["vm"],
         "busy": busiest["busy"],
         "mean_busy": sum(router["busy"] for router in routers) / len(routers),
     }
 
 
-def _answers(silent: float | None) -> bool:
-    return silent is not None and silent <= HINT_SECONDS
+def _is_answering(silent_seconds: float | None) -> bool:
+    return silent_seconds is not None and silent_seconds <= HINT_SECONDS
--- a/packages/ctl/src/teaselctl/commands/show.py
+++ b/packages/ctl/src/teaselctl/commands/show.py
@@ -10,7 +10,7 @@
 
 
 async def run(args: list[str]) -> Output:
-    """Read one version."""
+    """Fetch a version and print its document."""
     number = args[0] if args else "head"
     if args and (len(args) > 1 or not number.isdecimal()):
         raise CommandError("show takes one version number at most")
--- a/packages/ctl/src/teaselctl/commands/status.py
+++ b/packages/ctl/src/teaselctl/commands/status.py
@@ -1,4 +1,4 @@
-"""Show the state of the fleet."""
+"""Show routers, services, shares and health of the fleet."""
 
 import asyncio
 from dataclasses import asdict
@@ -17,7 +17,7 @@
 SHARD_COLUMNS = ("dispatcher", "waiting", "running", "free", "utilisation", "gap")
 
 
-def _routers(reports: dict[str, Any]) -> list[dict[str, Any]]:
+def _router_rows(reports: dict[str, Any]) -> list[dict[str, Any]]:
     rows: list[dict[str, Any]] = []
     for vm, report in sorted(reports.items()):
         if report is None:
@@ -39,21 +39,21 @@
     return rows
 
 
-def _shards(reports: dict[str, Any]) -> list[dict[str, Any]]:
+def _shard_rows(reports: dict[str, Any]) -> list[dict[str, Any]]:
     rows = []
     for vm, report in sorted(reports.items()):
-        for figure in report["shards"] if report is not None else ():
-            slots = figure["running"] + figure["free"]
-            used = figure["running"] / slots if slots else None
-            rows.append({**figure, "dispatcher": vm, "utilisation": used})
+        for shard in report["shards"] if report is not None else ():
+            slots = shard["running"] + shard["free"]
+            used = shard["running"] / slots if slots else None
+            rows.append({**shard, "dispatcher": vm, "utilisation": used})
     return rows
 
 
-def _shares(before: dict[str, Any], after: dict[str, Any]) -> list[dict[str, Any]]:
+def _share_rows(before: dict[str, Any], after: dict[str, Any]) -> list[dict[str, Any]]:
     return [asdict(row) for row in share_rows(before, after)]
 
 
-def _health(reports: dict[str, Any]) -> list[dict[str, Any]]:
+def _health_rows(reports: dict[str, Any]) -> list[dict[str, Any]]:
     return [
         {"router": vm, **entry}
         for vm, report in sorted(reports.items())
@@ -64,38 +64,39 @@
 
 
 async def run(args: list[str]) -> Output:
-    """Read the status of all routers."""
+    """Fetch the status of all routers twice and print it with the shares received."""
     client = Client.from_flags(FLAGS)
-    before = await client.fleet("/v1/status")
+    before = await client.get_from_all("/v1/status")
     await asyncio.sleep(FLAGS.seconds)
-    reports = await client.fleet("/v1/status")
-    shared = _shares(before, reports)
+    reports = await client.get_from_all("/v1/status")
+    shares = _share_rows(before, reports)
     health = fleet_health(reports)
     answered = [report for report in reports.values() if report is not None]
     services = answered[0]["services"] if answered else []
     routers = ("router", "zone", "region", "version", "unreadable")
-    parts = [
+    sections = [
         "Routers",
-        table((*routers, "waiting", "running", "state"), _routers(reports)),
+        table((*routers, "waiting", "running", "state"), _router_rows(reports)),
         "",
         "Services",
         table(("service", "zone", "endpoints", "slots", "leaving"), services),
         "",
         "Shards",
-        table(("service", "zone", *SHARD_COLUMNS), _shards(reports)),
+        table(("service", "zone", *SHARD_COLUMNS), _shard_rows(reports)),
         "",
         f"Shares, over {FLAGS.seconds:g} s",
-        table(SHARE_COLUMNS, shared),
+        table(SHARE_COLUMNS, shares),
         "",
         "To look at",
         table(
-            ("router", "name", "value", "limit", "unit", "meaning"), _health(reports)
+            ("router", "name", "value", "limit", "unit", "meaning"),
+            _health_rows(reports),
         ),
     ]
     for vm, other in health["unseen"]:
-        parts.append(f"{vm} does not see {other}")
+        sections.append(f"{vm} does not see {other}")
     if health["missing"]:
-        parts.append(f"no answer from {', '.join(health['missing'])}")
+        sections.append(f"no answer from {', '.join(health['missing'])}")
     return Output(
-        {"fleet": health, "routers": reports, "shares": shared}, "\n".join(parts)
+        {"fleet": health, "routers": reports, "shares": shares}, "\n".join(sections)
     )
--- a/packages/ctl/src/teaselctl/files.py
+++ b/packages/ctl/src/teaselctl/files.py
@@ -1,4 +1,4 @@
-"""Documents in files, for the commands that read them."""
+"""Read configuration documents from files and report their faults."""
 
 from collections.abc import Mapping
 from dataclasses import asdict
@@ -11,25 +11,25 @@
 
 from teaselctl.output import FAULTY, USAGE, CommandError
 
-__all__ = ["as_errors", "located", "open_source", "sections_of"]
+__all__ = ["issues_error", "locate_issues", "open_source", "sections_of"]
 
 
-def as_errors(mistakes: list[ConfigIssue]) -> CommandError:
-    """Return the error that lists all faults."""
-    lines = [str(mistake) for mistake in mistakes]
+def issues_error(issues: list[ConfigIssue]) -> CommandError:
+    """Return an error that lists all faults."""
+    lines = [str(issue) for issue in issues]
     noun = "fault" if len(lines) == 1 else "faults"
     message = "\n".join([f"{len(lines)} {noun}", *lines])
-    value = {"mistakes": [asdict(mistake) for mistake in mistakes]}
+    value = {"mistakes": [asdict(issue) for issue in issues]}
     return CommandError(message, FAULTY, value)
 
 
 def open_source(args: list[str]) -> Source:
-    """Read the files that the arguments name.
+    """Read the files and directories named by the arguments.
 
     Raises
     ------
     CommandError
-        If there are none, or if they are faulty.
+        If none is named, one doesn't exist, or the files are faulty.
     """
     if not args:
         raise CommandError("name the files or directories of the document")
@@ -38,17 +38,17 @@
             raise CommandError(f"there is no file {arg}", USAGE)
     result = load_source([Path(arg) for arg in args])
     if result.is_error():
-        raise as_errors(result.error)
+        raise issues_error(result.error)
     return result.ok
 
 
 def sections_of(source: Source, wanted: list[str]) -> dict[str, Any]:
-    """Return the sections to apply.
+    """Return the wanted sections of the files, or all if none is wanted.
 
     Raises
     ------
     CommandError
-        If one is not known or not in the files.
+        If a section is unknown, or a wanted one isn't in the files.
     """
     known = ", ".join(EDITABLE_SECTIONS)
     for name in [*wanted, *source.value]:
@@ -60,15 +60,17 @@
     return {name: source.value[name] for name in wanted or source.value}
 
 
-def located(source: Source, entries: list[Mapping[str, Any]]) -> list[ConfigIssue]:
-    """Return a router's faults with the places in the operator's files."""
+def locate_issues(
+    source: Source, entries: list[Mapping[str, Any]]
+) -> list[ConfigIssue]:
+    """Return the faults that a router reported, with their lines in the files."""
     paths = {format_path(path): path for path in source.lines}
-    mistakes = []
+    issues = []
     for entry in entries:
         path, found, allowed = entry["path"], entry["found"], entry["allowed"]
         known = paths.get(path)
         if known is None:
-            mistakes.append(ConfigIssue("fleet", 1, path, found, allowed))
+            issues.append(ConfigIssue("fleet", 1, path, found, allowed))
             continue
-        mistakes.append(issue_at(source, known, found, allowed))
-    return mistakes
+        issues.append(issue_at(source, known, found, allowed))
+    return issues
--- a/packages/ctl/src/teaselctl/main.py
+++ b/packages/ctl/src/teaselctl/main.py
@@ -1,4 +1,4 @@
-"""The command line of operators."""
+"""Entry point of teaselctl."""
 
 import asyncio
 import json
@@ -15,8 +15,8 @@
 __all__ = ["main", "run"]
 
 
-def overview() -> str:
-    """Return the help of the whole program."""
+def program_help() -> str:
+    """Return the help text of the program."""
     width = max(len(name) for name in COMMANDS)
     lines = [
         "teaselctl drives a fleet of routers.",
@@ -29,8 +29,8 @@
     return "\n".join(lines)
 
 
-def help_of(name: str) -> str:
-    """Return the help of one command."""
+def command_help(name: str) -> str:
+    """Return the help text of a command."""
     command = get_command_by_name(name)
     lines = [command.summary, "", f"usage: teaselctl {command.usage}"]
     if command.details:
@@ -47,9 +47,9 @@
 
 def _execute(args: list[str]) -> Output:
     if not args:
-        return Output({"error": "no command"}, overview(), USAGE)
+        return Output({"error": "no command"}, program_help(), USAGE)
     if args[0] == "help":
-        text = help_of(args[1]) if args[1:] else overview()
+        text = command_help(args[1]) if args[1:] else program_help()
         return Output({"help": text}, text)
     command = get_command_by_name(args[0])
     return asyncio.run(command.load()(args[1:]))  # type: ignore[arg-type]
@@ -59,7 +59,7 @@
     """Run a command and return the exit code."""
     if {"--help", "-h", "--helpshort", "--helpfull"} & set(argv):
         named = [arg for arg in argv[1:] if arg in COMMANDS]
-        print(help_of(named[0]) if named else overview())
+        print(command_help(named[0]) if named else program_help())
         return 0
     as_json = False
     try:
@@ -67,20 +67,20 @@
         as_json = FLAGS.json
         output = _execute(args)
     except flags.Error as error:
-        return _fail(CommandError(str(error)), as_json)
+        return _print_error(CommandError(str(error)), as_json)
     except CommandNotFoundError as error:
         known = ", ".join(COMMANDS)
         message = f"no command {error.args[0]!r}; there are {known}"
-        return _fail(CommandError(message), as_json)
+        return _print_error(CommandError(message), as_json)
     except CommandError as error:
-        return _fail(error, as_json)
+        return _print_error(error, as_json)
     except KeyboardInterrupt:
         return USAGE
     print(json.dumps(output.value, indent=2) if as_json else output.text)
     return output.code
 
 
-def _fail(error: CommandError, as_json: bool) -> int:
+def _print_error(error: CommandError, as_json: bool) -> int:
     if as_json:
         print(json.dumps(error.value, indent=2))
     print(f"teaselctl: {error}", file=sys.stderr)
@@ -88,14 +88,14 @@
 
 
 def run() -> None:
-    """Entry point of the binary."""
+    """Run the program with the arguments of the process, and exit."""
     loguru.logger.remove()
     try:
         code = main(sys.argv)
         sys.stdout.flush()
     except BrokenPipeError:
-        # the reader, such as a pager, went away; the interpreter would print
-        # a traceback when it flushes at its end
+        # the reader, such as a pager, has closed the pipe; without this, the
+        # interpreter prints a traceback when it flushes stdout at exit
         sys.stderr.close()
         code = USAGE
     sys.exit(code)
--- a/packages/ctl/src/teaselctl/output.py
+++ b/packages/ctl/src/teaselctl/output.py
@@ -1,4 +1,4 @@
-"""What a command gives back, and how it is printed."""
+"""Results of commands, their exit codes and their formatting."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -8,23 +8,23 @@
 
 OK = 0
 FAULTY = 1
-"""The document has faults, or the routers refused the change."""
+"""Exit code: the document has faults, or the routers refused the request."""
 
 USAGE = 2
-"""The command was used wrongly, or no router answered."""
+"""Exit code: wrong usage, or no router responded."""
 
 
 class CommandError(Exception):
-    """A mistake of the user or a failure outside; shown without a traceback.
+    """A usage error or an external failure; printed without a traceback.
 
     Parameters
     ----------
     message : str
-        What to tell the user.
+        Message to print.
     code : int
         Exit code.
     value : object
-        What to print for machines.
+        Value to print as JSON with ``--json``.
     """
 
     def __init__(self, message: str, code: int = USAGE, value: Any = None) -> None:
@@ -40,9 +40,9 @@
     Attributes
     ----------
     value : object
-        For machines, printed as JSON.
+        Value that ``--json`` prints.
     text : str
-        For people.
+        Text that is printed without ``--json``.
     code : int
         Exit code.
     """
@@ -52,7 +52,7 @@
     code: int = OK
 
 
-def _shown(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if value is None:
         return "-"
     if isinstance(value, bool):
@@ -63,12 +63,12 @@
 
 
 def table(columns: Sequence[str], rows: Iterable[Mapping[str, Any]]) -> str:
-    """Return rows as aligned columns under a head line."""
-    cells = [[_shown(row.get(name)) for name in columns] for row in rows]
+    """Return rows as aligned columns under a header line."""
+    cells = [[_format_cell(row.get(name)) for name in columns] for row in rows]
     if not cells:
         return "(none)"
-    heads = [name.replace("_", " ").upper() for name in columns]
-    lines = [heads, *cells]
+    headers = [name.replace("_", " ").upper() for name in columns]
+    lines = [headers, *cells]
     widths = [max(len(line[i]) for line in lines) for i in range(len(columns))]
     return "\n".join(
         "  ".join(
--- a/packages/ctl/src/teaselctl/shares.py
+++ b/packages/ctl/src/teaselctl/shares.py
@@ -1,4 +1,4 @@
-"""What each organisation is due and receives, over all dispatchers."""
+"""Capacity that each organisation is due and receives, over all dispatchers."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 __all__ = ["ShareRow", "share_rows"]
 
 Reports = Mapping[str, Mapping[str, Any] | None]
-"""Status of each router by name, None where it gave none."""
+"""Status by router, None for a router that did not respond."""
 
 CounterKey = tuple[str, str, str, str]
 """Dispatching router, service, zone and organisation."""
@@ -15,20 +15,22 @@
 
 @dataclass
 class ShareRow:
-    """One organisation in one service.
+    """Share of an organisation in a service.
 
     Attributes
     ----------
     service, organisation : str
-        What it is about.
+        What the row belongs to.
     share : float
-        The organisation's share.
+        Configured share.
     served : float
-        Cost that was granted between the two looks.
+        Cost granted between the two samples.
     waiting : int
-        Requests that wait, at the second look.
+        Waiting requests in the second sample.
     due, received : float or None
-        Part of the capacity; None where nobody was served or waits.
+        Fractions of the service's capacity. Both are None for an organisation that
+        was not served and has no waiting requests; ``received`` also if no
+        organisation was served.
     """
 
     service: str
@@ -40,32 +42,33 @@
     received: float | None = None
 
 
-def _figures(reports: Reports) -> Iterator[tuple[CounterKey, Mapping[str, Any]]]:
+def _counters(reports: Reports) -> Iterator[tuple[CounterKey, Mapping[str, Any]]]:
     for vm, report in sorted(reports.items()):
-        for f in report["shares"] if report is not None else ():
-            yield (vm, f["service"], f["zone"], f["organisation"]), f
+        for entry in report["shares"] if report is not None else ():
+            yield (vm, entry["service"], entry["zone"], entry["organisation"]), entry
 
 
 def share_rows(before: Reports, after: Reports) -> list[ShareRow]:
-    """Return the rows for the time between two looks.
+    """Return the rows for the time between two samples.
 
-    A counter that fell tells nothing for this look: a charge was corrected, or the
-    dispatcher started anew. Due is the share over the shares of those that were
-    served or wait, since what others leave is divided among them.
+    A counter that fell is taken as unchanged: a charge was corrected, or the
+    dispatcher restarted. The due fraction is the share divided by the shares of all
+    organisations that were served or have waiting requests, since capacity that
+    others leave unused is divided among them.
     """
-    old = {key: figure["served"] for key, figure in _figures(before)}
+    old = {key: counters["served"] for key, counters in _counters(before)}
     rows: dict[tuple[str, str], ShareRow] = {}
-    for key, figure in _figures(after):
-        name = (figure["service"], figure["organisation"])
-        row = rows.setdefault(name, ShareRow(*name, figure["share"]))
-        row.served += max(0.0, figure["served"] - old.get(key, 0.0))
-        row.waiting += figure["waiting"]
+    for key, counters in _counters(after):
+        name = (counters["service"], counters["organisation"])
+        row = rows.setdefault(name, ShareRow(*name, counters["share"]))
+        row.served += max(0.0, counters["served"] - old.get(key, 0.0))
+        row.waiting += counters["waiting"]
     for service in {row.service for row in rows.values()}:
-        _divide([row for row in rows.values() if row.service == service])
+        _set_fractions([row for row in rows.values() if row.service == service])
     return sorted(rows.values(), key=lambda r: (r.service, -r.waiting, r.organisation))
 
 
-def _divide(rows: list[ShareRow]) -> None:
+def _set_fractions(rows: list[ShareRow]) -> None:
     active = [row for row in rows if row.served or row.waiting]
     shares = sum(row.share for row in active)
     served = sum(row.served for row in active)
--- a/packages/ctl/src/teaselctl/story.py
+++ b/packages/ctl/src/teaselctl/story.py
@@ -1,16 +1,16 @@
-"""Find what logs tell of one request."""
+"""Find the log lines that belong to one request."""
 
 import json
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from typing import Any
 
-__all__ = ["Line", "Story", "read_story"]
+__all__ = ["LogLine", "RequestLog", "read_request_log"]
 
-MARGIN_SECONDS = 5.0
-"""Time around a request in which changes of a router's belief are part of its story."""
+MAX_DISTANCE_SECONDS = 5.0
+"""Maximum distance in time between a log line of a request and a related event."""
 
-BELIEFS = frozenset(
+RELATED_EVENTS = frozenset(
     {
         "configuration in force",
         "endpoint changed",
@@ -24,19 +24,20 @@
         "requests cut",
     }
 )
-"""Events of a router that can be a cause."""
+"""Events of a router that can be the cause of a request's failure."""
 
 
 @dataclass(frozen=True)
-class Line:
+class LogLine:
     """One line of a log.
 
     Attributes
     ----------
     source : str
-        The file, or what stands before the line: usually the router.
+        Last word before the JSON object on the line, usually the router; without
+        one, the name of the file.
     fields : dict
-        The object on the line.
+        The decoded JSON object.
     """
 
     source: str
@@ -44,62 +45,65 @@
 
     @property
     def at(self) -> float:
-        """Unix time in seconds; clocks of routers may differ."""
+        """Unix time in seconds, 0 if missing; clocks of routers may differ."""
         value = self.fields.get("at")
         return float(value) if isinstance(value, int | float) else 0.0
 
     @property
     def event(self) -> str:
-        """What happened."""
+        """Name of the event."""
         return str(self.fields.get("event", ""))
 
 
 @dataclass
-class Story:
-    """What is known of a request.
+class RequestLog:
+    """Log lines that belong to a request.
 
     Attributes
     ----------
-    lines : list of Line
-        Its own lines, in order.
-    around : list of Line
-        Changes of belief at the same routers at that time.
-    malformed : int
-        Lines that could not be read.
+    lines : list of LogLine
+        Lines with the request's id, in ascending order of time.
+    related : list of LogLine
+        Events at the same routers, close in time, that can be a cause.
+    malformed_count : int
+        Number of lines that could not be decoded.
     """
 
-    lines: list[Line] = field(default_factory=list)
-    around: list[Line] = field(default_factory=list)
-    malformed: int = 0
+    lines: list[LogLine] = field(default_factory=list)
+    related: list[LogLine] = field(default_factory=list)
+    malformed_count: int = 0
 
 
-def read_story(request: str, texts: Iterable[tuple[str, str]]) -> Story:
-    """Return the story of a request.
+def read_request_log(request: str, texts: Iterable[tuple[str, str]]) -> RequestLog:
+    """Collect the log lines that belong to a request.
 
     Parameters
     ----------
     request : str
-        Its id.
+        Id of the request.
     texts : iterable of (str, str)
-        Sources and lines. What stands before the first brace of a line, such as a
-        time and the name of a router, becomes part of the source.
+        Pairs of a source, such as a file name, and a line of text. If text precedes
+        the first brace of a line, such as a time and the name of a router, its last
+        word replaces the source.
     """
-    story = Story()
-    beliefs: list[Line] = []
+    request_log = RequestLog()
+    candidates: list[LogLine] = []
     for source, text in texts:
-        line = _read(source, text)
+        line = _decode(source, text)
         if line is None:
-            story.malformed += bool(text.strip())
+            request_log.malformed_count += bool(text.strip())
         elif line.fields.get("id") == request:
-            story.lines.append(line)
-        elif line.event in BELIEFS:
-            beliefs.append(line)
-    story.lines.sort(key=lambda line: line.at)
-    story.around = [line for line in beliefs if _belongs(line, story.lines)]
-    return story
+            request_log.lines.append(line)
+        elif line.event in RELATED_EVENTS:
+            candidates.append(line)
+    request_log.lines.sort(key=lambda line: line.at)
+    request_log.related = [
+        line for line in candidates if _is_related(line, request_log.lines)
+    ]
+    return request_log
 
 
-def _read(source: str, text: str) -> Line | None:
+def _decode(source: str, text: str) -> LogLine | None:
     start = text.find("{")
     if start < 0:
         return None
@@ -107,12 +111,12 @@
         fields = json.loads(text[start:])
     except ValueError:
         return None
-    before = text[:start].split()
-    return Line(before[-1] if before else source, fields)
+    prefix = text[:start].split()
+    return LogLine(prefix[-1] if prefix else source, fields)
 
 
-def _belongs(belief: Line, lines: list[Line]) -> bool:
+def _is_related(event: LogLine, lines: list[LogLine]) -> bool:
     return any(
-        belief.source == line.source and abs(belief.at - line.at) <= MARGIN_SECONDS
+        event.source == line.source and abs(event.at - line.at) <= MAX_DISTANCE_SECONDS
         for line in lines
     )
--- a/packages/ctl/tests/test_burn.py
+++ b/packages/ctl/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Tests of merging counts into a burn report."""
+"""Tests of the burn report that is merged from the counts of all routers."""
 
 import re
 
@@ -45,10 +45,11 @@
     assert report.coverage(72 * HOUR) == 1.0
 
 
-def test_missing_and_wrong_routers_are_not_good_ones():
-    """A router is dead, one sends nonsense, one a sketch made to fill memory.
+def test_routers_without_valid_response_are_reported_and_not_covered():
+    """Requests of routers without a valid response must not be taken for good ones.
 
-    The report names them and counts their time as not covered.
+    One router doesn't respond, one sends a malformed response, one a sketch that
+    would fill memory. The report names them and counts their time as not covered.
     """
     broken = answer(5, 5)
     broken["series"][0]["sketch"] = {"2000000000": 1.0}
@@ -64,20 +65,20 @@
     assert "r2 gave no answer" in page and "r3, r4 gave an answer that" in page
 
 
-def test_an_alert_needs_both_windows_of_a_pair():
-    """A burst an hour ago has ended; nobody is to be woken for it."""
+def test_alert_needs_both_windows_above_threshold():
+    """A burst that ended within the long window must not raise an alert any more."""
     burning = answer(50, 50)
     assert merge({"r1": burning}).rows[0].alert == "page"
     ended = answer(50, 50)
     for alert in ALERTS:
-        ended["series"][0]["counts"][str(alert.short)] = [100, 0]
+        ended["series"][0]["counts"][str(alert.short_seconds)] = [100, 0]
     assert merge({"r1": ended}).rows[0].alert == ""
     slow = answer(98, 2)
     assert merge({"r1": slow}).rows[0].alert == "ticket"
     assert merge({"r1": answer(999, 1)}).rows[0].alert == ""
 
 
-def test_worst_rows_come_first_and_names_are_escaped():
+def test_rows_are_ordered_by_budget_left_and_names_are_escaped():
     report = merge(
         {
             "r1": answer(999, 1, "calm"),
--- a/packages/ctl/tests/test_docs.py
+++ b/packages/ctl/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Tests that the pages say what the code does."""
+"""Tests that the documentation covers settings, commands and health indicators."""
 
 import re
 from pathlib import Path
--- a/packages/ctl/tests/test_examples.py
+++ b/packages/ctl/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Tests of the example documents."""
+"""Tests of the example documents and settings."""
 
 from pathlib import Path
 
@@ -23,7 +23,7 @@
 }
 
 
-def test_both_documents_are_without_fault_and_of_the_right_size():
+def test_example_documents_are_valid_and_have_expected_size():
     for name, (zones, services) in SIZES.items():
         source = load_source([EXAMPLES / name]).ok
         checked = check_source(source)
@@ -37,6 +37,6 @@
         assert any(not kind.repeatable for kind in kinds)
 
 
-def test_settings_example_is_without_fault():
+def test_example_settings_are_valid():
     loaded = settings.load(EXAMPLES / "settings" / "router.yaml")
     assert loaded.is_ok(), [str(mistake) for mistake in loaded.error]
--- a/packages/ctl/tests/test_explain.py
+++ b/packages/ctl/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests that the cause of a failed request can be read from its lines."""
+"""Tests that the log lines of a failed request show the cause."""
 
 import asyncio
 import os
@@ -8,7 +8,7 @@
 import loguru
 from expression import Error
 from teaselctl.commands import get_command_by_name
-from teaselctl.story import read_story
+from teaselctl.story import read_request_log
 from teaselledge_fleet.faults import Fault, FaultKind
 from teaselledge_fleet.log import LineWriter
 from teaselledge_fleet.version.routes import RetryPolicy
@@ -19,20 +19,20 @@
 
 
 class Logs:
-    """The lines that a router wrote."""
+    """Log lines that were written to a file."""
 
     def __init__(self, file) -> None:
         self._file = file
 
     def texts(self) -> list[tuple[str, str]]:
-        """Return the lines with their source."""
+        """Return pairs of source and line."""
         self._file.seek(0)
         return [("r1", line.decode()) for line in self._file.readlines()]
 
 
 @contextmanager
 def logs():
-    """Collect what is logged."""
+    """Collect log lines in a file."""
     with TemporaryFile() as file:
         writer = LineWriter(os.dup(file.fileno()))
         handler = loguru.logger.add(writer, level="INFO")
@@ -40,11 +40,11 @@
         loguru.logger.remove(handler)
 
 
-def events(story) -> list[str]:
-    return [line.event for line in story.lines]
+def events(request_log) -> list[str]:
+    return [line.event for line in request_log.lines]
 
 
-async def test_a_refused_request_tells_why(logs):
+async def test_refused_request_logs_its_fault(logs):
     async with serving(make_route(RetryPolicy.NEVER)) as served:
 
         async def full(context):
@@ -53,13 +53,13 @@
         served.placer.place = full
         answered = await ask(served.port, "POST", body=b"order")
     assert answered.status == 503
-    story = read_story("q1", logs.texts())
-    assert story.lines[-1].fields["fault"] == "over-capacity"
-    assert story.lines[-1].fields["retry_after"] == 0.5
+    request_log = read_request_log("q1", logs.texts())
+    assert request_log.lines[-1].fields["fault"] == "over-capacity"
+    assert request_log.lines[-1].fields["retry_after"] == 0.5
 
 
-async def test_a_broken_stream_tells_its_engine(logs):
-    """An engine crashes in the middle of a stream."""
+async def test_broken_stream_logs_the_address_of_its_engine(logs):
+    """An engine crashes in the middle of a stream; the log must name the engine."""
 
     async def crash(request, writer):
         head = answer_bytes(200, OWN_ID, b"", length=False)
@@ -72,22 +72,22 @@
         async with serving(route, endpoint.address) as served:
             await ask(served.port, "POST", body=b"prompt")
             await asyncio.sleep(0.05)
-    story = read_story("q1", logs.texts())
-    assert events(story)[0] == "attempt sent"
-    assert story.lines[0].fields["address"] == endpoint.address
-    assert story.lines[-1].fields["outcome"] == "broken"
-    assert story.lines[-1].fields["first_ms"] is not None
+    request_log = read_request_log("q1", logs.texts())
+    assert events(request_log)[0] == "attempt sent"
+    assert request_log.lines[0].fields["address"] == endpoint.address
+    assert request_log.lines[-1].fields["outcome"] == "broken"
+    assert request_log.lines[-1].fields["first_ms"] is not None
 
 
-async def test_a_router_without_configuration_tells_so(logs):
+async def test_router_without_configuration_logs_that_fault(logs):
     async with serving(make_route(RetryPolicy.ANY)) as served:
         served.server.routing = None
         await ask(served.port)
-    (line,) = read_story("q1", logs.texts()).lines
+    (line,) = read_request_log("q1", logs.texts()).lines
     assert (line.fields["fault"], line.fields["version"]) == ("not-configured", 0)
 
 
-def test_changes_at_the_same_router_belong_to_the_story():
+def test_events_at_the_same_router_are_related_to_the_request():
     texts = [
         ("r1", '{"at": 10.0, "event": "store lost", "fault": "unreachable"}'),
         ("r2", '{"at": 10.5, "event": "store lost", "fault": "unreachable"}'),
@@ -97,13 +97,13 @@
         ("r1", "{torn"),
         ("r1", ""),
     ]
-    story = read_story("q1", texts)
-    assert [line.event for line in story.around] == ["store lost"]
-    assert [line.source for line in story.around] == ["r1"]
-    assert story.malformed == 2
+    request_log = read_request_log("q1", texts)
+    assert [line.event for line in request_log.related] == ["store lost"]
+    assert [line.source for line in request_log.related] == ["r1"]
+    assert request_log.malformed_count == 2
 
 
-async def test_an_unknown_id_is_told(logs):
+async def test_unknown_id_is_reported(logs):
     command = get_command_by_name("explain").load()
     output = await command(["q9", __file__])
     assert output.code == 1
--- a/packages/ctl/tests/test_playground.py
+++ b/packages/ctl/tests/test_playground.py
@@ -1,4 +1,4 @@
-"""Test of the way of a newcomer, as docs/TEASELCTL.md tells it."""
+"""Test of the first steps in docs/TEASELCTL.md."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 def change_share(folder, flags):
-    """Do what the page tells, in the order of the page."""
+    """Run the commands of the page in its order."""
     path = folder / "document.yaml"
     text = run("show", flags)
     assert text.startswith("# version 1\n")
@@ -37,7 +37,7 @@
     assert "version 2 is accepted" in run("apply", str(path), "--base=1", flags)
 
 
-async def test_a_newcomer_brings_a_changed_share_into_force(fleet):
+async def test_first_steps_bring_a_changed_share_into_force(fleet):
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         path = flag_file(fleet, folder)
--- a/packages/ctl/tests/test_routers.py
+++ b/packages/ctl/tests/test_routers.py
@@ -1,4 +1,4 @@
-"""Tests of the fleet as one of its routers sees it."""
+"""Tests of the routers command."""
 
 import asyncio
 
@@ -13,30 +13,30 @@
 from teaselledge_standins.routes import make_route, make_routing
 
 FLAGS.mark_as_parsed()
-SETTLED_SECONDS = 1.5
+CONVERGENCE_SECONDS = 1.5
 ROUTERS = 3
 
 
-async def test_one_router_tells_of_all():
+async def test_one_router_lists_all_routers():
     endpoints = [
         Endpoint("e1", "books", "127.0.0.1:1", ZONE, 4),
         Endpoint("e2", "books", "127.0.0.1:2", ZONE, 4, leaving=True),
     ]
     routing = make_routing(make_route(RetryPolicy.ANY))
     async with running_routers(ROUTERS, routing, endpoints) as routers:
-        await asyncio.sleep(SETTLED_SECONDS)
+        await asyncio.sleep(CONVERGENCE_SECONDS)
         peers = routers[1].router._members.own.peer_address
         with flagsaver.flagsaver(router=peers):
             output = await run([])
     value = output.value
     assert (value["router"], value["endpoints"], value["leaving"]) == ("r1", 2, 1)
     assert value["store_era"] == 1
-    assert value["store_seconds"] < SETTLED_SECONDS
+    assert value["store_seconds"] < CONVERGENCE_SECONDS
     assert {router["vm"] for router in value["routers"]} == {"r0", "r1", "r2"}
     assert f"{ZONE}" in output.text and REGION in output.text
 
 
-async def test_a_router_that_does_not_answer_is_told():
+async def test_unreachable_router_is_named_in_the_error():
     with flagsaver.flagsaver(router=f"127.0.0.1:{free_ports(1)[0]}"):
         try:
             await run([])
--- a/packages/ctl/tests/test_shares.py
+++ b/packages/ctl/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of what status tells of shares."""
+"""Tests of the shares that the status command prints."""
 
 from teaselctl.shares import share_rows
 
@@ -8,7 +8,7 @@
     return {"shares": [dict(zip(names, f, strict=True)) for f in figures]}
 
 
-def test_shares_add_up_over_dispatchers_between_two_looks():
+def test_shares_add_up_over_dispatchers_between_two_samples():
     before = {
         "r1": report(
             ("m", "a", "amber", 3.0, 1000.0, 0), ("m", "a", "calm", 1.0, 9.0, 0)
@@ -30,9 +30,11 @@
     assert (rows["calm"].due, rows["calm"].received) == (None, None)
 
 
-def test_a_counter_that_fell_tells_nothing():
-    """A router restarts, or corrects a hint, between the looks; another gives no
-    answer. What it had counted for an hour must not pass for two seconds' work.
+def test_counter_that_fell_counts_as_unchanged():
+    """A counter falls when a router restarts or corrects a hint between two samples.
+
+    Its total, counted over an hour, must not be taken for two seconds' cost. A
+    second router doesn't respond.
     """
     before = {"r1": report(("m", "a", "amber", 1.0, 1000.0, 0)), "r2": None}
     after = {"r1": report(("m", "a", "amber", 1.0, 30.0, 1)), "r2": None}
@@ -40,7 +42,7 @@
     assert (row.served, row.received, row.due) == (0.0, None, 1.0)
 
 
-def test_nobody_served_leaves_what_is_received_open():
+def test_received_is_unknown_if_no_organisation_was_served():
     reports = {"r1": report(("m", "a", "amber", 1.0, 5.0, 2))}
     (row,) = share_rows(reports, reports)
     assert (row.due, row.received) == (1.0, None)
--- a/packages/ctl/tests/test_teaselctl.py
+++ b/packages/ctl/tests/test_teaselctl.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' command against a small fleet over loopback."""
+"""Tests of teaselctl against a small fleet over loopback."""
 
 import asyncio
 import contextlib
@@ -17,8 +17,8 @@
 
 
 @dataclass
-class _Desk:
-    """An operator's folder beside a running fleet."""
+class _OperatorFolder:
+    """A running fleet and a folder for the operator's files."""
 
     fleet: Fleet
     folder: Path
@@ -42,7 +42,7 @@
 
 
 def run(*args):
-    """Run the command; return exit code, output and errors."""
+    """Run teaselctl and return the exit code, standard output and standard error."""
     out, err = io.StringIO(), io.StringIO()
     with contextlib.redirect_stdout(out), contextlib.redirect_stderr(err):
         code = main(["teaselctl", *args])
@@ -61,7 +61,7 @@
         with tempfile.TemporaryDirectory() as name:
             path = Path(name)
             (path / "key").write_text(key_of(OPERATOR))
-            yield _Desk(fleet, path)
+            yield _OperatorFolder(fleet, path)
 
 
 async def in_force(fleet, version):
@@ -92,10 +92,10 @@
         assert router.version.document.organisations["amber"].share == 1.0
 
 
-async def test_loser_of_a_race_sees_who_changed_what(desk):
+async def test_conflicting_change_is_refused_with_the_other_author(desk):
     """Two operators change the same share from the same version.
 
-    The second one is told whose value stands, and the file stays as it was.
+    The second one gets the author and value of the first, and the file is unchanged.
     """
     document = desk.fleet.document()
     document["organisations"]["amber"]["share"] = 5.0
@@ -111,7 +111,7 @@
     assert desk.read("second.yaml") == before
 
 
-async def test_a_bad_section_never_gets_in(desk):
+async def test_invalid_section_is_refused(desk):
     """An operator applies a section that names a zone which does not exist."""
     document = desk.fleet.document()
     endpoints = document["services"]["models"]["endpoints"]
@@ -125,8 +125,8 @@
     assert [head["version"] for head in json.loads(out)] == [1]
 
 
-async def test_status_shows_every_router_and_names_a_missing_one(desk):
-    """A router dies; its state must not pass for a good one."""
+async def test_status_lists_every_router_and_names_a_missing_one(desk):
+    """A router that stopped must be reported as missing, not as healthy."""
     code, out, _ = await desk.call("status", "--seconds=0.1")
     assert code == 0 and "r3" in out and "no answer from" not in out
     membership = desk.fleet.routers["r1"].node.membership
@@ -141,7 +141,7 @@
     assert code == 0 and json.loads(out)["missing"] == ["r3"]
 
 
-async def test_the_report_counts_what_callers_saw(desk):
+async def test_report_counts_the_responses_to_callers(desk):
     caller = Caller(key_of("amber"))
     for i, vm in enumerate(("r1", "r2", "r3")):
         address = desk.fleet.routers[vm].caller_address
@@ -157,8 +157,8 @@
     assert "amber" in desk.read("burn.html")
 
 
-async def test_a_drained_router_leaves_and_the_others_know(desk):
-    """An operator takes a router out of service; callers are sent elsewhere."""
+async def test_drained_router_is_removed_from_the_addresses_of_others(desk):
+    """An operator drains a router; other routers must stop listing its address."""
     code, out, err = await desk.call("drain")
     assert (code, err) == (0, "")
     assert out.startswith("r1 drains")
@@ -166,16 +166,16 @@
     gone = desk.fleet.routers["r1"].caller_address
     async with asyncio.timeout(10):
         while True:
-            told = desk.fleet.routers["r2"].addresses()["addresses"]
-            if {entry["address"] for entry in told} == addresses - {gone}:
+            listed = desk.fleet.routers["r2"].addresses()["addresses"]
+            if {entry["address"] for entry in listed} == addresses - {gone}:
                 break
             await asyncio.sleep(0.05)
     rows = (await desk.fleet.tables.scan("config", "audit/", 10)).ok
     assert b'"action": "drain", "what": "r1"' in rows[-1].value
 
 
-async def test_keys_open_only_what_their_role_includes(desk):
-    """A stranger asks, then an editor changes a section of another team."""
+async def test_keys_permit_only_what_their_role_includes(desk):
+    """An unknown key, and an editor's key for another team's section, are refused."""
     desk.write_text("stranger", "guessed")
     code, _, err = await desk.call("status", key="stranger")
     assert code == 2 and "knows no operator with this key" in err
