--- a/packages/ctl/tests/test_explain.py
+++ b/packages/ctl/tests/test_explain.py
@@ -12,8 +12,8 @@
 from teaselledge_fleet.faults import Fault, FaultKind
 from teaselledge_fleet.log import LineWriter
 from teaselledge_fleet.version.routes import RetryPolicy
-from teaselledge_standins.routes import ask, make_route, serving
-from teaselledge_standins.scripted import ScriptedEndpoint, answer_bytes, reset
+from teaselledge_standins.routes import make_route, running_route, send_request
+from teaselledge_standins.scripted import ScriptedEndpoint, reset, response_bytes
 
 OWN_ID = {"X-Request-Id": "q1"}
 
@@ -51,7 +51,7 @@
             return Error(Fault(FaultKind.OVER_CAPACITY, 0.5))
 
         served.placer.place = full
-        answered = await ask(served.port, "POST", body=b"order")
+        answered = await send_request(served.port, "POST", body=b"order")
     assert answered.status == 503
     request_log = read_request_log("q1", logs.texts())
     assert request_log.lines[-1].fields["fault"] == "over-capacity"
@@ -62,15 +62,15 @@
     """An engine crashes in the middle of a stream; the log must name the engine."""
 
     async def crash(request, writer):
-        head = answer_bytes(200, OWN_ID, b"", length=False)
+        head = response_bytes(200, OWN_ID, b"", length=False)
         writer.write(head + b"id: 1\ndata: 1\n\n")
         await asyncio.sleep(0.02)
         reset(writer)
 
     async with ScriptedEndpoint(crash) as endpoint:
         route = make_route(RetryPolicy.NEVER, stream=True)
-        async with serving(route, endpoint.address) as served:
-            await ask(served.port, "POST", body=b"prompt")
+        async with running_route(route, endpoint.address) as served:
+            await send_request(served.port, "POST", body=b"prompt")
             await asyncio.sleep(0.05)
     request_log = read_request_log("q1", logs.texts())
     assert events(request_log)[0] == "attempt sent"
