--- a/packages/ctl/tests/test_explain.py
+++ b/packages/ctl/tests/test_explain.py
@@ -45,14 +45,14 @@
 
 
 async def test_refused_request_logs_its_fault(logs):
-    async with serving(make_route(RetryPolicy.NEVER)) as served:
+    async with running_route(make_route(RetryPolicy.NEVER)) as served:
 
         async def full(context):
             return Error(Fault(FaultKind.OVER_CAPACITY, 0.5))
 
         served.placer.place = full
-        answered = await send_request(served.port, "POST", body=b"order")
-    assert answered.status == 503
+        response = await send_request(served.port, "POST", body=b"order")
+    assert response.status == 503
     request_log = read_request_log("q1", logs.texts())
     assert request_log.lines[-1].fields["fault"] == "over-capacity"
     assert request_log.lines[-1].fields["retry_after"] == 0.5
@@ -80,9 +80,9 @@
 
 
 async def test_router_without_configuration_logs_that_fault(logs):
-    async with serving(make_route(RetryPolicy.ANY)) as served:
+    async with running_route(make_route(RetryPolicy.ANY)) as served:
         served.server.routing = None
-        await ask(served.port)
+        await send_request(served.port)
     (line,) = read_request_log("q1", logs.texts()).lines
     assert (line.fields["fault"], line.fields["version"]) == ("not-configured", 0)
 
