--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools of the workspace."""
+"""Development tools of the workspace."""
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,7 +1,7 @@
-"""Work out the page on capacity from recorded slopes.
+"""Compute the cost of control per VM from recorded slopes.
 
 ``python tools/capacity.py RESULTS...`` records the figures named in `RECORDED` from
-files of benchmark results; ``tools/make_docs.py`` writes the page from them.
+files of benchmark results. ``tools/make_docs.py`` writes docs/CAPACITY.md from them.
 """
 
 import json
@@ -63,7 +63,7 @@
         "feed_cpu_us",
     ),
 }
-"""Figures that the page uses, by benchmark case."""
+"""Figures that the computation uses, by benchmark case."""
 
 DAY_SECONDS = 86_400
 MEGA = 1e6
@@ -72,20 +72,20 @@
 
 @dataclass(frozen=True)
 class Size:
-    """The size that the page is worked out for.
+    """Size of the fleet that the costs are computed for.
 
     Attributes
     ----------
     nodes, engines, organisations, models, regions, zones : int
-        How many there are.
+        Numbers of VMs, engines and so on.
     backlogged : int
         Organisations that are backlogged at a time.
-    requests, tokens : float
-        Per second, over the fleet.
-    changes : float
-        Configuration changes a day.
-    token_gap : float
-        Seconds between tokens.
+    requests_per_second, tokens_per_second : float
+        Totals over the fleet.
+    changes_per_day : float
+        Configuration changes.
+    token_gap_seconds : float
+        Time between two tokens of a stream.
     """
 
     nodes: int = 370
@@ -95,63 +95,63 @@
     regions: int = 6
     zones: int = 21
     backlogged: int = 75
-    requests: float = 3500.0
-    tokens: float = 1.4e6
-    changes: float = 8000.0
-    token_gap: float = 0.069
+    requests_per_second: float = 3500.0
+    tokens_per_second: float = 1.4e6
+    changes_per_day: float = 8000.0
+    token_gap_seconds: float = 0.069
 
     @property
     def shards(self) -> int:
-        """Shards, each model being in each zone."""
+        """Number of shards: one for each model in each zone."""
         return self.models * self.zones
 
     @property
     def requests_per_node(self) -> float:
-        """Requests a second of one VM."""
-        return self.requests / self.nodes
+        """Requests per second at a VM."""
+        return self.requests_per_second / self.nodes
 
     @property
     def requests_per_shard(self) -> float:
-        """Requests a second of one shard."""
-        return self.requests / self.shards
+        """Requests per second in a shard."""
+        return self.requests_per_second / self.shards
 
     @property
     def streams_per_node(self) -> float:
-        """Open streams of one VM."""
-        return self.tokens * self.token_gap / self.nodes
+        """Mean number of open streams at a VM."""
+        return self.tokens_per_second * self.token_gap_seconds / self.nodes
 
 
 @dataclass(frozen=True)
 class Limits:
-    """What a VM may spend on control."""
+    """Resources that a VM may spend on control."""
 
-    core: float = 0.019
+    core_fraction: float = 0.019
     memory_bytes: float = 256e6
     bytes_per_s: float = 7000.0
-    force_seconds: float = 11.0
+    in_force_seconds: float = 11.0
 
 
 @dataclass(frozen=True)
 class Role:
-    """What one role costs a VM.
+    """Cost of a role for a VM.
 
     Attributes
     ----------
     name, mechanism : str
-        The role, and what carries it.
-    sent : float
-        Bytes a second.
-    cpu : float
-        Part of a core.
-    memory : float
-        Bytes.
+        Name of the role, and the mechanism that it uses.
+    sent_bytes_per_s : float
+        Control traffic sent.
+    core_fraction : float
+        Processor time as a fraction of a core.
+    memory_bytes : float
+        Memory used.
     """
 
     name: str
     mechanism: str
-    sent: float
-    cpu: float
-    memory: float
+    sent_bytes_per_s: float
+    core_fraction: float
+    memory_bytes: float
 
 
 class Slopes:
@@ -167,34 +167,36 @@
         return cls({name: case["figures"] for name, case in cases.items()})
 
     def get(self, case: str, figure: str) -> float:
-        """Return a figure; a missing one is a mistake of the page."""
+        """Return a recorded figure; raise `KeyError` for an unknown one."""
         return self._recorded[case][figure]
 
 
 TICKS_PER_SECOND = 1 / TICK_SECONDS
-PEERS_SNAPSHOT_PER_SECOND = 1.0
+SNAPSHOTS_PER_SECOND = 1.0
 FEED_REQUEST_BYTES = 100.0
 FEED_MEMORY_BYTES = 4096 * 100.0
-"""At most so many prefixes of an engine are remembered, about 100 bytes each."""
+"""Per engine, at most 4096 prefixes are cached, of about 100 bytes each."""
 
 PROCESS_BYTES = 56e6
 """Resident memory of a router that has no configuration yet."""
 
-WAITING_LIMIT = 2000
+MAX_WAITING_REQUESTS = 2000
 
 
 def ingress(size: Size, slopes: Slopes) -> Role:
-    """Return the cost of registering requests and telling their ends."""
+    """Return the cost of registering requests and reporting their ends."""
     wire = "decisions-wire"
     rate = size.requests_per_node
     names = ("registration", "accept", "done")
     sent = rate * sum(slopes.get(wire, f"{name}_bytes") for name in names)
-    digests = size.models * PEERS_SNAPSHOT_PER_SECOND
+    digests = size.models * SNAPSHOTS_PER_SECOND
     sent += digests * slopes.get(wire, "snapshot_bytes")
     codec = sum(slopes.get(wire, f"{name}_codec_us") for name in (*names, "grant"))
     micros = rate * (codec / 2 + slopes.get("config-objectives", "record_cpu_us"))
     micros += digests * slopes.get(wire, "snapshot_codec_us")
-    memory = WAITING_LIMIT * slopes.get("decisions-memory", "request_memory_bytes")
+    memory = MAX_WAITING_REQUESTS * slopes.get(
+        "decisions-memory", "request_memory_bytes"
+    )
     return Role(
         "ingress",
         "one registration, grant, accept and end a request; a digest a second to "
@@ -206,13 +208,13 @@
 
 
 def dispatcher(size: Size, slopes: Slopes, shards: float, preset: str) -> Role:
-    """Return the cost of so many shards on one VM."""
+    """Return the cost of dispatching for a number of shards on one VM."""
     wire, growth = "decisions-wire", "decisions-growth"
     report_bytes = get_preset_by_name(preset).report_bytes
     rate = shards * size.requests_per_shard
     sent = rate * slopes.get(wire, "grant_bytes")
     senders = size.nodes / size.zones
-    replies = shards * senders * PEERS_SNAPSHOT_PER_SECOND
+    replies = shards * senders * SNAPSHOTS_PER_SECOND
     sent += replies * slopes.get(wire, "snapshot_reply_bytes")
     sent += shards * report_bytes
     peers = size.zones / size.regions - 1
@@ -231,7 +233,9 @@
     accounts = size.organisations * slopes.get(
         "decisions-memory", "account_memory_bytes"
     )
-    waiting = WAITING_LIMIT * slopes.get("decisions-memory", "request_memory_bytes")
+    waiting = MAX_WAITING_REQUESTS * slopes.get(
+        "decisions-memory", "request_memory_bytes"
+    )
     return Role(
         f"dispatcher, {shards:.2f} shards",
         f"one dispatcher a service and zone; reports of cumulative counters, at most "
@@ -243,7 +247,7 @@
 
 
 def membership(size: Size, slopes: Slopes) -> Role:
-    """Return the cost of knowing the other VMs."""
+    """Return the cost of keeping the list of other VMs."""
     case = "membership-370"
     frames = slopes.get(case, "frames_per_node_per_s")
     micros = frames * slopes.get(case, "cpu_us_per_frame_with_network_fake")
@@ -259,9 +263,9 @@
 
 
 def configuration(size: Size, slopes: Slopes) -> Role:
-    """Return the cost of following the configuration."""
+    """Return the cost of receiving configuration changes."""
     case = "config-spread-370"
-    changes = size.changes / DAY_SECONDS
+    changes = size.changes_per_day / DAY_SECONDS
     millis = slopes.get(case, "idle_cpu_us_per_node_per_s") / KILO
     millis += changes * slopes.get(case, "cpu_ms_per_node_per_change")
     return Role(
@@ -275,7 +279,7 @@
 
 
 def engine_feed(size: Size, slopes: Slopes, shards: float) -> Role:
-    """Return the cost of reading the engines of so many shards."""
+    """Return the cost of polling the engines of a number of shards."""
     engines = shards * size.engines / size.shards
     micros = engines / POLL_SECONDS * slopes.get("speed", "feed_cpu_us")
     return Role(
@@ -300,7 +304,7 @@
 
 
 def roles(size: Size, slopes: Slopes, shards: float, preset: str) -> list[Role]:
-    """Return all roles of a VM that dispatches for so many shards."""
+    """Return all roles of a VM that dispatches for a number of shards."""
     return [
         ingress(size, slopes),
         dispatcher(size, slopes, shards, preset),
@@ -317,14 +321,14 @@
     return Role(
         "all",
         "",
-        sum(row.sent for row in rows),
-        sum(row.cpu for row in rows),
-        sum(row.memory for row in rows),
+        sum(row.sent_bytes_per_s for row in rows),
+        sum(row.core_fraction for row in rows),
+        sum(row.memory_bytes for row in rows),
     )
 
 
 def table(rows: list[Role], limits: Limits) -> str:
-    """Return roles as a table with their sum and the limits."""
+    """Format roles as a table with their sum and the limits."""
     lines = [
         "| role | sent, B/s | part of a core | memory, MB | mechanism |",
         "| --- | --- | --- | --- | --- |",
@@ -332,34 +336,34 @@
     summed = total(rows)
     for row in rows:
         lines.append(
-            f"| {row.name} | {row.sent:,.0f} | {row.cpu:.2%} | {row.memory / MEGA:.1f} "
-            f"| {row.mechanism} |"
+            f"| {row.name} | {row.sent_bytes_per_s:,.0f} | {row.core_fraction:.2%} "
+            f"| {row.memory_bytes / MEGA:.1f} | {row.mechanism} |"
         )
     lines.append(
-        f"| **sum** | **{summed.sent:,.0f}** | **{summed.cpu:.2%}** "
-        f"| **{summed.memory / MEGA:.0f}** | |"
+        f"| **sum** | **{summed.sent_bytes_per_s:,.0f}** "
+        f"| **{summed.core_fraction:.2%}** | **{summed.memory_bytes / MEGA:.0f}** | |"
     )
     lines.append(
-        f"| limit | {limits.bytes_per_s:,.0f} | {limits.core:.2%} "
+        f"| limit | {limits.bytes_per_s:,.0f} | {limits.core_fraction:.2%} "
         f"| {limits.memory_bytes / MEGA:.0f} | {verdict(summed, limits)} |"
     )
     return "\n".join(lines)
 
 
 def verdict(summed: Role, limits: Limits) -> str:
-    """Return which limits a sum is over."""
-    over = []
-    if summed.sent > limits.bytes_per_s:
-        over.append("bytes")
-    if summed.cpu > limits.core:
-        over.append("processor")
-    if summed.memory > limits.memory_bytes:
-        over.append("memory")
-    return f"**over: {', '.join(over)}**" if over else "held"
+    """Return the limits that a sum exceeds, as text."""
+    exceeded = []
+    if summed.sent_bytes_per_s > limits.bytes_per_s:
+        exceeded.append("bytes")
+    if summed.core_fraction > limits.core_fraction:
+        exceeded.append("processor")
+    if summed.memory_bytes > limits.memory_bytes:
+        exceeded.append("memory")
+    return f"**over: {', '.join(exceeded)}**" if exceeded else "held"
 
 
 def slopes_table() -> str:
-    """Return the recorded slopes with seed and command."""
+    """Format the recorded slopes with their seeds as a table."""
     cases = json.loads(SLOPES.read_text())
     lines = ["| case | seed | figure | value |", "| --- | --- | --- | --- |"]
     for name, case in cases.items():
@@ -369,7 +373,7 @@
 
 
 def record(paths: list[str]) -> int:
-    """Record the figures of benchmark results; the last result of a case counts."""
+    """Record figures from benchmark results; the last result of a case is kept."""
     found: dict[str, dict[str, object]] = {}
     if SLOPES.exists():
         found = json.loads(SLOPES.read_text())
--- a/tools/capacity_page.py
+++ b/tools/capacity_page.py
@@ -1,4 +1,4 @@
-"""The text of the page on capacity, around tables that are worked out."""
+"""Text of docs/CAPACITY.md, with tables that `tools.capacity` computes."""
 
 from tools.capacity import (
     DAY_SECONDS,
@@ -36,9 +36,9 @@
 
 
 def store_section(size: Size, slopes: Slopes) -> str:
-    """Return what the platform's table service sees."""
+    """Return the section on the load of the platform's store."""
     reads = slopes.get("config-spread-370", "store_reads_per_s_changing")
-    changes = size.changes / DAY_SECONDS
+    changes = size.changes_per_day / DAY_SECONDS
     return f"""\
 | who | reads/s | commits/s | mechanism |
 | --- | --- | --- | --- |
@@ -57,8 +57,8 @@
 
 
 def data_section(size: Size, slopes: Slopes) -> str:
-    """Return what the callers' data costs, beside control."""
-    tokens = size.tokens / size.nodes
+    """Return the section on the cost of the callers' data, which control excludes."""
+    tokens = size.tokens_per_second / size.nodes
     per_token = slopes.get("speed", "router_cpu_us_per_token")
     per_request = slopes.get("speed", "router_cpu_us")
     core = (tokens * per_token + size.requests_per_node * per_request) / 1e6
--- a/tools/make_docs.py
+++ b/tools/make_docs.py
@@ -1,6 +1,6 @@
-"""Write the pages that are generated from tables in the code.
+"""Write the documentation pages that are generated from the code.
 
-``python tools/make_docs.py`` writes them; a test compares them.
+``python tools/make_docs.py`` writes the pages; a test compares them with the code.
 """
 
 import sys
@@ -13,11 +13,11 @@
 from teaselledge_fleet.process import metrics as fleet_metrics
 
 from tools.capacity_page import capacity_page
-from tools.reference import filled, reference
+from tools.reference import fill_block, reference
 
 ROOT = Path(__file__).resolve().parent.parent
 
-ERRORS_HEAD = """\
+ERRORS_HEADER = """\
 # Errors
 
 Every error answer is `application/problem+json` (RFC 9457) with these members:
@@ -46,7 +46,7 @@
 | --- | --- | --- | --- |
 """
 
-FLEET_METRICS_HEAD = """\
+FLEET_METRICS_HEADER = """\
 # Metrics
 
 ## Routers on the platform
@@ -57,7 +57,7 @@
 | --- | --- | --- | --- | --- |
 """
 
-METRICS_HEAD = """\
+METRICS_HEADER = """\
 
 ## The product's own interface
 
@@ -68,7 +68,7 @@
 | --- | --- | --- | --- |
 """
 
-SETTINGS_HEAD = """\
+SETTINGS_HEADER = """\
 # Settings of a router
 
 One YAML file a process, given by `teaselledge --settings FILE`. An unknown key, a
@@ -80,10 +80,12 @@
 def errors_page() -> str:
     """Return docs/ERRORS.md."""
     lines = []
-    for kind, answer in FAULT_RESPONSES.items():
-        retry = "" if answer.retry_after is None else f"{answer.retry_after} s"
-        lines.append(f"| `{kind.value}` | {answer.status} | {answer.title} | {retry} |")
-    return ERRORS_HEAD + "\n".join(lines) + "\n"
+    for kind, response in FAULT_RESPONSES.items():
+        retry = "" if response.retry_after is None else f"{response.retry_after} s"
+        lines.append(
+            f"| `{kind.value}` | {response.status} | {response.title} | {retry} |"
+        )
+    return ERRORS_HEADER + "\n".join(lines) + "\n"
 
 
 def metrics_page() -> str:
@@ -97,10 +99,10 @@
         for name, m in sorted(fleet_metrics.METRICS.items())
     ]
     return (
-        FLEET_METRICS_HEAD
+        FLEET_METRICS_HEADER
         + "\n".join(fleet)
         + "\n"
-        + METRICS_HEAD
+        + METRICS_HEADER
         + "\n".join(lines)
         + "\n"
     )
@@ -108,13 +110,13 @@
 
 def settings_page() -> str:
     """Return docs/SETTINGS.md."""
-    return f"{SETTINGS_HEAD}\n{reference(settings.Settings)}\n"
+    return f"{SETTINGS_HEADER}\n{reference(settings.Settings)}\n"
 
 
 def configuration_page() -> str:
-    """Return docs/CONFIGURATION.md, whose reference alone is generated."""
+    """Return docs/CONFIGURATION.md, of which only the reference is generated."""
     page = (ROOT / "docs" / "CONFIGURATION.md").read_text()
-    return filled(page, "document", Document)
+    return fill_block(page, "document", Document)
 
 
 PAGES = {
@@ -127,7 +129,7 @@
 
 
 def main() -> int:
-    """Write the pages."""
+    """Write all pages."""
     for name, make in PAGES.items():
         (ROOT / "docs" / name).write_text(make())
     return 0
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -29,20 +29,20 @@
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
-"""Most tests, and most bounds of benchmarks, that may be listed."""
+"""Maximum number of tests, and of benchmark bounds, that may be listed."""
 
-BENCH_MARK = "bench/"
-"""Lines about bounds of benchmarks, which ``python -m bench`` reads."""
+BENCH_PREFIX = "bench/"
+"""Prefix of lines on benchmark bounds, which ``python -m bench`` reads."""
 
-PLAY_MARK = "play/"
-"""Lines about rules that played days break; no test here can turn them green."""
+PLAY_PREFIX = "play/"
+"""Prefix of lines on rules that simulated days break; no test here covers them."""
 
-WORKERS = 6
+WORKER_PROCESSES = 6
 
-TEST_SECONDS = 90
-"""A test that runs longer fails; a loop that never ends must not stop the run."""
+TEST_TIMEOUT_SECONDS = 90
+"""A test that runs longer fails, so that an endless loop doesn't block the run."""
 
-# the same examples in each run, so that the verdict is the same
+# the same examples in each run, for a reproducible result
 hypothesis.settings.register_profile(
     "fixed", derandomize=True, database=None, deadline=None
 )
@@ -58,7 +58,7 @@
     test : str
         Identifier, ``path::function``.
     failure : str
-        The traceback, empty where the test passed.
+        Traceback, empty if the test passed.
     seconds : float
         Wall time.
     """
@@ -81,7 +81,10 @@
 
 
 def find_fixture(module: ModuleType, name: str) -> Callable:
-    """Return the fixture of that name."""
+    """Return the fixture with a name.
+
+    Fixtures of the test module take precedence over shared ones.
+    """
     fixtures = importlib.import_module("teaselledge_standins.fixtures")
     found = getattr(module, name, None) or getattr(fixtures, name, None)
     if found is None:
@@ -112,12 +115,12 @@
 
 
 def new_virtual_loop() -> asyncio.AbstractEventLoop:
-    """Return a loop whose time moves on as soon as nothing is ready."""
+    """Return a loop whose clock advances as soon as no callback is ready."""
     return looptime.new_event_loop(start=0, noop_cycles=0)
 
 
-def as_call(module: ModuleType, function: Callable) -> Callable[[], None]:
-    """Return the test as a call without arguments."""
+def wrap_test(module: ModuleType, function: Callable) -> Callable[[], None]:
+    """Wrap a test in a function without arguments."""
     if not inspect.iscoroutinefunction(function):
         if hasattr(function, "hypothesis"):
             return function
@@ -132,15 +135,15 @@
     return call
 
 
-def on_alarm(number: int, frame: object) -> None:
-    """Fail the running test."""
-    raise TimeoutError(f"the test ran for more than {TEST_SECONDS} s")
+def raise_timeout(number: int, frame: object) -> None:
+    """Raise `TimeoutError` in the running test."""
+    raise TimeoutError(f"the test ran for more than {TEST_TIMEOUT_SECONDS} s")
 
 
 def run_module(path: Path, pattern: str) -> list[Outcome]:
-    """Run the tests of one module that the pattern selects."""
+    """Run the tests of a module whose identifier contains the pattern."""
     loguru.logger.remove()
-    signal.signal(signal.SIGALRM, on_alarm)
+    signal.signal(signal.SIGALRM, raise_timeout)
     label = str(path.relative_to(ROOT))
     try:
         module = load_module(path)
@@ -150,10 +153,10 @@
     for name, function in inspect.getmembers(module, inspect.isfunction):
         if not name.startswith("test_") or pattern not in f"{label}::{name}":
             continue
-        case = unittest.FunctionTestCase(as_call(module, function))
+        case = unittest.FunctionTestCase(wrap_test(module, function))
         result = unittest.TestResult()
         start = time.perf_counter()
-        signal.alarm(TEST_SECONDS)
+        signal.alarm(TEST_TIMEOUT_SECONDS)
         case.run(result)
         signal.alarm(0)
         problems = result.failures + result.errors
@@ -163,16 +166,19 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the tests that are known to fail, with their cause."""
+    """Return the causes of known failures by test, and print the other entries.
+
+    Exits if more than `MAX_KNOWN_RED` tests or benchmark bounds are listed.
+    """
     entries: dict[str, str] = {}
     bounds = 0
     for line in KNOWN_RED.read_text().splitlines():
         if not line.strip() or line.startswith("#"):
             continue
-        if line.startswith(PLAY_MARK):
-            print(f"known red, played: {line.removeprefix(PLAY_MARK)}")
+        if line.startswith(PLAY_PREFIX):
+            print(f"known red, played: {line.removeprefix(PLAY_PREFIX)}")
             continue
-        if line.startswith(BENCH_MARK):
+        if line.startswith(BENCH_PREFIX):
             bounds += 1
             continue
         test, _, cause = line.partition(",")
@@ -215,12 +221,12 @@
 
 
 def main() -> int:
-    """Run the modules whose identifier contains the first argument."""
+    """Run the tests whose identifier contains the first argument."""
     pattern = sys.argv[1] if len(sys.argv) > 1 else ""
     folders = [*ROOT.glob("packages/*/tests"), ROOT / "platform" / "tests"]
     paths = sorted(path for folder in folders for path in folder.glob("test_*.py"))
     context = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(WORKERS, mp_context=context) as pool:
+    with ProcessPoolExecutor(WORKER_PROCESSES, mp_context=context) as pool:
         runs = [pool.submit(run_module, path, pattern) for path in paths]
         outcomes = [outcome for run in runs for outcome in run.result()]
     return report(outcomes)
--- a/tools/spread_cost.py
+++ b/tools/spread_cost.py
@@ -1,9 +1,9 @@
-"""Measure what telling one another costs routers, by size of the fleet.
+"""Measure the cost of gossip between routers by size of the fleet.
 
-``python tools/spread_cost.py`` prints a line a size: bytes sent a router and second,
-at the mean and at the busiest router, calls to the store a second, and the time until
-a change is known everywhere. The routers are the real ones, in one process, with a
-virtual clock and a network that takes 20 ms.
+``python tools/spread_cost.py`` prints a line for each size: mean and maximum of the
+bytes that a router sends per second, store calls per second, and the time until all
+routers have received a change. The routers run their production code in one process,
+with a virtual clock and a network delay of 20 ms.
 """
 
 import asyncio
@@ -25,37 +25,38 @@
 from teaselledge_standins.virtual.clock import virtual_loop
 
 SIZES = ((9, 3, 8), (40, 6, 45), (89, 6, 51), (195, 6, 45), (370, 21, 2900))
-"""Routers, zones and endpoints."""
+"""Numbers of routers, zones and endpoints of each measured fleet."""
 
-REQUESTS_A_SECOND = 9.5
-"""Requests at each router, as planned for 370 routers."""
+REQUESTS_PER_SECOND = 9.5
+"""Rate at each router, as planned for 370 routers."""
 
-READING_SECONDS = 0.05
-FIRST_SECONDS = 0.2
-RUN_SECONDS = 1.5
-"""Time in which a request's prompt is read, its answer begins, and it ends."""
+PREFILL_SECONDS = 0.05
+FIRST_BYTE_SECONDS = 0.2
+REQUEST_SECONDS = 1.5
+"""Prefill time of a request, and times from its start to its first response byte and
+to its end."""
 
-MOST_WAIT_SECONDS = 10.0
-"""Longest wait that a request bears; all of them are admitted."""
+MAX_QUEUEING_SECONDS = 10.0
+"""Maximum queueing time of a request; long enough for all to be admitted."""
 
-ORGANISATIONS = 60
+ORGANISATION_COUNT = 60
 SETTLE_SECONDS = 8.0
 MEASURED_SECONDS = 8.0
-STEP_SECONDS = 0.02
+POLL_INTERVAL_SECONDS = 0.02
 
 
 @dataclass(frozen=True)
 class SpreadCost:
-    """What telling one another costs a fleet.
+    """Cost of gossip in a fleet.
 
     Attributes
     ----------
     mean_bytes, most_bytes : float
-        Sent a second by a router, and by the busiest one.
+        Mean and maximum over the routers of the bytes sent per second.
     calls : float
-        Calls to the store a second, by all.
+        Store calls per second of all routers together.
     change_seconds : float
-        Until a change of the configuration is known everywhere.
+        Time until all routers have received a change of the configuration.
     """
 
     mean_bytes: float
@@ -65,7 +66,7 @@
 
 
 def new_store(endpoints: int) -> MemoryStateStore:
-    """Return a store with a configuration and entries."""
+    """Return a store with a configuration and entries of endpoints."""
     return make_store(
         Endpoint(
             f"i-{number:010x}",
@@ -78,28 +79,31 @@
     )
 
 
-def use(fleet: GossipFleet) -> None:
-    """Give each router use of organisations to tell of."""
+def record_usage(fleet: GossipFleet) -> None:
+    """Record requests of organisations at each router, so that it has usage to send."""
     for router in fleet.routers:
-        for number in random.sample(range(ORGANISATIONS), ORGANISATIONS // 2):
+        for number in random.sample(range(ORGANISATION_COUNT), ORGANISATION_COUNT // 2):
             router.placer.shares.record_request(f"organisation-{number}", 20_000)
 
 
-async def call(router: GossipRouter, endpoints: int) -> None:
-    """Ask for a place for requests for ever, and count them until they end."""
+async def generate_load(router: GossipRouter, endpoints: int) -> None:
+    """Request admission for random requests, and count each as load until its end.
+
+    Runs until it is cancelled.
+    """
     loop = asyncio.get_running_loop()
     add = router.load.add_local
     while True:
-        await asyncio.sleep(random.expovariate(REQUESTS_A_SECOND))
+        await asyncio.sleep(random.expovariate(REQUESTS_PER_SECOND))
         name = f"i-{random.randrange(endpoints):010x}"
         endpoint = router.store_cache.view.get(name)
         if endpoint is None:
             continue
-        add(name, 1, READING_SECONDS)
-        loop.call_later(FIRST_SECONDS, add, name, 0, -READING_SECONDS)
-        loop.call_later(RUN_SECONDS, add, name, -1, 0.0)
+        add(name, 1, PREFILL_SECONDS)
+        loop.call_later(FIRST_BYTE_SECONDS, add, name, 0, -PREFILL_SECONDS)
+        loop.call_later(REQUEST_SECONDS, add, name, -1, 0.0)
         await router.admission_rpc.request_admission(
-            endpoint, READING_SECONDS, MOST_WAIT_SECONDS
+            endpoint, PREFILL_SECONDS, MAX_QUEUEING_SECONDS
         )
 
 
@@ -110,14 +114,14 @@
     settle: float = SETTLE_SECONDS,
     seconds: float = MEASURED_SECONDS,
 ) -> SpreadCost:
-    """Return what a fleet of some size costs.
+    """Measure the cost of gossip in a fleet.
 
     Parameters
     ----------
     routers, zones, endpoints : int
-        The size.
+        Size of the fleet.
     settle, seconds : float
-        Time until the load begins, and time for which it is measured.
+        Seconds until the load begins, and seconds of measurement.
     """
     loop = asyncio.get_running_loop()
     store = new_store(endpoints)
@@ -125,11 +129,12 @@
         store, routers, decode_empty_routing, zones
     ) as fleet:
         await asyncio.sleep(settle)
-        use(fleet)
-        calls_made = [
-            asyncio.create_task(call(router, endpoints)) for router in fleet.routers
+        record_usage(fleet)
+        load_tasks = [
+            asyncio.create_task(generate_load(router, endpoints))
+            for router in fleet.routers
         ]
-        await asyncio.sleep(RUN_SECONDS)
+        await asyncio.sleep(REQUEST_SECONDS)
         before = [router.link.sent_bytes for router in fleet.routers]
         store.calls = 0
         await asyncio.sleep(seconds)
@@ -138,21 +143,21 @@
             for router, start in zip(fleet.routers, before, strict=True)
         ]
         calls = store.calls / seconds
-        for task in calls_made:
+        for task in load_tasks:
             if task.done():
-                # a load that has ended would make the figures too small
+                # raise the error of the task: without its load, the results are too low
                 task.result()
             task.cancel()
         store.configure(b"2")
         changed = loop.time()
         while any(router.store_cache.version < 2 for router in fleet.routers):  # noqa: PLR2004
-            await asyncio.sleep(STEP_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         spread = loop.time() - changed
     return SpreadCost(sum(sent) / routers, max(sent), calls, spread)
 
 
 def main() -> None:
-    """Print the table."""
+    """Measure all sizes and print a table."""
     loguru.logger.remove()
     print("routers zones endpoints  mean B/s  most B/s calls/s change s")
     for size in SIZES:
