--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of the fleet; `python -m bench` prints a JSON line a case."""
+"""Benchmarks of the fleet; `python -m bench` prints a JSON line for each case."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,7 @@
-"""Run the benchmarks; one JSON line a case, non-zero exit for a broken bound."""
+"""Run the benchmarks and print a JSON line for each case.
+
+The exit code is not zero if a bound is broken that isn't listed in KNOWN-RED.txt.
+"""
 
 import sys
 
@@ -12,12 +15,12 @@
 _ONLY = flags.DEFINE_list("only", [], f"Suites to run: {', '.join(SUITES)}.")
 
 
-def complain(known: KnownRed, whole: bool) -> int:
-    """Show the known lines that this run did not see, and return their count.
+def report_obsolete_entries(known: KnownRed, is_complete_run: bool) -> int:
+    """Print the entries of KNOWN-RED.txt whose bounds hold, and return their number.
 
-    Only a whole run proves that a line has turned green.
+    Only a run of all cases proves that the bounds of an entry hold.
     """
-    green = known.green() if whole else []
+    green = known.green() if is_complete_run else []
     for line in green:
         name = f"bench/{line.case}:{line.figure}"
         print(f"{name} is listed in KNOWN-RED.txt and holds", file=sys.stderr)
@@ -38,7 +41,7 @@
             red += not case.ok and not unknown
             if unknown:
                 print(f"{case.name}: broken {', '.join(unknown)}", file=sys.stderr)
-    broken += complain(known, not _QUICK.value and not _ONLY.value)
+    broken += report_obsolete_entries(known, not _QUICK.value and not _ONLY.value)
     text = f"{ran} cases, {broken} with a broken bound, {red} known red"
     print(text, file=sys.stderr)
     return 1 if broken or not ran else 0
--- a/bench/affinity.py
+++ b/bench/affinity.py
@@ -1,9 +1,9 @@
-"""Prefix-cache affinity on late and gappy events, beside off and perfect.
+"""Prefix-cache affinity with late and lost events, compared with none and perfect.
 
-One shard with five engines. Prompts share prefixes by a Zipf law; an engine
-keeps a few prefixes, least recently used, and a cached prefix saves the work of
-reading it. Events and load reports come late, and some events are lost. The
-pool under test is the router's own.
+One shard with five engines. The prefixes of prompts follow a Zipf distribution. An
+engine caches a few prefixes with LRU eviction; a cached prefix saves its prefill.
+Events and load reports arrive late, and some events are lost. The pool under test is
+the router's own.
 """
 
 import heapq
@@ -27,16 +27,16 @@
 ENGINES = 5
 SLOTS = 8
 PREFIXES = 120
-CACHED = 24
+CACHED_PREFIXES = 24
 PREFIX_TOKENS = 150.0
 ANSWER_TOKENS = 100.0
 TOKEN_SECONDS = 0.01
-RATE = 13.0
-EVENT_DELAY = 2.0
-EVENT_LOSS = 0.2
-REPORT_SECONDS = 1.0
-REPORT_LAG = 1.0
-SLOW = 4.0
+REQUESTS_PER_SECOND = 13.0
+EVENT_DELAY_SECONDS = 2.0
+EVENT_LOSS_FRACTION = 0.2
+REPORT_INTERVAL_SECONDS = 1.0
+REPORT_LAG_SECONDS = 1.0
+SLOWDOWN_FACTOR = 4.0
 SECONDS = 300.0
 QUICK_SECONDS = 60.0
 SEEDS = 5
@@ -44,25 +44,25 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """What the dispatcher knows.
+    """Information that the dispatcher has, and the speed of the engines.
 
     Attributes
     ----------
     prefix : bool
-        Requests tell their prefix.
+        Requests carry the hash of their prefix.
     delay, loss : float
-        Of the cache events.
+        Seconds by which cache events are late, and fraction of them that is lost.
     perfect : bool
-        The true caches are asked instead.
+        The state of the caches is read directly instead of from events.
     slow : bool
         The first engine is four times slower.
     pace : bool
-        The dispatcher is told how long requests took.
+        The dispatcher receives the duration of requests.
     """
 
     prefix: bool = True
-    delay: float = EVENT_DELAY
-    loss: float = EVENT_LOSS
+    delay: float = EVENT_DELAY_SECONDS
+    loss: float = EVENT_LOSS_FRACTION
     perfect: bool = False
     slow: bool = False
     pace: bool = True
@@ -85,7 +85,9 @@
         self.loss = Random(f"loss/{seed}")
         self.now = 0.0
         self.engines = {
-            f"e{i}": _Engine(f"e{i}", SLOW if variant.slow and i == 0 else 1.0)
+            f"e{i}": _Engine(
+                f"e{i}", SLOWDOWN_FACTOR if variant.slow and i == 0 else 1.0
+            )
             for i in range(ENGINES)
         }
         endpoints = {name: Endpoint(f"{name}:1", "z", SLOTS) for name in self.engines}
@@ -106,10 +108,10 @@
         weights = [1 / (n + 1) for n in range(PREFIXES)]
         now = 0.0
         while now < self.seconds:
-            now += self.random.expovariate(RATE)
+            now += self.random.expovariate(REQUESTS_PER_SECOND)
             prefix = self.random.choices(range(PREFIXES), weights)[0]
             self.at(now, lambda prefix=prefix: self.arrive(prefix))  # type: ignore[misc]
-        self.at(REPORT_SECONDS, self.report)
+        self.at(REPORT_INTERVAL_SECONDS, self.report)
         while self.heap:
             self.now, _, action = heapq.heappop(self.heap)
             action()
@@ -123,7 +125,7 @@
             arrived, prefix = self.waiting[0]
             told = prefix if self.variant.prefix else None
             if self.variant.perfect:
-                self.tell_truth(prefix)
+                self.observe_caches(prefix)
             body = Register(1, "o", "w", 1.0, 0.0, 9.0, 0, told, True, [])
             name = self.pool.choose(body)
             if name is None:
@@ -132,7 +134,7 @@
             self.pool.acquire(name, told)
             self.start(self.engines[name], arrived, prefix)
 
-    def tell_truth(self, prefix: int) -> None:
+    def observe_caches(self, prefix: int) -> None:
         for engine in self.engines.values():
             engine.sequence += 1
             held = (prefix,) if prefix in engine.cache else ()
@@ -147,7 +149,7 @@
         evicted: tuple[int, ...] = ()
         engine.cache[prefix] = None
         engine.cache.move_to_end(prefix)
-        if len(engine.cache) > CACHED:
+        if len(engine.cache) > CACHED_PREFIXES:
             evicted = (engine.cache.popitem(last=False)[0],)
         if not hit and not self.variant.perfect:
             self.publish(engine, prefix, evicted)
@@ -178,11 +180,11 @@
         for engine in self.engines.values():
             report = LoadReport(engine.name, engine.running)
             self.at(
-                self.now + REPORT_LAG,
+                self.now + REPORT_LAG_SECONDS,
                 lambda report=report: self.pool.observe_load(report),  # type: ignore[misc]
             )
         if self.now < self.seconds:
-            self.at(self.now + REPORT_SECONDS, self.report)
+            self.at(self.now + REPORT_INTERVAL_SECONDS, self.report)
 
 
 def simulate_shard(variant: Variant, seed: int, seconds: float) -> dict[str, float]:
@@ -217,13 +219,14 @@
         figures = {key: round(value, 4) for key, value in mean.items()}
         bounds = {}
         if name == "late-and-gappy":
-            # half of what perfect knowledge would bring, and no slower
+            # the median latency must not be higher than without affinity
             figures["latency_p50_of_off"] = round(
                 mean["latency_p50_s"] / found["off"]["latency_p50_s"], 4
             )
             bounds["latency_p50_of_off"] = Bound(at_most=1.0)
         if name == "perfect":
             off, late = found["off"]["hit_part"], found["late-and-gappy"]["hit_part"]
+            # late events must bring half of the gain of perfect information
             gain = (late - off) / (mean["hit_part"] - off)
             figures["late_gain_of_perfect"] = round(gain, 4)
             bounds["late_gain_of_perfect"] = Bound(at_least=0.5)
--- a/bench/case.py
+++ b/bench/case.py
@@ -1,4 +1,4 @@
-"""One benchmark case and its bounds."""
+"""Result of a benchmark case, with its bounds."""
 
 import json
 from collections.abc import Mapping
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class Bound:
-    """Limits of one figure; either may be open."""
+    """Limits of one figure; None for no limit."""
 
     at_least: float | None = None
     at_most: float | None = None
@@ -23,16 +23,16 @@
 
 @dataclass(frozen=True)
 class Case:
-    """What one run of a benchmark measured.
+    """Result of a benchmark case.
 
     Attributes
     ----------
     name : str
         Name of the case.
     seed : int
-        Names the run.
+        Seed of the run.
     figures : mapping of str to float
-        What was measured, with the unit at the end of each name.
+        Measured values; the names end with the unit.
     bounds : mapping of str to Bound
         Limits by figure.
     """
@@ -57,7 +57,7 @@
         return not self.broken
 
     def line(self) -> str:
-        """Return the case as one JSON object."""
+        """Return the case as a line of JSON."""
         bounds = {
             name: [bound.at_least, bound.at_most] for name, bound in self.bounds.items()
         }
--- a/bench/config.py
+++ b/bench/config.py
@@ -1,4 +1,4 @@
-"""Configuration: time to force, bytes a node and processor time for a change."""
+"""Configuration changes: time until they are in force, traffic, processor time."""
 
 import asyncio
 import json
@@ -44,19 +44,19 @@
 DAY_SECONDS = 86_400
 SETTLE_SECONDS = 20.0
 IDLE_SECONDS = 60.0
-LIMIT_SECONDS = 60.0
+TIMEOUT_SECONDS = 60.0
 STEP_SECONDS = 0.02
-APPLIES = 5
-COUNTED = 200
-RECORDS = 20_000
+APPLY_COUNT = 5
+COUNTED_ORGANISATIONS = 200
+RECORD_COUNT = 20_000
 IN_FORCE_SECONDS = {8: 5.0, 64: 5.0, 370: 11.0}
-"""Bound on the time to force by number of routers."""
+"""Bound on the time until a change is in force, by number of routers."""
 
 
 def large_document(
     organisations: int = ORGANISATIONS, engines: int = ENGINES
 ) -> dict[str, Any]:
-    """Return a document of the size to come."""
+    """Return a document of the size planned for."""
     zones = {f"zone-{i:02d}": {"region": f"region-{i % REGIONS}"} for i in range(ZONES)}
     services = {
         f"model-{m}": {
@@ -94,8 +94,8 @@
     }
 
 
-class Followers:
-    """Followers of many routers on one virtual network, without other parts."""
+class WatcherFleet:
+    """Configuration watchers of many routers on one virtual network."""
 
     def __init__(self, count: int, seed: int, tables: MemoryTables) -> None:
         random = Random(seed)
@@ -110,7 +110,7 @@
         self.network = VirtualNetwork(NetworkPlan(zones), random)
         places = {f"vm-{i:03d}": names[i % len(names)] for i in range(count)}
         members = [Member(vm, zone, zones[zone]) for vm, zone in places.items()]
-        self.followers = [
+        self.watchers = [
             ConfigWatcher(
                 tables,
                 VirtualMesh(self.network, Origin(vm, random.getrandbits(40)), zone),
@@ -122,7 +122,7 @@
 
     def in_force(self, number: int) -> bool:
         """Return whether a version is in force in all routers."""
-        return all(f.current and f.current.number == number for f in self.followers)
+        return all(f.current and f.current.number == number for f in self.watchers)
 
     @property
     def sent(self) -> int:
@@ -131,27 +131,27 @@
 
     @property
     def sent_far(self) -> int:
-        """Bytes that went to another region."""
+        """Bytes that were sent to another region."""
         return sum(self.network.link_bytes.values())
 
 
-def changed(document: dict[str, Any], organisation: int, share: float) -> None:
+def change_share(document: dict[str, Any], organisation: int, share: float) -> None:
     """Change the share of one organisation."""
     names = list(document["organisations"])
     document["organisations"][names[organisation]]["share"] = share
 
 
 async def spread(count: int, seed: int, changes: int, engines: int) -> Case:
-    """Measure changes of one share, one after the other."""
+    """Measure consecutive changes, each of one share."""
     loop = asyncio.get_running_loop()
     random = Random(seed)
     document = large_document(engines=engines)
     tables = MemoryTables()
     tables.apply(unchecked_writes(document, 1))
-    fleet = Followers(count, seed, tables)
-    for follower in fleet.followers:
-        await follower.refresh()
-    tasks = [loop.create_task(follower.run()) for follower in fleet.followers]
+    fleet = WatcherFleet(count, seed, tables)
+    for watcher in fleet.watchers:
+        await watcher.refresh()
+    tasks = [loop.create_task(watcher.run()) for watcher in fleet.watchers]
     await asyncio.sleep(SETTLE_SECONDS)
     sent, far, reads = fleet.sent, fleet.sent_far, tables.reads
     started = time.process_time()
@@ -167,12 +167,12 @@
     for number in range(2, changes + 2):
         await asyncio.sleep(random.uniform(3.0, 4.0))
         own = time.process_time()
-        changed(document, random.randrange(ORGANISATIONS), 2.0 + number)
+        change_share(document, random.randrange(ORGANISATIONS), 2.0 + number)
         tables.apply(unchecked_writes(document, number))
         own_cpu += time.process_time() - own
         published = loop.time()
         while not fleet.in_force(number):
-            if loop.time() - published > LIMIT_SECONDS:
+            if loop.time() - published > TIMEOUT_SECONDS:
                 break
             await asyncio.sleep(STEP_SECONDS)
         times.append(loop.time() - published)
@@ -207,10 +207,10 @@
 
 
 def parsing() -> Case:
-    """Compare taking a change with taking the whole document."""
+    """Compare decoding a change with decoding the whole document."""
     document = large_document()
     first = unchecked_writes(document, 1)
-    changed(document, 17, 9.0)
+    change_share(document, 17, 9.0)
     second = unchecked_writes(document, 2)
     rows = {w.key.partition("/")[2]: w.value or b"" for w in [*first, *second]}
     raw = [next(w.value for w in ws if w.key == HEAD_KEY) for ws in (first, second)]
@@ -253,7 +253,7 @@
 
 
 def memory_of(organisations: int, engines: int) -> int:
-    """Return the bytes that a document and its chunks take in a router."""
+    """Return the memory of a document and its chunks in a router, in bytes."""
     writes = unchecked_writes(large_document(organisations, engines), 1)
     rows = {w.key.partition("/")[2]: w.value or b"" for w in writes}
     head = decode_manifest(next(w.value for w in writes if w.key == HEAD_KEY) or b"")
@@ -267,7 +267,7 @@
 
 
 def memory() -> Case:
-    """Measure the slopes of memory."""
+    """Measure the memory per organisation and per engine."""
     small = memory_of(150, 10)
     more_organisations = memory_of(ORGANISATIONS, 10)
     more_engines = memory_of(150, ENGINES)
@@ -282,7 +282,7 @@
 
 
 async def applying() -> Case:
-    """Measure what accepting a change costs the router that takes it."""
+    """Measure the cost of a change for the router that accepts it."""
     document = large_document()
     tables = MemoryTables()
     tables.apply(unchecked_writes(document, 1))
@@ -290,8 +290,8 @@
     spent = []
     reads = writes = 0
     accepted = 0
-    for number in range(1, APPLIES + 2):
-        changed(document, 17 * number, 9.0)
+    for number in range(1, APPLY_COUNT + 2):
+        change_share(document, 17 * number, 9.0)
         sections = {"organisations": document["organisations"]}
         change = Change(f"id-{number}", "dana", number, sections)
         reads, writes = tables.reads, tables.writes
@@ -302,13 +302,13 @@
         accepted += result.is_ok()
     figures = {
         "first_cpu_ms": 1000 * spent[0],
-        "apply_cpu_ms": 1000 * sum(spent[1:]) / APPLIES,
+        "apply_cpu_ms": 1000 * sum(spent[1:]) / APPLY_COUNT,
         "store_reads": float(reads),
         "store_commits": float(writes),
         "accepted": float(accepted),
     }
     bounds = {
-        "accepted": Bound(at_least=APPLIES + 1),
+        "accepted": Bound(at_least=APPLY_COUNT + 1),
         "store_reads": Bound(at_most=4),
         "store_commits": Bound(at_most=2),
     }
@@ -316,7 +316,7 @@
 
 
 async def counting() -> Case:
-    """Measure what counting against objectives costs."""
+    """Measure the cost of counting requests against objectives."""
     value = large_document(ORGANISATIONS, 2)
     value["objectives"] = {
         "completions": {
@@ -332,11 +332,11 @@
     version = Version(1, DocumentBuilder().build(head, chunks).ok)
     objectives = ObjectiveTracker(lambda: version)
     random = Random(1)
-    names = list(version.document.organisations)[:COUNTED]
+    names = list(version.document.organisations)[:COUNTED_ORGANISATIONS]
     for name in names:
         objectives.record(name, "model-0", "completion", 1.0, False)
     calls = [
-        (random.choice(names), random.lognormvariate(0, 1)) for _ in range(RECORDS)
+        (random.choice(names), random.lognormvariate(0, 1)) for _ in range(RECORD_COUNT)
     ]
     started = time.process_time()
     for name, seconds in calls:
@@ -352,11 +352,11 @@
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     figures = {
-        "record_cpu_us": 1e6 * spent / RECORDS,
-        "bytes_per_series": size / COUNTED,
-        "report_bytes_per_series": len(report) / COUNTED,
-        "report_cpu_us_per_series": 1e6 * shown / COUNTED,
-        "most_series_bytes": MAX_SERIES * size / COUNTED,
+        "record_cpu_us": 1e6 * spent / RECORD_COUNT,
+        "bytes_per_series": size / COUNTED_ORGANISATIONS,
+        "report_bytes_per_series": len(report) / COUNTED_ORGANISATIONS,
+        "report_cpu_us_per_series": 1e6 * shown / COUNTED_ORGANISATIONS,
+        "most_series_bytes": MAX_SERIES * size / COUNTED_ORGANISATIONS,
     }
     bounds = {"most_series_bytes": Bound(at_most=32e6)}
     return Case("config-objectives", 1, figures, bounds)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,8 +1,8 @@
-"""Cost of one decision of a dispatcher, by organisations and endpoints.
+"""Cost of a dispatcher's decision by number of organisations and endpoints.
 
-The bounds are ratios of two things timed in one run, so that they hold on a slow
-machine as well: from 16 to 750 organisations, 47 times as many, a step that is
-logarithmic grows by a factor of two to three.
+The bounds apply to ratios of two times measured in one run, so that they hold on a slow
+machine as well. From 16 to 750 organisations, 47 times as many, the time of a
+logarithmic step grows by a factor of two to three.
 """
 
 import asyncio
@@ -58,21 +58,21 @@
 STEPS = 2000
 QUICK_STEPS = 200
 ROUNDS = 5
-BACKLOGGED = 0.1
-"""Part of the organisations that a report names."""
+BACKLOGGED_FRACTION = 0.1
+"""Fraction of the organisations that a report names."""
 
-GROWTH = 4.0
-"""Most by which a step may take longer at 750 organisations than at 16."""
+MAX_GROWTH = 4.0
+"""Maximum ratio of a step's time at 750 organisations to that at 16."""
 
-GRANT_GROWTH = 30.0
-"""The same for a grant, whose choice looks at each endpoint of the shard."""
+MAX_GRANT_GROWTH = 30.0
+"""Maximum ratio for a grant, which examines each endpoint of the shard."""
 
 INGRESS = Origin("vm-1", 11)
-MICROSECONDS = 1e6
+MICROSECONDS_PER_SECOND = 1e6
 
 
-class _Setting:
-    """A dispatcher with full slots and some requests of everyone waiting."""
+class _LoadedDispatcher:
+    """A dispatcher with all slots in use and waiting requests of each organisation."""
 
     def __init__(
         self, organisations: int, endpoints: int, waiting: int | None = None
@@ -114,7 +114,7 @@
         self.dispatcher.handle_register(INGRESS, body)
 
     def grant(self) -> None:
-        """End a request, which frees a slot, and grant it again."""
+        """End a request and have its slot granted to the next one."""
         ended = self.granted.pop(0)
         done = Done(ended.grant, 90.0, False, 1.0, ended.request)
         self.dispatcher.handle_done(INGRESS, done)
@@ -124,9 +124,9 @@
         self.register()
 
     def report(self) -> None:
-        """Take in a report that names the backlogged organisations."""
+        """Handle a report that names the backlogged organisations."""
         self.sequence += 1
-        count = max(1, int(BACKLOGGED * len(self.names)))
+        count = max(1, int(BACKLOGGED_FRACTION * len(self.names)))
         accounts = [
             Account(name, 10.0 * self.sequence, None, 3) for name in self.names[:count]
         ]
@@ -134,44 +134,44 @@
         self.dispatcher.handle_report(Origin("vm-2", 22), body)
 
     def digest(self) -> None:
-        """Compare an ingress's digest with what is known of it."""
+        """Compare the digest of an ingress with the dispatcher's state."""
         self.dispatcher.handle_snapshot(INGRESS, Snapshot([], [], 0, 0, False))
 
     def tick(self) -> None:
-        """Do what is due twenty times a second."""
+        """Run the periodic tick, which is due twenty times per second."""
         now = asyncio.get_running_loop().time()
         self.dispatcher.tick(now)
 
 
 STEPS_BY_NAME = {
-    "registration": _Setting.register,
-    "grant": _Setting.grant,
-    "report": _Setting.report,
-    "digest": _Setting.digest,
-    "tick": _Setting.tick,
+    "registration": _LoadedDispatcher.register,
+    "grant": _LoadedDispatcher.grant,
+    "report": _LoadedDispatcher.report,
+    "digest": _LoadedDispatcher.digest,
+    "tick": _LoadedDispatcher.tick,
 }
 
 
-def _time(setting: _Setting, name: str, steps: int) -> float:
-    """Return the microseconds of one step, the best of some rounds."""
+def _time(loaded: _LoadedDispatcher, name: str, steps: int) -> float:
+    """Return the microseconds of one step, the minimum over the rounds."""
     step = STEPS_BY_NAME[name]
     rounds = []
     for _ in range(ROUNDS):
-        setting.mesh.sent.clear()
+        loaded.mesh.sent.clear()
         start = time.process_time()
         for _ in range(steps // ROUNDS):
-            step(setting)
+            step(loaded)
         spent = time.process_time() - start
-        rounds.append(spent / (steps // ROUNDS) * MICROSECONDS)
+        rounds.append(spent / (steps // ROUNDS) * MICROSECONDS_PER_SECOND)
     return min(rounds)
 
 
 async def _measure(organisations: int, endpoints: int, steps: int) -> dict[str, float]:
-    setting = _Setting(organisations, endpoints)
+    loaded = _LoadedDispatcher(organisations, endpoints)
     gc.collect()
     gc.disable()
     try:
-        return {name: _time(setting, name, steps) for name in STEPS_BY_NAME}
+        return {name: _time(loaded, name, steps) for name in STEPS_BY_NAME}
     finally:
         gc.enable()
 
@@ -184,23 +184,23 @@
         found.append(measured)
         for name, value in measured.items():
             figures[f"{name}_{organisations}_{endpoints}_us"] = round(value, 2)
-    # growth with the organisations alone, at the same few endpoints
+    # growth with the number of organisations, at the minimum number of endpoints
     alone = await _measure(SIZES[-1][0], SIZES[0][1], steps)
     bounds = {}
     for name, value in alone.items():
-        per = BACKLOGGED * SIZES[-1][0] if name == "report" else 1.0
+        per = BACKLOGGED_FRACTION * SIZES[-1][0] if name == "report" else 1.0
         growth = value / per / found[0][name]
         figures[f"{name}_growth"] = round(growth, 3)
-        bounds[f"{name}_growth"] = Bound(at_most=GROWTH)
+        bounds[f"{name}_growth"] = Bound(at_most=MAX_GROWTH)
     figures["grant_growth_with_endpoints"] = round(
         found[-1]["grant"] / found[0]["grant"], 3
     )
-    bounds["grant_growth_with_endpoints"] = Bound(at_most=GRANT_GROWTH)
+    bounds["grant_growth_with_endpoints"] = Bound(at_most=MAX_GRANT_GROWTH)
     return Case("decisions-growth", 0, figures, bounds)
 
 
 async def _digest_cost(steps: int) -> Case:
-    """Time the digest of what an ingress holds, by requests."""
+    """Measure the time to digest an ingress's requests, by their number."""
     figures = {}
     for count in (10, 100, 1000):
         numbers = list(range(count))
@@ -210,20 +210,20 @@
             for _ in range(max(1, steps // count)):
                 digest_of_requests(numbers)
             spent = time.process_time() - start
-            rounds.append(spent / max(1, steps // count) * MICROSECONDS)
+            rounds.append(spent / max(1, steps // count) * MICROSECONDS_PER_SECOND)
         figures[f"digest_of_{count}_us"] = round(statistics.median(rounds), 2)
     return Case("decisions-digest", 0, figures)
 
 
 def replace_owner(body: Register, vm: str) -> Register:
-    """Return a registration as one dispatcher passes it to another."""
+    """Return a registration as one dispatcher forwards it to another."""
     lent = copy(body)
     lent.owner_vm, lent.owner_incarnation = vm, 1 << 39
     return lent
 
 
 def _messages() -> dict[str, tuple[Any, int]]:
-    """Return messages of today's names, with how many a request takes."""
+    """Return messages by name, with the number of each that a request needs."""
     vm, request = "vm-7", 4711
     body = Register(
         request, "org-07", "summary", 400.0, 0.0, 600.0, 2000, None, True, []
@@ -247,7 +247,7 @@
 
 
 def _wire(steps: int) -> Case:
-    """Measure bytes and time of each message, framed alone."""
+    """Measure size and codec time of each message in a frame of its own."""
     figures: dict[str, float] = {}
     a_request = 0
     for label, (body, count) in _messages().items():
@@ -262,7 +262,7 @@
             for _ in range(steps // ROUNDS):
                 decode(encode([sent], 1 << 39))
             spent = time.process_time() - start
-            rounds.append(spent / (steps // ROUNDS) * MICROSECONDS)
+            rounds.append(spent / (steps // ROUNDS) * MICROSECONDS_PER_SECOND)
         figures[f"{label}_codec_us"] = round(min(rounds), 1)
     empty, full = figures["report_bytes"], figures["report_of_75_bytes"]
     figures["account_bytes"] = round((full - empty) / 75, 2)
@@ -277,12 +277,12 @@
     for organisations, waiting in ((10, 10), (1010, 1010), (10, 10_010)):
         gc.collect()
         tracemalloc.start()
-        setting = _Setting(organisations, 1, waiting)
+        loaded = _LoadedDispatcher(organisations, 1, waiting)
         figures[f"{organisations}_{waiting}"] = float(
             tracemalloc.get_traced_memory()[0]
         )
         tracemalloc.stop()
-        del setting
+        del loaded
     base = figures["10_10"]
     request = (figures["10_10010"] - base) / 10_000
     account = (figures["1010_1010"] - base) / 1000 - request
--- a/bench/driver.py
+++ b/bench/driver.py
@@ -1,4 +1,4 @@
-"""Drive a virtual fleet with the sources of a load, and collect what happened."""
+"""Run the sources of a load against a virtual fleet and collect the results."""
 
 import asyncio
 import time
@@ -25,7 +25,7 @@
 PADDING_BYTES = 1000
 
 Script = Callable[[VirtualFleet], Awaitable[None]]
-"""Brings faults about, from the start of the sources on."""
+"""Injects faults; starts together with the sources."""
 
 
 @dataclass
@@ -38,24 +38,24 @@
 
 @dataclass
 class Trial:
-    """One run of the fleet.
+    """Result of one run of the fleet.
 
     Attributes
     ----------
     ground : Ground
-        What happened, in seconds since the start of the sources.
+        Requests and runs, with times in seconds since the start of the sources.
     traffic : Traffic
         Control traffic.
     calls, right, refused, broken : int
-        Calls that ended: with the whole answer, with a refusal, visibly broken
-        or with their router's death.
+        All calls that ended, and those with a complete and correct response, with a
+        refusal, and with a visible abort or the death of their router.
     lies : list of str
-        Calls whose outcome was untrue: a wrong answer given as whole, or a
-        "not run" for what ran.
+        Calls with a false outcome: a wrong response marked as complete, or "not run"
+        for a request that ran.
     refusals : dict of str to int
         Refusals by kind.
     wall_seconds : float
-        Time that the run took in reality.
+        Real time that the run took.
     """
 
     ground: Ground
@@ -140,7 +140,7 @@
         zone = self._fleet.plan.routers[source.router]
         job = Job(name, source.organisation, source.kind, zone, cost, self.now)
         self.jobs[name] = job
-        vm = self._living(source.router)
+        vm = self._router_alive(source.router)
         outcome: CallResult | None = None
         with suppress(ConnectionError):
             outcome = await self._fleet.call(
@@ -156,8 +156,8 @@
         self.trial_calls.append((name, outcome))
         return outcome is not None and outcome.is_correct
 
-    def _living(self, router: str) -> str:
-        # callers keep the address of their router until it is gone
+    def _router_alive(self, router: str) -> str:
+        # callers use the same router until it is gone
         if router in self._fleet.nodes:
             return router
         at = self._routers.index(router)
@@ -165,7 +165,7 @@
         return next((vm for vm in around if vm in self._fleet.nodes), router)
 
     def ground(self) -> Ground:
-        """Collect the runs of the endpoints."""
+        """Return the requests with their runs at endpoints."""
         fleet, plan = self._fleet, self._fleet.plan
         progress: list[tuple[float, str, float]] = []
         endpoints = {
@@ -197,7 +197,7 @@
         )
 
 
-def _judge(
+def _count_outcome(
     trial: Trial, jobs: dict[str, Job], name: str, end: CallResult | None
 ) -> None:
     trial.calls += 1
@@ -260,15 +260,15 @@
         await asyncio.sleep(0)
     trial = Trial(driver.ground(), traffic, wall_seconds=time.perf_counter() - wall)
     for name, outcome in ended:
-        _judge(trial, driver.jobs, name, outcome)
+        _count_outcome(trial, driver.jobs, name, outcome)
     return trial
 
 
 def new_loop() -> asyncio.AbstractEventLoop:
-    """Return a loop with a virtual clock that steps from event to event.
+    """Return a loop whose virtual clock advances from event to event.
 
-    Nothing comes from outside such a loop, so it need not turn idly before
-    each step, which took nine tenths of a run.
+    Such a loop has no external events, so it needs no idle iterations before each
+    step; these took nine tenths of a run.
     """
     return looptime.new_event_loop(noop_cycles=0)
 
@@ -281,17 +281,17 @@
     script: Script | None = None,
     warm: float = 0.0,
 ) -> Trial:
-    """Run sources through a virtual fleet and return what happened.
+    """Run sources against a virtual fleet and return the result.
 
     Parameters
     ----------
     horizon : float
         Seconds from the start of the sources to the end of the run.
     script : callable or None
-        Brings faults about.
+        Injects faults.
     warm : float
-        Seconds before the measured window begins, so that the figures do not
-        hang on the order in which the sources start.
+        Seconds before the measured window begins, so that the figures don't depend
+        on the order in which the sources start.
     """
     with asyncio.Runner(loop_factory=new_loop) as runner:
         return runner.run(_run(plan, sources, seed, horizon, script, warm))
--- a/bench/fairness.py
+++ b/bench/fairness.py
@@ -1,10 +1,10 @@
-"""Fair dispatch over the fleet, beside a policy that sees everything at once.
+"""Fair dispatch of the fleet, compared with a naive policy with complete information.
 
-Each case is one load on one deployment, over all seeds; faults take turns by
-seed. ``gap_ratio`` compares the largest gap of each run, averaged over the
-seeds, of both policies. The ratio of single runs scatters by more than the
-bound even between two runs of the naive policy that differ in the order in
-which the sources start, as the cases ``scatter`` show.
+Each case is one load on one deployment, over all seeds; the seed selects the fault.
+``gap_ratio`` is the ratio of the largest gap of the fleet to that of the naive policy,
+each averaged over the seeds. The ratio of single runs is not bounded: the cases
+``scatter`` show that it varies by more than the bound between two runs of the naive
+policy that differ only in the order in which the sources start.
 """
 
 from collections.abc import Iterator
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True)
 class Spec:
-    """One run.
+    """Parameters of one run.
 
     Attributes
     ----------
     deployment, load, fault : str
-        Names; no fault if empty.
+        Their names; an empty fault for none.
     seed : int
-        Names the run.
+        Seed of the run.
     """
 
     deployment: str
@@ -95,12 +95,12 @@
 
 
 def bound_of(plan: VirtualPlan, ground: Ground, blind: float) -> float:
-    """Return the bound of the gap for a run.
+    """Return the upper bound of the gap for a run.
 
     Parameters
     ----------
     blind : float
-        Seconds for which dispatchers did not hear each other.
+        Seconds for which dispatchers received no reports from each other.
     """
     preset = get_preset_by_name(preset_of(plan))
     service = next(iter(plan.services.values()))
@@ -120,11 +120,12 @@
 
 
 def wait_bound_ratio(ground: Ground, bound: float) -> float:
-    """Return the longest wait as a part of its bound by share, over requests.
+    """Return the maximum over requests of the waiting time divided by its bound.
 
-    When a request arrives, its organisation has a certain cost outstanding.
-    Served at its share of the whole rate, and behind by the gap's bound at
-    most, it is through after (outstanding / share + bound) * shares / rate.
+    The bound follows from the cost that the organisation has outstanding when the
+    request arrives. An organisation that is served at its share of the total rate,
+    and lags by at most the bound of the gap, has received this cost after
+    (outstanding / share + bound) * shares / rate.
     """
     rate = service_rate(ground)
     shares = sum(ground.shares[n] for n in {j.organisation for j in ground.jobs})
@@ -155,7 +156,7 @@
 
 
 def _late_starts(ground: Ground, endpoint: str) -> int:
-    """Count requests that started on a leaving endpoint seconds after notice."""
+    """Count requests that started at a leaving endpoint after `LEAVE_SECONDS`."""
     return sum(
         1
         for job in ground.jobs
@@ -211,14 +212,14 @@
 
 
 def shuffled(sources: list[Source], seed: int) -> list[Source]:
-    """Return the sources in another order, in which they start."""
+    """Return the sources in a random order of start."""
     found = list(sources)
     Random(f"order/{seed}").shuffle(found)
     return found
 
 
 def scatter(load_name: str, seeds: int) -> Case:
-    """Compare the naive policy with itself under another order of the sources."""
+    """Compare the naive policy with itself under two orders of the sources."""
     load = get_load_by_name(load_name)
     plan = with_kinds(get_plan_by_name(next(iter(PLANS))), load)
     horizon = WARM_SECONDS + SECONDS
@@ -269,8 +270,8 @@
     return bounds
 
 
-LOWEST = ("utilisation", "utilisation_of_naive")
-"""Figures whose worst value is the lowest."""
+MIN_IS_WORST = ("utilisation", "utilisation_of_naive")
+"""Figures whose worst value is the minimum."""
 
 
 def summarise(name: str, preset: str, results: list[Result]) -> Case:
@@ -279,7 +280,7 @@
     figures: dict[str, float] = {"seeds": float(len(results))}
     for key in results[0].figures:
         values = [r.figures[key] for r in results]
-        figures[key] = min(values) if key in LOWEST else max(values)
+        figures[key] = min(values) if key in MIN_IS_WORST else max(values)
     figures["gap_mean"] = sum(r.figures["gap"] for r in results) / len(results)
     naive = sum(r.figures["gap_naive"] for r in results) / len(results)
     figures["gap_naive_mean"] = naive
@@ -300,8 +301,8 @@
 def specs_of(deployment: str, load: str, faults: bool, seeds: int) -> list[Spec]:
     """Return the runs of one case.
 
-    Faults take turns by seed. The two deployments share the seeds with faults
-    between them, so that each load has twenty of those as well.
+    The seed selects the fault. The seeds with faults are divided between the two
+    deployments, so that each load has twenty runs with faults as well.
     """
     names = list(FAULTS)
     number = list(PLANS).index(deployment)
@@ -330,14 +331,14 @@
         for deployment, load, faults in cases:
             specs = specs_of(deployment, load, faults, seeds)
             pending.append([pool.submit(measure_one, spec) for spec in specs])
-        everything: list[Result] = []
+        all_results: list[Result] = []
         for (deployment, load, faults), futures in zip(cases, pending, strict=True):
             label = f"{deployment}-{load}" + ("-faults" if faults else "")
             preset = preset_of(get_plan_by_name(deployment))
             results = [f.result() for f in futures]
-            everything.extend(results)
+            all_results.extend(results)
             yield summarise(label, preset, results)
-    yield from _by_fault(everything)
+    yield from _by_fault(all_results)
 
 
 def _by_fault(results: list[Result]) -> Iterator[Case]:
--- a/bench/knobs.py
+++ b/bench/knobs.py
@@ -1,4 +1,4 @@
-"""The curve of the fairness gap against control traffic.
+"""Fairness gap as a function of control traffic.
 
 The quantum and the intervals of the reports are scaled together, from a quarter
 of the fairness preset to 64 times it. ``python -m bench.knobs FILE`` draws
@@ -34,7 +34,7 @@
 
 
 def measure_point(deployment: str, scale: float, seed: int) -> Point:
-    """Run one deployment with scaled knobs."""
+    """Run one deployment with scaled parameters."""
     loguru.logger.remove()
     scaled = replace(
         BASE,
@@ -43,7 +43,7 @@
         region_interval=BASE.region_interval * scale,
         report_bytes=BASE.report_bytes / min(scale, 1.0),
     )
-    # only the processes of the benchmark have other presets
+    # changes the presets of this benchmark process only
     presets.PRESETS["fairness"] = presets.PRESETS["traffic"] = scaled
     load = get_load_by_name(LOAD)
     plan = with_kinds(get_plan_by_name(deployment), load)
@@ -65,7 +65,7 @@
 
 
 def curve(seeds: int, scales: tuple[float, ...]) -> dict[str, list[Point]]:
-    """Return the mean figures by deployment and scale."""
+    """Return the mean figures by deployment, in the order of the scales."""
     context = get_context("spawn")
     with ProcessPoolExecutor(WORKERS, mp_context=context) as pool:
         pending = {
@@ -83,7 +83,7 @@
 
 
 def run(quick: bool) -> Iterator[Case]:
-    """Run the cases; a single point is no curve, so none if quick."""
+    """Run the cases; none if quick, since a single point gives no curve."""
     if quick:
         return
     for deployment, points in curve(SEEDS, SCALES).items():
@@ -93,7 +93,7 @@
 
 
 def draw(path: str) -> None:
-    """Measure the curve and draw it into a file."""
+    """Measure the curve and write its plot to a file."""
     figure = Figure(figsize=(7, 4.5))
     axes = figure.subplots()
     for deployment, points in curve(SEEDS, SCALES).items():
--- a/bench/knownred.py
+++ b/bench/knownred.py
@@ -1,4 +1,4 @@
-"""Bounds that are known to be broken, from KNOWN-RED.txt."""
+"""Bounds that are known to be broken, as listed in KNOWN-RED.txt."""
 
 from dataclasses import dataclass
 from fnmatch import fnmatchcase
@@ -9,17 +9,17 @@
 __all__ = ["KnownBound", "KnownRed"]
 
 PATH = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MARK = "bench/"
+PREFIX = "bench/"
 
 
 @dataclass(frozen=True)
 class KnownBound:
-    """A line ``bench/CASE:FIGURE, cause, issue``; both names may be patterns.
+    """An entry ``bench/CASE:FIGURE, cause, issue``; both names may be patterns.
 
     Attributes
     ----------
     case, figure : str
-        Patterns as `fnmatch` reads them.
+        Patterns of `fnmatch`.
     cause : str
         Why the bound is broken.
     """
@@ -29,39 +29,39 @@
     cause: str
 
     def covers(self, case: str, figure: str) -> bool:
-        """Return whether the line is about a figure of a case."""
+        """Return whether the entry covers a figure of a case."""
         return fnmatchcase(case, self.case) and fnmatchcase(figure, self.figure)
 
 
 class KnownRed:
-    """The known lines, and which of them a run has seen broken."""
+    """Entries of KNOWN-RED.txt, and which of them were needed in a run."""
 
-    def __init__(self, lines: list[KnownBound]) -> None:
-        self._lines = lines
-        self._seen: set[KnownBound] = set()
+    def __init__(self, entries: list[KnownBound]) -> None:
+        self._entries = entries
+        self._needed: set[KnownBound] = set()
 
     @classmethod
     def from_file(cls, path: Path = PATH) -> "KnownRed":
-        """Read the lines that are about benchmarks."""
+        """Read the entries for benchmarks."""
         found = []
         for line in path.read_text().splitlines():
-            if not line.startswith(MARK):
+            if not line.startswith(PREFIX):
                 continue
-            name, _, cause = line.removeprefix(MARK).partition(",")
+            name, _, cause = line.removeprefix(PREFIX).partition(",")
             case, _, figure = name.strip().partition(":")
             found.append(KnownBound(case, figure, cause.strip()))
         return cls(found)
 
     def unknown(self, case: Case) -> list[str]:
-        """Return the broken figures of a case that no line covers."""
-        left = []
+        """Return the figures with a broken bound that no entry covers."""
+        uncovered = []
         for figure in case.broken:
-            lines = [line for line in self._lines if line.covers(case.name, figure)]
-            self._seen.update(lines)
-            if not lines:
-                left.append(figure)
-        return left
+            entries = [e for e in self._entries if e.covers(case.name, figure)]
+            self._needed.update(entries)
+            if not entries:
+                uncovered.append(figure)
+        return uncovered
 
     def green(self) -> list[KnownBound]:
-        """Return the lines whose bounds all held in this run."""
-        return [line for line in self._lines if line not in self._seen]
+        """Return the entries whose bounds all held in this run."""
+        return [entry for entry in self._entries if entry not in self._needed]
--- a/bench/leaving.py
+++ b/bench/leaving.py
@@ -1,4 +1,4 @@
-"""Graceful shutdowns at random times, with a second fault beside."""
+"""Graceful shutdowns at random times, together with a second fault."""
 
 import asyncio
 from collections.abc import Iterator
@@ -23,8 +23,8 @@
         with asyncio.Runner(
             loop_factory=lambda: looptime.new_event_loop(noop_cycles=0)
         ) as runner:
-            verdict = runner.run(run_drain_scenario(seed))
-        for name, value in asdict(verdict).items():
+            outcome = runner.run(run_drain_scenario(seed))
+        for name, value in asdict(outcome).items():
             sums[name] = sums.get(name, 0) + value
     bounds = {
         "cut": Bound(at_most=0),
--- a/bench/lookups.py
+++ b/bench/lookups.py
@@ -1,10 +1,10 @@
-"""Lookups beside long summaries, by latency policy.
+"""Waiting times of lookups beside long summaries, by latency policy.
 
 The same lookups run with and without a flood of summaries, under each policy:
-plain (first in line), reserve (idle slots), burst (above the slots) and preempt
-(cancel a stream and resume it later). Each runs in the fleet and, as ``model``,
-in the naive policy's simulation, where the engine takes 0.2 s to go on with a
-cancelled stream; in the fleet it goes on at once.
+plain (lookups are first in the queue), reserve (some slots are kept idle), burst (some
+more requests than slots run) and preempt (a stream is cancelled and resumed later).
+Each runs in the fleet and, as ``model``, in the naive policy's simulation, where the
+engine takes 0.2 s to resume a cancelled stream; in the fleet it resumes at once.
 """
 
 from collections.abc import Iterator
@@ -26,14 +26,14 @@
 __all__ = ["POLICIES", "measure_policy", "run"]
 
 POLICIES = ("plain", "reserve", "burst", "preempt")
-CHOSEN = "burst"
-"""The policy that the bound holds for."""
+CHOSEN_POLICY = "burst"
+"""The policy that routers use, and that the bound applies to."""
 
 SEEDS = 4
 WARM_SECONDS = 4.0
 SECONDS = 20.0
 DEPLOYMENT = "sudski-trag"
-EXTRA_WAIT_SECONDS = 0.050
+MAX_EXTRA_WAIT_SECONDS = 0.050
 
 
 def measure_policy(policy: str, seed: int) -> dict[str, float]:
@@ -46,8 +46,7 @@
     options = {**service.options, "resumes": True}
     services = {**plan.services, name: replace(service, options=options)}
     plan = replace(plan, services=services)
-    # the router always uses the chosen policy; only this process of the
-    # benchmark takes another
+    # routers always use the chosen policy; changed in this benchmark process only
     dispatcher.LATENCY_POLICY = policy
     horizon = WARM_SECONDS + SECONDS
     figures = {}
@@ -98,15 +97,15 @@
 
 def _case(policy: str, runs: list[dict[str, float]]) -> Case:
     bounds = {"lies_mixed": Bound(at_most=0), "lies_alone": Bound(at_most=0)}
-    if policy == CHOSEN:
-        bounds["lookup_extra_wait_p99_s"] = Bound(at_most=EXTRA_WAIT_SECONDS)
+    if policy == CHOSEN_POLICY:
+        bounds["lookup_extra_wait_p99_s"] = Bound(at_most=MAX_EXTRA_WAIT_SECONDS)
     return Case(f"lookups-{policy}", 1, _worst(runs), bounds)
 
 
 def run(quick: bool) -> Iterator[Case]:
     """Run the cases."""
     seeds = range(1, 2 if quick else SEEDS + 1)
-    policies = (CHOSEN,) if quick else POLICIES
+    policies = (CHOSEN_POLICY,) if quick else POLICIES
     for policy in () if quick else POLICIES:
         found = [model_policy(policy, seed) for seed in seeds]
         yield Case(f"lookups-model-{policy}", 1, _worst(found))
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,4 +1,4 @@
-"""Figures from the ground truth: what endpoints ran and callers waited for."""
+"""Figures computed from the actual runs at endpoints and the waits of callers."""
 
 import heapq
 from collections import defaultdict
@@ -22,7 +22,7 @@
 
 @dataclass
 class Job:
-    """One request from its arrival to its end.
+    """A request from its arrival to its end.
 
     Attributes
     ----------
@@ -41,7 +41,7 @@
     router: str = ""
 
     def waiting(self) -> list[tuple[float, float]]:
-        """Return when it waited for an endpoint."""
+        """Return the time spans in which the request waited for an endpoint."""
         spans = []
         since = self.issued
         for _, started, ended in self.runs:
@@ -54,14 +54,14 @@
 
 @dataclass
 class Ground:
-    """What happened in one run, as endpoints and callers saw it.
+    """Ground truth of one run, as endpoints and callers observed it.
 
     Attributes
     ----------
     jobs : list of Job
         All requests of the service.
     progress : list of tuple of float, str and float
-        Time, organisation and cost of each part that an endpoint finished.
+        Time, organisation and cost of each chunk of work that an endpoint finished.
     shares : mapping of str to float
         Share of each organisation.
     slots : mapping of str to int
@@ -89,16 +89,16 @@
             changes.append((a, job.organisation, 1))
             if b < ground.end:
                 changes.append((b, job.organisation, -1))
-    # at one instant an arrival comes before a departure, so that a caller who
-    # asks again at once stays backlogged
+    # at the same instant an arrival precedes a departure, so that the organisation
+    # of a caller that sends its next request at once stays backlogged
     return sorted(changes, key=lambda c: (c[0], -c[2]))
 
 
 def largest_gap(ground: Ground, since: float | None = None) -> float:
-    """Return the largest gap of normalised service while both are backlogged.
+    """Return the largest gap in normalised service between two organisations.
 
-    For each pair the service counts from the moment at which both are
-    backlogged, or from `since`; it starts again when one of them is not.
+    The gap of a pair is measured from the time at which both are backlogged, or from
+    `since`, and restarts when one of them is not backlogged.
     """
     start = ground.start if since is None else since
     gap = 0.0
@@ -108,7 +108,7 @@
     count = len(names)
     served = np.zeros(count)
     waiting = np.zeros(count, dtype=int)
-    # difference of the served amounts at the start of each pair's interval
+    # difference in service at the start of each pair's interval
     base = np.zeros((count, count))
     open_pairs = np.zeros((count, count), dtype=bool)
     progress = [(t, 0, who, amount) for t, who, amount in ground.progress]
@@ -153,7 +153,7 @@
 
 
 def utilisation(ground: Ground, skip: Sequence[tuple[float, float]] = ()) -> float:
-    """Return the busy part of all slots over the time at which work waits."""
+    """Return the fraction of slots in use during the time in which requests wait."""
     slots = sum(ground.slots.values())
     busy = total = 0.0
     waiting = running = 0
@@ -170,7 +170,7 @@
 
 
 def over_admission(ground: Ground) -> float:
-    """Return the mean part of the slots by which endpoints ran too much."""
+    """Return the mean number of requests above the slots, as a fraction of slots."""
     over = 0.0
     for endpoint, slots in ground.slots.items():
         changes = []
@@ -188,13 +188,13 @@
 
 
 def service_rate(ground: Ground) -> float:
-    """Return the service of all organisations together, a second."""
+    """Return the service of all organisations per second."""
     inside = [a for t, _, a in ground.progress if ground.start <= t < ground.end]
     return sum(inside) / (ground.end - ground.start)
 
 
 def idle_waits(ground: Ground, near: bool) -> list[float]:
-    """Return for how long slots stood idle while work waited.
+    """Return the durations for which slots were idle while requests waited.
 
     For each endpoint, a span begins when it has a free slot while a request
     waits (in its region, if `near`), and ends when a request starts there,
@@ -241,7 +241,7 @@
 
 
 def waits(ground: Ground, kind: str) -> list[float]:
-    """Return the seconds from arrival to first start, by request."""
+    """Return the seconds from arrival to first start of each request of a kind."""
     return [
         job.runs[0][1] - job.issued
         for job in ground.jobs
@@ -250,6 +250,6 @@
 
 
 def percentile(values: Iterable[float], part: float) -> float:
-    """Return a percentile, 0 of nothing."""
+    """Return a percentile, 0 if there are no values."""
     found = list(values)
     return float(np.percentile(found, part)) if found else 0.0
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,4 +1,4 @@
-"""Membership at several sizes: traffic, time to notice a loss, full mesh beside."""
+"""Membership by fleet size: traffic, failure detection, and a full mesh."""
 
 import asyncio
 import time
@@ -20,10 +20,10 @@
 LIST_ENTRY_BYTES = 166
 """Bytes of a router in the platform's JSON list."""
 
-KILLS = 3
+KILLED_ROUTERS = 3
 
-JOIN_LIMIT = 100
-"""Above this the routers know each other from the start, to keep the run short."""
+MAX_JOINING_ROUTERS = 100
+"""Above this size the routers know each other from the start, to shorten the run."""
 
 
 def _loop() -> asyncio.AbstractEventLoop:
@@ -54,7 +54,7 @@
     )
 
 
-async def _until_nobody_knows(fleet: MemberFleet, vm: str) -> float:
+async def _seconds_until_death_known(fleet: MemberFleet, vm: str) -> float:
     loop = asyncio.get_running_loop()
     started = loop.time()
     while fleet.count_aware(vm):
@@ -62,7 +62,7 @@
     return loop.time() - started
 
 
-async def _until_no_new_work(fleet: MemberFleet, vm: str) -> float:
+async def _seconds_until_leaving_known(fleet: MemberFleet, vm: str) -> float:
     loop = asyncio.get_running_loop()
     started = loop.time()
     while fleet.count_not_leaving(vm):
@@ -73,21 +73,21 @@
 async def _measure(size: int, seed: int) -> Case:
     zones, regions = SIZES[size]
     async with running_members(
-        size, zones, regions, seed=seed, prefilled=size > JOIN_LIMIT
+        size, zones, regions, seed=seed, prefilled=size > MAX_JOINING_ROUTERS
     ) as fleet:
         joined = asyncio.get_running_loop().time()
         await asyncio.sleep(25.0)
         idle = await _traffic(fleet)
         fleet.members["vm-001"].announce_leaving()
-        leaving = await _until_no_new_work(fleet, "vm-001")
+        leaving = await _seconds_until_leaving_known(fleet, "vm-001")
         fleet.vms.mark_leaving("vm-002")
-        listed = await _until_no_new_work(fleet, "vm-002") - 2.0
+        listed = await _seconds_until_leaving_known(fleet, "vm-002") - 2.0
         before = sum(fleet.network.sent_bytes.values())
         detections = []
-        for index in range(KILLS):
+        for index in range(KILLED_ROUTERS):
             vm = f"vm-{size - 1 - index:03d}"
             fleet.kill(vm)
-            detections.append(await _until_nobody_knows(fleet, vm))
+            detections.append(await _seconds_until_death_known(fleet, vm))
         churn = sum(fleet.network.sent_bytes.values()) - before
         seconds = sum(detections)
     reads_per_s = 1 / max(1.0, size / 4)
@@ -112,7 +112,7 @@
 
 
 async def _full_mesh(size: int, seed: int) -> Case:
-    """Measure the traffic when every router beats to every other."""
+    """Measure the traffic if every router sends heartbeats to every other."""
     zones, regions = SIZES[size]
     usual, gossip.FULL_MESH = gossip.FULL_MESH, size + 1
     try:
@@ -129,7 +129,7 @@
 
 
 def run(quick: bool) -> Iterator[Case]:
-    """Run the cases; the largest size only where there is time."""
+    """Run the cases; only the smallest size if quick."""
     for size in (8,) if quick else SIZES:
         with asyncio.Runner(loop_factory=_loop) as runner:
             yield runner.run(_measure(size, 1))
--- a/bench/naive.py
+++ b/bench/naive.py
@@ -1,7 +1,7 @@
-"""Policies that see all requests in one queue without delay.
+"""Baseline policies with one queue for all requests and no delays.
 
-They run the same sources over the same model of endpoints as the fleet, in a
-plain loop over events, and are what the fleet is compared with.
+The fleet is compared with them. They serve the same sources with the same model of
+endpoints as the fleet, in a discrete-event simulation.
 """
 
 import heapq
@@ -28,11 +28,11 @@
     "simulate",
 ]
 
-EXTRA_PART = 8
-"""One slot in so many is reserved, added or taken from a stream."""
+SLOTS_PER_EXTRA_SLOT = 8
+"""One slot in eight is reserved for interactive requests, or added for them."""
 
 RESUME_SECONDS = 0.2
-"""Time in which an engine reads a cancelled stream again to go on with it."""
+"""Prefill time of an engine before it resumes a cancelled stream."""
 
 
 @dataclass(frozen=True)
@@ -44,9 +44,9 @@
     at : float
         Seconds after the start.
     slow : float
-        Factor on all durations from now on.
+        Factor on all later durations.
     leaving : bool
-        Whether it takes no new work from now on.
+        Whether the endpoint accepts no new requests.
     """
 
     at: float
@@ -57,14 +57,14 @@
 
 @dataclass
 class SimulatedEndpoint:
-    """An endpoint and what runs on it.
+    """State of an endpoint.
 
     Attributes
     ----------
     running : int
-        Requests that run there.
+        Number of running requests.
     held : int
-        Slots that are taken as far as the policy knows.
+        Slots in use according to the policy, which may lag behind.
     """
 
     name: str
@@ -81,7 +81,7 @@
 
 @dataclass
 class NaiveFleet:
-    """State of a simulation; a policy chooses the next organisation from it."""
+    """Queues and service by organisation, from which a policy chooses."""
 
     shares: Mapping[str, float]
     hints: Mapping[str, float]
@@ -96,7 +96,7 @@
 
 
 Policy = Callable[[NaiveFleet], str | None]
-"""Chooses the organisation whose next request starts."""
+"""Chooses the organisation whose next request starts, None for none."""
 
 
 def least_served(fleet: NaiveFleet) -> str | None:
@@ -105,7 +105,7 @@
 
 
 def first_come(fleet: NaiveFleet) -> str | None:
-    """Choose the organisation whose oldest request came first, fair or not."""
+    """Choose the organisation with the oldest request, regardless of fairness."""
 
     def oldest(name: str) -> float:
         return min(queue[0].issued for queue in fleet.queues[name] if queue)
@@ -120,11 +120,11 @@
 
 
 class PolicyNotFoundError(LookupError):
-    """There is no naive policy of that name."""
+    """No policy has the given name."""
 
 
 def get_policy_by_name(name: str) -> Policy:
-    """Return a policy.
+    """Return the policy with a name.
 
     Raises
     ------
@@ -138,7 +138,7 @@
 
 
 class Simulation:
-    """A plain loop over events, which subclasses give delays and other queues."""
+    """A discrete-event simulation; subclasses add delays and other queues."""
 
     def __init__(
         self,
@@ -152,7 +152,7 @@
         self.plan = plan
         self.latency = latency
         self.above: set[str] = set()
-        self.lives: dict[str, int] = {}
+        self.attempts: dict[str, int] = {}
         self.done: dict[str, int] = {}
         self.at_endpoint: dict[str, SimulatedEndpoint] = {}
         self.horizon = horizon
@@ -186,7 +186,7 @@
             self._prepare(index, source)
 
     def at(self, time: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule an action."""
         self._count += 1
         heapq.heappush(self._heap, (time, self._count, action))
 
@@ -197,7 +197,7 @@
             action()
 
     def ground(self, warm: float) -> Ground:
-        """Return what happened."""
+        """Return the requests and their runs."""
         regions = dict(self.plan.network.regions)
         regions.update({n: e.region for n, e in self.endpoints.items()})
         return Ground(
@@ -247,7 +247,7 @@
         who = source.organisation
         lowest = [fleet.served[n] for n in fleet.waiting()]
         if who not in fleet.waiting():
-            # no credit for the time without work
+            # no credit for the time without requests
             floor = min(lowest, default=0.0)
             fleet.served[who] = max(fleet.served.get(who, 0.0), floor)
         queues = fleet.queues.setdefault(who, (deque(), deque()))
@@ -284,7 +284,7 @@
 
     @property
     def _extra(self) -> int:
-        return sum(e.slots for e in self.endpoints.values()) // EXTRA_PART
+        return sum(e.slots for e in self.endpoints.values()) // SLOTS_PER_EXTRA_SLOT
 
     def _interactive(self) -> list[str]:
         return [name for name, (first, _) in self.fleet.queues.items() if first]
@@ -299,7 +299,10 @@
         return job
 
     def _preempt(self) -> None:
-        """End the youngest long stream of the most served for a lookup."""
+        """Cancel a long stream and start an interactive request in its slot.
+
+        The stream is the latest one of the organisation with the most service.
+        """
         jobs = {job.name: job for job in self.jobs if job.name in self.at_endpoint}
         long = [j for j in jobs.values() if j.kind not in self.fleet.interactive]
         if not long:
@@ -309,7 +312,7 @@
         endpoint = self.at_endpoint.pop(victim.name)
         endpoint.running -= 1
         endpoint.held -= 1
-        self.lives[victim.name] += 1
+        self.attempts[victim.name] += 1
         victim.runs[-1] = (*victim.runs[-1][:2], self.now)
         self.fleet.queues[victim.organisation][1].appendleft(victim)
         hint = self.fleet.hints[victim.kind]
@@ -325,7 +328,7 @@
         self.start_on(job, endpoint)
 
     def start_on(self, job: Job, endpoint: SimulatedEndpoint) -> None:
-        """Take a slot and let the request begin, after a delay if there is one."""
+        """Take a slot and begin the request, after `start_delay`."""
         fleet = self.fleet_of(job)
         share = fleet.shares[job.organisation]
         fleet.served[job.organisation] += fleet.hints[job.kind] / share
@@ -345,37 +348,37 @@
         return 0.0
 
     def end_delay(self, job: Job, endpoint: SimulatedEndpoint) -> float:
-        """Return the seconds from an end until the slot is known as free."""
+        """Return the seconds from an end until the policy sees the slot as free."""
         return 0.0
 
     def _begin(self, job: Job, endpoint: SimulatedEndpoint) -> None:
         endpoint.running += 1
         job.runs.append((endpoint.name, self.now, float("inf")))
         self.at_endpoint[job.name] = endpoint
-        life = self.lives.setdefault(job.name, 0)
+        attempt = self.attempts.setdefault(job.name, 0)
         done = self.done.get(job.name, 0)
-        if life:
-            resumed = partial(self._part, job, endpoint, done, life)
+        if attempt:
+            resumed = partial(self._part, job, endpoint, done, attempt)
             self.at(self.now + RESUME_SECONDS, resumed)
             return
-        self._part(job, endpoint, done, life)
+        self._part(job, endpoint, done, attempt)
 
     def _part(
-        self, job: Job, endpoint: SimulatedEndpoint, done: int, life: int
+        self, job: Job, endpoint: SimulatedEndpoint, done: int, attempt: int
     ) -> None:
-        if self.lives[job.name] != life:
+        if self.attempts[job.name] != attempt:
             return
         factor = 1 + endpoint.slowdown * (endpoint.running - 1)
         seconds = job.cost / CHUNKS * endpoint.unit_seconds * factor * endpoint.slow
         spent = job.cost / CHUNKS if self.tokens else seconds
 
         def finish() -> None:
-            if self.lives[job.name] != life:
+            if self.attempts[job.name] != attempt:
                 return
             self.progress.append((self.now, job.organisation, spent))
             self.done[job.name] = done + 1
             if done + 1 < CHUNKS:
-                self._part(job, endpoint, done + 1, life)
+                self._part(job, endpoint, done + 1, attempt)
             else:
                 self._end(job, endpoint)
 
@@ -390,7 +393,7 @@
         job.ended = self.now
         cost = job.cost if self.tokens else self.now - started
         again = self._again.pop(job.name)
-        # the caller asks again before the slot is given away
+        # the caller sends its next request before the slot is reassigned
         if again is not None:
             again()
         delay = self.end_delay(job, endpoint)
@@ -422,14 +425,14 @@
     warm: float = 0.0,
     latency: str = "plain",
 ) -> Ground:
-    """Run sources under a policy that sees everything at once.
+    """Simulate sources under a policy with complete and immediate information.
 
     Parameters
     ----------
     horizon : float
         Seconds to simulate.
     events : sequence of EndpointEvent
-        What happens to the endpoints.
+        Changes of the endpoints.
     warm : float
         Seconds before the measured window begins.
     latency : str
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -1,4 +1,4 @@
-"""What the order journal costs: store calls, slot time, open orders after a kill."""
+"""Cost of the order journal: store calls, slot time, open orders after a kill."""
 
 import asyncio
 from collections.abc import Iterator, Mapping, Sequence
@@ -33,30 +33,30 @@
 
 __all__ = ["run"]
 
-PACES: Mapping[str, type[ClaimTiming]] = {
+TIMINGS: Mapping[str, type[ClaimTiming]] = {
     "late": LateClaimTiming,
     "ahead": PredictiveClaimTiming,
     "early": ImmediateClaimTiming,
 }
 STORE_SECONDS = (0.003, 0.05, 0.2)
 FULL_LOAD_SECONDS = 0.05
-"""Longest store call at which the callers still keep all slots busy."""
+"""Maximum duration of a store call at which the callers still use all slots."""
 
 CALLERS = 60
-LEAST_COST, MOST_COST = 0.02, 0.18
-"""Seconds of an order; equal ones would all end and wait in step."""
+MIN_COST_SECONDS, MAX_COST_SECONDS = 0.02, 0.18
+"""Durations of orders; with equal ones, all orders would end and wait in step."""
 WARM_SECONDS = 5.0
 SPAN_SECONDS = 15.0
 QUICK_SPAN_SECONDS = 3.0
 
 
 class CountingJournal(Journal):
-    """Counts its calls, and how many commits a commit finds under way."""
+    """Counts its calls, and the commits in progress at the start of each commit."""
 
     reads = 0
     writes = 0
-    under_way = 0
-    met = 0
+    in_progress = 0
+    overlapping = 0
 
     async def read(self, row: str) -> Result[object, StoreError]:  # type: ignore[override]
         """Read the record of a row."""
@@ -66,14 +66,14 @@
     async def write(
         self, row: str, record: OrderRecord, expect: int, indexed: bool = False
     ) -> Result[None, StoreError]:
-        """Write a record where its row still has the expected version."""
+        """Write a record if its row still has the expected version."""
         self.writes += 1
-        self.met += self.under_way
-        self.under_way += 1
+        self.overlapping += self.in_progress
+        self.in_progress += 1
         try:
             return await super().write(row, record, expect, indexed)
         finally:
-            self.under_way -= 1
+            self.in_progress -= 1
 
 
 @dataclass
@@ -83,14 +83,14 @@
     answered: int = 0
 
     async def caller(self, index: int) -> None:
-        """Place one order after the other."""
+        """Send one order after the other."""
         random = Random(index)
         vms = sorted(self.fleet.plan.routers)
         vm = vms[index % len(vms)]
         while True:
             self.placed += 1
             name = f"o-{index}-{self.placed}"
-            cost = random.uniform(LEAST_COST, MOST_COST)
+            cost = random.uniform(MIN_COST_SECONDS, MAX_COST_SECONDS)
             try:
                 outcome = await self.fleet.call(
                     vm, "amber", "ledger", "order", name, cost, name
@@ -100,17 +100,19 @@
             self.answered += outcome.is_correct
 
 
-async def measure(pace: str, store: float, span: float) -> Case:
+async def measure(timing: str, store: float, span: float) -> Case:
     """Measure a backlogged service whose requests are all orders."""
     async with order_fleet(1) as fleet:
         fleet.tables.faults.delay = store
-        journals = [_equip(fleet, vm, PACES[pace]) for vm in sorted(fleet.nodes)]
+        journals = [
+            _install_journal(fleet, vm, TIMINGS[timing]) for vm in sorted(fleet.nodes)
+        ]
         load = _Load(fleet)
         tasks = [asyncio.create_task(load.caller(i)) for i in range(CALLERS)]
         await asyncio.sleep(WARM_SECONDS)
-        before = _counts(journals), load.answered, _busy(fleet)
+        before = _journal_counts(journals), load.answered, _busy(fleet)
         await asyncio.sleep(span)
-        after = _counts(journals), load.answered, _busy(fleet)
+        after = _journal_counts(journals), load.answered, _busy(fleet)
         orders = after[1] - before[1]
         slots = sum(
             len(ORDER_PLAN.services["ledger"].zones)
@@ -121,41 +123,45 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-    reads, writes, met = (a - b for a, b in zip(after[0], before[0], strict=True))
+    reads, writes, overlapping = (
+        a - b for a, b in zip(after[0], before[0], strict=True)
+    )
     figures = {
         "store_call_seconds": store,
         "orders_per_s": orders / span,
         "utilisation": (after[2] - before[2]) / (slots * span),
         "journal_reads_per_order": reads / orders,
         "journal_writes_per_order": writes / orders,
-        "commits_met_by_a_commit": met / writes,
+        "commits_met_by_a_commit": overlapping / writes,
         "open_after_kill": opened,
         "open_after_kill_though_not_begun": opened - begun,
     }
     bounds = {}
-    if pace == "ahead":
+    if timing == "ahead":
         bounds["journal_writes_per_order"] = Bound(at_most=2.1)
         bounds["journal_reads_per_order"] = Bound(at_most=1.2)
-    if pace == "ahead" and store <= FULL_LOAD_SECONDS:
+    if timing == "ahead" and store <= FULL_LOAD_SECONDS:
         bounds["utilisation"] = Bound(at_least=0.97)
-    return Case(f"orders-{pace}-store-{store * 1000:.0f}ms", 1, figures, bounds)
+    return Case(f"orders-{timing}-store-{store * 1000:.0f}ms", 1, figures, bounds)
 
 
-def _equip(fleet: VirtualFleet, vm: str, pace: type[ClaimTiming]) -> CountingJournal:
+def _install_journal(
+    fleet: VirtualFleet, vm: str, timing: type[ClaimTiming]
+) -> CountingJournal:
     orders = fleet.nodes[vm].orders
     old = orders.dependencies.journal
     journal = CountingJournal(old.tables, old.objects, NullMetrics(), old.now)
     orders.dependencies = replace(
-        orders.dependencies, journal=journal, claim_timing=pace()
+        orders.dependencies, journal=journal, claim_timing=timing()
     )
     return journal
 
 
-def _counts(journals: Sequence[CountingJournal]) -> tuple[int, int, int]:
+def _journal_counts(journals: Sequence[CountingJournal]) -> tuple[int, int, int]:
     return (
         sum(journal.reads for journal in journals),
         sum(journal.writes for journal in journals),
-        sum(journal.met for journal in journals),
+        sum(journal.overlapping for journal in journals),
     )
 
 
@@ -164,7 +170,7 @@
 
 
 def _open_orders(fleet: VirtualFleet) -> tuple[int, int]:
-    """Return the orders that a killed router left open, and those begun."""
+    """Return how many orders the killed router left open, and how many of them ran."""
     runs = runs_by_name(fleet)
     opened = begun = 0
     for row in fleet.tables.snapshot().get(ORDERS_TABLE, []):
@@ -183,6 +189,6 @@
     stores = STORE_SECONDS[:1] if quick else STORE_SECONDS
     span = QUICK_SPAN_SECONDS if quick else SPAN_SECONDS
     for store in stores:
-        for pace in ("ahead",) if quick else PACES:
+        for timing in ("ahead",) if quick else TIMINGS:
             with asyncio.Runner(loop_factory=virtual_loop) as runner:
-                yield runner.run(measure(pace, store, span))
+                yield runner.run(measure(timing, store, span))
--- a/bench/outcomes.py
+++ b/bench/outcomes.py
@@ -1,4 +1,4 @@
-"""Orders under random faults, beside a naive desk on the same seeds."""
+"""Orders under random faults, and a naive implementation on the same seeds."""
 
 import asyncio
 from collections import Counter
@@ -15,7 +15,7 @@
 
 __all__ = ["run"]
 
-WORKERS = 5
+WORKER_PROCESSES = 5
 QUICK_SEEDS = 3
 SEEDS = 200
 NAIVE_QUICK_SEEDS = 2
@@ -47,24 +47,24 @@
 def run_seeds(
     seeds: int, prepare: Callable[[Node], None] | None = None
 ) -> list[OutcomeReport]:
-    """Run seeds from 0 on, two at a time."""
-    with ProcessPoolExecutor(WORKERS) as pool:
+    """Run the seeds from 0 on in parallel."""
+    with ProcessPoolExecutor(WORKER_PROCESSES) as pool:
         return list(pool.map(partial(run_seed, prepare=prepare), range(seeds)))
 
 
-def summed(verdicts: list[OutcomeReport]) -> dict[str, float]:
-    """Return the sums of all counts."""
-    return {name: sum(getattr(v, name) for v in verdicts) for name in COUNTS}
+def sum_counts(reports: list[OutcomeReport]) -> dict[str, float]:
+    """Sum each count over the runs."""
+    return {name: sum(getattr(v, name) for v in reports) for name in COUNTS}
 
 
 def kept(seeds: int) -> Case:
-    """Run the order desk."""
-    verdicts = run_seeds(seeds)
-    figures = summed(verdicts)
+    """Run the production code for orders."""
+    reports = run_seeds(seeds)
+    figures = sum_counts(reports)
     figures["unknown_share"] = figures["unknown"] / figures["orders"]
     reasons: Counter[str] = Counter()
-    for verdict in verdicts:
-        reasons += verdict.reasons
+    for report in reports:
+        reasons += report.reasons
     for reason, count in sorted(reasons.items()):
         figures[f"unknown because {reason}"] = count
     bounds = {name: Bound(at_most=0) for name in PROMISES}
@@ -73,8 +73,8 @@
 
 
 def naive(seeds: int) -> Case:
-    """Run the naive desk, whose broken promises the checker must see."""
-    figures = summed(run_seeds(seeds, NaiveGate.install))
+    """Run the naive implementation, whose broken promises the check must detect."""
+    figures = sum_counts(run_seeds(seeds, NaiveGate.install))
     bounds = {name: Bound(at_least=1) for name in ("twice", "false_no")}
     return Case(f"outcomes-naive-{seeds}-seeds", 0, figures, bounds)
 
--- a/bench/passthrough.py
+++ b/bench/passthrough.py
@@ -1,4 +1,4 @@
-"""The baseline for speed: a bare tornado proxy without any decisions."""
+"""Baseline of the speed benchmark: a tornado proxy that only forwards requests."""
 
 import asyncio
 
@@ -15,11 +15,11 @@
 
 class _Handler(RequestHandler):
     def initialize(self, proxy: "Passthrough") -> None:
-        """Take the proxy."""
+        """Set the proxy."""
         self.proxy = proxy
 
     async def post(self) -> None:
-        """Send the request on and relay the answer as it comes."""
+        """Forward the request and stream the response."""
         flushed: asyncio.Future[None] | None = None
 
         def relay(chunk: bytes) -> None:
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,4 +1,4 @@
-"""The path through the routers, under a virtual clock."""
+"""Control traffic of an idle fleet, under a virtual clock."""
 
 import asyncio
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 
 
 async def idle_traffic(name: str, seed: int) -> Case:
-    """Measure the control traffic of a fleet without requests."""
+    """Measure the control traffic per router of a fleet without requests."""
     plan = get_plan_by_name(name)
     async with running_virtual_fleet(plan, seed) as fleet:
         before = sum(fleet.network.sent_bytes.values())
--- a/bench/script.py
+++ b/bench/script.py
@@ -1,4 +1,4 @@
-"""Faults of the fairness benchmark, brought about at fixed times."""
+"""Faults of the fairness benchmark, injected at fixed times."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -20,7 +20,7 @@
 
 BEGIN = 8.0
 END = 14.0
-SLOW = 4.0
+SLOWDOWN_FACTOR = 4.0
 
 
 @dataclass(frozen=True)
@@ -30,11 +30,11 @@
     Attributes
     ----------
     script : callable
-        Makes the script for a seed.
+        Returns the script for a seed.
     events : callable
-        Makes what the naive policy's endpoints see of it.
+        Returns the changes of endpoints for the simulation of the naive policy.
     splits : bool
-        Routers can't hear each other meanwhile.
+        Some routers can't reach each other during the fault.
     """
 
     script: Callable[[int], Script]
@@ -43,7 +43,7 @@
 
 
 def leaving_endpoint(plan: VirtualPlan) -> str:
-    """Return the endpoint that is slow or leaves."""
+    """Return the name of the endpoint that is slow or leaves."""
     return f"{next(iter(plan.services))}-0"
 
 
@@ -116,7 +116,7 @@
     async def script(fleet: VirtualFleet) -> None:
         endpoint = fleet.endpoints[leaving_endpoint(fleet.plan)]
         await asyncio.sleep(BEGIN)
-        endpoint.faults.slow = SLOW
+        endpoint.faults.slow = SLOWDOWN_FACTOR
         await asyncio.sleep(END - BEGIN)
         endpoint.faults.slow = 1.0
 
@@ -125,7 +125,7 @@
 
 def _slow_events(plan: VirtualPlan) -> Sequence[EndpointEvent]:
     name = leaving_endpoint(plan)
-    return [EndpointEvent(BEGIN, name, SLOW), EndpointEvent(END, name)]
+    return [EndpointEvent(BEGIN, name, SLOWDOWN_FACTOR), EndpointEvent(END, name)]
 
 
 def _with_leaving(fleet: VirtualFleet, leaving: bool) -> dict[str, Any]:
@@ -163,11 +163,11 @@
 
 
 class FaultNotFoundError(LookupError):
-    """There is no fault of that name."""
+    """No fault has the given name."""
 
 
 def get_fault_by_name(name: str) -> Fault:
-    """Return a fault.
+    """Return the fault with a name.
 
     Raises
     ------
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of control traffic, and the cost of choosing an endpoint."""
+"""Control traffic by size of the fleet, and time to choose an endpoint."""
 
 import time
 from collections.abc import Iterator, Mapping
@@ -35,9 +35,9 @@
     Attributes
     ----------
     nodes, organisations, endpoints : int
-        How many there are.
+        Their numbers.
     requests : float
-        Mean cost of a request is divided by it, so that more of them run.
+        Factor on the request rate: the mean cost of a request is divided by it.
     """
 
     nodes: int = 8
@@ -72,7 +72,7 @@
 
 
 def measure_size(size: Size) -> dict[str, float]:
-    """Run a fleet whose organisations are all backlogged."""
+    """Measure the traffic of a fleet whose organisations are all backlogged."""
     loguru.logger.remove()
     plan = sized_plan(size)
     routers = list(plan.routers)
@@ -103,7 +103,7 @@
 
 
 def choice_microseconds(endpoints: int) -> float:
-    """Return the time of one choice, with its take and give_back."""
+    """Return the time of one choice, including acquiring and releasing the slot."""
     names = {f"e{i}": Endpoint(f"e{i}:1", "z", 8) for i in range(endpoints)}
     service = Service("tokens", names, {"w": Kind(("POST",), ("w",))})
     document = Document({"z": Zone("r")}, {}, {"s": service})
@@ -125,7 +125,7 @@
 
 
 def run(quick: bool) -> Iterator[Case]:
-    """Run the cases; traffic at one size gives no slope, so none if quick."""
+    """Run the cases; no traffic if quick, since one size gives no slope."""
     sizes = {} if quick else SIZES
     context = get_context("spawn")
     with ProcessPoolExecutor(WORKERS, mp_context=context) as pool:
--- a/bench/speed.py
+++ b/bench/speed.py
@@ -1,8 +1,8 @@
-"""Speed of one router against a bare pass-through proxy, in one run.
+"""Speed of one router compared with a pass-through proxy in the same run.
 
-Caller, proxy and endpoint share one process. What a proxy costs is the
-processor time of a call through it less that of a call straight to the
-endpoint; the ratio of two such costs is the ratio of what one core can carry.
+Caller, proxy and endpoint share one process. The cost of a proxy is the processor time
+of a call through it minus that of a direct call to the endpoint. The ratio of two such
+costs is the inverse ratio of the request rates that one core can serve.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
 
 class Timed:
-    """Processor time and latencies of calls along one way."""
+    """Processor time and latencies of calls along one path."""
 
     def __init__(self, call: Call) -> None:
         self._call = call
@@ -45,23 +45,23 @@
         self.rounds: list[list[float]] = []
 
     async def batch(self) -> None:
-        """Make a batch of calls at once."""
+        """Make a batch of concurrent calls."""
         start = time.process_time()
         await asyncio.gather(*(self._call() for _ in range(BATCH)))
         self.cpu.append((time.process_time() - start) / BATCH)
 
     async def one(self) -> None:
-        """Make one call of the present round."""
+        """Make one call of the current round."""
         begin = time.perf_counter()
         await self._call()
         self.rounds[-1].append(time.perf_counter() - begin)
 
     @property
     def cpu_seconds(self) -> float:
-        """Least processor time of one call over the rounds.
+        """Minimum processor time per call over the rounds.
 
-        Other load of the machine only ever adds to it, by a shared cache or a
-        shared core.
+        The minimum, since other load on the machine can only add to it, through a
+        shared cache or a shared core.
         """
         return float(np.min(self.cpu))
 
@@ -71,7 +71,7 @@
 
 
 def order_call(address: str, prefix: str) -> Call:
-    """Return a call that does a short piece of work at the plain service."""
+    """Return a function that sends a short request to the plain service."""
     caller = Caller(key_of("amber"))
     body = json.dumps({"name": "n", "seconds": 0, "organisation": "amber"}).encode()
 
@@ -83,7 +83,7 @@
 
 
 def stream_call(address: str, prefix: str) -> Call:
-    """Return a call for a stream of tokens."""
+    """Return a function that requests a stream of tokens."""
     caller = Caller(key_of("amber"))
     body = json.dumps({"prompt": "n", "max_tokens": TOKENS}).encode()
 
@@ -95,38 +95,38 @@
     return call
 
 
-async def measure_round(ways: list[Timed]) -> None:
-    """Measure all ways by turns, so that other load of the machine hits all."""
-    for way in ways:
-        await way.batch()
-        way.rounds.append([])
+async def measure_round(paths: list[Timed]) -> None:
+    """Measure all paths in turn, so that other load on the machine affects all."""
+    for path in paths:
+        await path.batch()
+        path.rounds.append([])
     for _ in range(SEQUENTIAL):
-        for way in ways:
-            await way.one()
+        for path in paths:
+            await path.one()
 
 
 async def compare(fleet: Fleet, rounds: int) -> dict[str, float]:
-    """Measure the three ways in turn, so that noise hits all alike."""
+    """Measure the three paths in turn, so that noise affects all equally."""
     endpoint = fleet.plains["plain-0"].address
     bare = Passthrough(endpoint)
     router = fleet.routers["r1"].caller_address
-    ways = {
+    paths = {
         "direct": Timed(order_call(endpoint, "")),
         "bare": Timed(order_call(bare.listen(), "")),
         "router": Timed(order_call(router, "/v1/services/ledger")),
     }
-    for way in ways.values():
-        await way.batch()
-        way.cpu.clear()
+    for path in paths.values():
+        await path.batch()
+        path.cpu.clear()
     for _ in range(rounds):
-        await measure_round(list(ways.values()))
+        await measure_round(list(paths.values()))
     await bare.close()
-    direct, through_bare, through = ways["direct"], ways["bare"], ways["router"]
+    direct, through_bare, through = paths["direct"], paths["bare"], paths["router"]
     bare_cpu = through_bare.cpu_seconds - direct.cpu_seconds
     router_cpu = through.cpu_seconds - direct.cpu_seconds
 
-    def added(way: Timed, percentile: float) -> float:
-        return way.latency(percentile) - direct.latency(percentile)
+    def added(path: Timed, percentile: float) -> float:
+        return path.latency(percentile) - direct.latency(percentile)
 
     return {
         "bare_cpu_us": bare_cpu * 1e6,
@@ -140,14 +140,14 @@
 
 
 async def token_cost(fleet: Fleet) -> dict[str, float]:
-    """Measure what a router adds to each token of a stream."""
-    ways = {
+    """Measure the processor time that a router adds to each token of a stream."""
+    paths = {
         "direct": (fleet.engines["engine-0"].address, ""),
         "router": (fleet.routers["r1"].caller_address, "/v1/services/models"),
     }
-    cpu = {name: [] for name in ways}  # type: dict[str, list[float]]
+    cpu = {name: [] for name in paths}  # type: dict[str, list[float]]
     for _ in range(TOKEN_ROUNDS):
-        for name, (address, prefix) in ways.items():
+        for name, (address, prefix) in paths.items():
             start = time.process_time()
             await asyncio.gather(
                 *(stream_call(address, prefix)() for _ in range(TOKEN_STREAMS))
@@ -159,7 +159,7 @@
 
 
 async def feed_cost(fleet: Fleet) -> dict[str, float]:
-    """Measure one read of an engine's feed, with the engine's side of it."""
+    """Measure one read of an engine's feed, including the engine's part."""
     address = fleet.engines["engine-0"].address
     source = HttpFeedSource()
     await source.read(address, -1)
@@ -171,7 +171,7 @@
 
 
 async def stream_memory(fleet: Fleet) -> dict[str, float]:
-    """Measure the memory of open streams by opening many."""
+    """Measure the memory of an open stream by opening many."""
     caller = Caller(key_of("amber"))
     address = fleet.routers["r1"].caller_address
     await caller.request_completion(address, "warm", 5, "amber")
@@ -191,12 +191,12 @@
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    # caller, router and endpoint of a stream are in this figure, all three
+    # includes the stream's caller, router and endpoint
     return {"bytes_per_open_stream": (held - before) / STREAMS}
 
 
 async def measure(quick: bool) -> dict[str, float]:
-    """Run all parts on one small fleet."""
+    """Run all measurements on one small fleet."""
     plan = FleetPlan(
         {"r1": "north-a"},
         engine_zones=("north-a",),
--- a/bench/suites.py
+++ b/bench/suites.py
@@ -25,7 +25,7 @@
     "slopes": "bench.slopes",
     "ways": "bench.ways",
 }
-"""Module of each suite; it has a function ``run(quick)``."""
+"""Modules by name of the suite; each has a function ``run(quick)``."""
 
 
 class Suite(Protocol):
@@ -36,11 +36,11 @@
 
 
 class SuiteNotFoundError(LookupError):
-    """There is no suite of that name."""
+    """No suite has the given name."""
 
 
 def get_suite_by_name(name: str) -> Suite:
-    """Return a suite.
+    """Return the suite with a name.
 
     Raises
     ------
--- a/bench/trace.py
+++ b/bench/trace.py
@@ -1,4 +1,4 @@
-"""Loads of the fairness benchmark: who asks where, and for how much."""
+"""Loads of the fairness benchmark: sources of requests and their costs."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field, replace
@@ -19,35 +19,35 @@
 LOOKUP_TOKENS = 20
 SUMMARY_TOKENS = 200
 READ_SECONDS = 2.0
-SPREAD = 0.5
+COST_SPREAD_FRACTION = 0.5
 PARETO_SHAPE = 1.5
-PARETO_CAP = 20.0
+MAX_PARETO_FACTOR = 20.0
 ON_SECONDS = 4.0
 OFF_SECONDS = 2.0
 FLOOD_FACTOR = 50
-WRONG = 10
+HINT_ERROR_FACTOR = 10
 
 
 @dataclass(frozen=True)
 class Source:
-    """One organisation's requests of one kind at one router.
+    """Requests of one kind from one organisation at one router.
 
     Attributes
     ----------
     organisation, router, kind : str
-        Who asks, where, and for what.
+        Organisation, router and kind of the requests.
     seed : int
-        Names the sequence of costs.
+        Seed of the sequence of costs.
     mean : float
         Mean cost.
     outstanding : int
-        Requests kept in progress at any time; 0 with `rate`.
+        Number of requests kept in progress; 0 if `rate` is set.
     rate : float
-        Requests a second, arriving at random; 0 with `outstanding`.
+        Requests per second with random arrivals; 0 if `outstanding` is set.
     heavy : bool
         Costs are Pareto distributed instead of uniform.
     on_off : bool
-        The source pauses now and then.
+        The source alternates between activity and pauses of random length.
     """
 
     organisation: str
@@ -66,11 +66,15 @@
         while True:
             if self.heavy:
                 scale = (PARETO_SHAPE - 1) / PARETO_SHAPE
-                factor = min(PARETO_CAP, scale * random.paretovariate(PARETO_SHAPE))
+                factor = min(
+                    MAX_PARETO_FACTOR, scale * random.paretovariate(PARETO_SHAPE)
+                )
             else:
-                factor = random.uniform(1 - SPREAD, 1 + SPREAD)
+                factor = random.uniform(
+                    1 - COST_SPREAD_FRACTION, 1 + COST_SPREAD_FRACTION
+                )
             cost = self.mean * factor
-            # tokens are whole; whole seconds would end requests all at once
+            # tokens are integers; with integer seconds, all requests would end at once
             yield float(max(1, round(cost))) if self.mean > READ_SECONDS else cost
 
     def arrivals(self, horizon: float) -> list[float]:
@@ -84,7 +88,7 @@
         return times
 
     def windows(self, horizon: float) -> list[tuple[float, float]]:
-        """Return when a source with a fixed number in progress is active."""
+        """Return the time spans in which a source with `outstanding` is active."""
         if not self.on_off:
             return [(0.0, horizon)]
         random = Random(f"window/{self.organisation}/{self.seed // 1000}")
@@ -104,7 +108,7 @@
     Attributes
     ----------
     sources : callable
-        Makes the sources for a plan and a seed.
+        Returns the sources for a plan and a seed.
     kinds : mapping of str to mapping
         Kinds that the load adds to the document.
     plain : bool
@@ -131,7 +135,7 @@
 
 
 def _with_plain(plan: VirtualPlan) -> VirtualPlan:
-    """Return the plan with its plain service first, which the load goes to."""
+    """Return the plan with its plain service first, since loads use the first one."""
     engines, plain = plan.services
     service = plan.services[plain]
     kinds = {kind: dict(entry) for kind, entry in service.kinds.items()}
@@ -143,7 +147,7 @@
 def _closed(
     plan: VirtualPlan, seed: int, per_share: int = 1, **options: Any
 ) -> list[Source]:
-    """Keep each organisation backlogged at each router, by its share."""
+    """Keep requests of each organisation in progress at each router, by its share."""
     sources = []
     for i, (organisation, share) in enumerate(plan.shares.items()):
         for j, router in enumerate(plan.routers):
@@ -175,7 +179,7 @@
 
 
 def _skewed(plan: VirtualPlan, seed: int) -> list[Source]:
-    """Put each organisation on one or two routers, most on the first ones."""
+    """Assign each organisation to one or two routers, preferring the first ones."""
     random = Random(f"skew/{seed}")
     routers = list(plan.routers)
     weights = [1 / (rank + 1) for rank in range(len(routers))]
@@ -192,7 +196,7 @@
 
 
 def _one_zone(plan: VirtualPlan, seed: int) -> list[Source]:
-    """Confine one large organisation to the far zone; the others are elsewhere."""
+    """Restrict the first organisation to the far zone, and the others to the rest."""
     far = list(plan.network.regions)[-1]
     first = next(iter(plan.shares))
     sources = []
@@ -206,7 +210,7 @@
 
 
 def _alone(plan: VirtualPlan, seed: int) -> list[Source]:
-    """Only one organisation has work, and only in the far zone."""
+    """Send requests of one organisation only, and only in the far zone."""
     far = list(plan.network.regions)[-1]
     first = next(iter(plan.shares))
     return [
@@ -217,7 +221,7 @@
 
 
 def _flood(plan: VirtualPlan, seed: int) -> list[Source]:
-    """Let a small organisation offer fifty times what the others do."""
+    """Multiply the requests of the last organisation by fifty."""
     last = list(plan.shares)[-1]
     return [
         replace(source, outstanding=source.outstanding * FLOOD_FACTOR)
@@ -228,7 +232,7 @@
 
 
 def _wrong_hints(plan: VirtualPlan, seed: int) -> list[Source]:
-    """Make the hint ten times too low for a third, too high for a third."""
+    """Make the hint ten times too low for a third, too high for another third."""
     kinds = [("summary", SUMMARY_TOKENS), ("under", 200), ("over", 100)]
     sources = []
     for i, source in enumerate(_closed(plan, seed)):
@@ -238,7 +242,7 @@
 
 
 def _mixed(plan: VirtualPlan, seed: int) -> list[Source]:
-    """Send lookups from everyone beside a flood of summaries."""
+    """Send lookups from all organisations beside a flood of summaries."""
     return _lookups(plan, seed) + _closed(plan, seed)
 
 
@@ -274,7 +278,10 @@
     "flood": Load(_flood),
     "wrong-hints": Load(
         _wrong_hints,
-        {"under": _kind("under", 200 / WRONG), "over": _kind("over", 100 * WRONG)},
+        {
+            "under": _kind("under", 200 / HINT_ERROR_FACTOR),
+            "over": _kind("over", 100 * HINT_ERROR_FACTOR),
+        },
     ),
     "heavy": Load(_heavy),
     "on-off": Load(_on_off),
@@ -285,11 +292,11 @@
 
 
 class LoadNotFoundError(LookupError):
-    """There is no load of that name."""
+    """No load has the given name."""
 
 
 def get_load_by_name(name: str) -> Load:
-    """Return a load.
+    """Return the load with a name.
 
     Raises
     ------
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,10 +1,10 @@
-"""Other ways to dispatch, in the naive policy's simulation with delays.
+"""Alternative dispatch architectures, simulated with delays.
 
-- ``central``: one dispatcher a service, in the first zone.
-- ``shards``: a dispatcher for each zone, which know each other's service at once.
-- ``static``: each router has its part of the slots and decides alone.
-- ``sampled``: each router decides alone; it sends to the less loaded of two
-  endpoints, by a view of their load that lags.
+- ``central``: one dispatcher per service, in the first zone.
+- ``shards``: one dispatcher per zone; they know each other's service immediately.
+- ``static``: each router has a fixed fraction of the slots and decides alone.
+- ``sampled``: each router decides alone and chooses the less loaded of two random
+  endpoints, by load values that lag.
 """
 
 from collections.abc import Callable, Iterator, Sequence
@@ -27,7 +27,12 @@
 from bench.naive import NaiveFleet, SimulatedEndpoint, Simulation, get_policy_by_name
 from bench.trace import Source, get_load_by_name, with_kinds
 
-__all__ = ["WAYS", "WayNotFoundError", "get_way_by_name", "run"]
+__all__ = [
+    "ARCHITECTURES",
+    "ArchitectureNotFoundError",
+    "get_architecture_by_name",
+    "run",
+]
 
 DEPLOYMENT = "cellarwright"
 LOADS = ("even", "skewed", "one-zone", "flood")
@@ -42,16 +47,16 @@
     """One dispatcher, in the first zone."""
 
     def start_delay(self, job: Job, endpoint: SimulatedEndpoint) -> float:
-        """Return the time of the grant and of the request."""
+        """Return the delay of the grant and of the request."""
         at = self.dispatcher_zone(endpoint)
         return self._delay(at, job.zone) + self._delay(job.zone, endpoint.zone)
 
     def end_delay(self, job: Job, endpoint: SimulatedEndpoint) -> float:
-        """Return the time of the message that the request has ended."""
+        """Return the delay of the message that the request has ended."""
         return self._delay(job.zone, self.dispatcher_zone(endpoint))
 
     def dispatcher_zone(self, endpoint: SimulatedEndpoint) -> str:
-        """Return where the endpoint's dispatcher is."""
+        """Return the zone of the endpoint's dispatcher."""
         return next(iter(self.plan.network.regions))
 
     def _delay(self, here: str, there: str) -> float:
@@ -67,7 +72,7 @@
     """A dispatcher for each zone."""
 
     def dispatcher_zone(self, endpoint: SimulatedEndpoint) -> str:
-        """Return where the endpoint's dispatcher is."""
+        """Return the zone of the endpoint's dispatcher."""
         return endpoint.zone
 
 
@@ -109,15 +114,15 @@
             self.start_on((first or second).popleft(), endpoint)
 
     def pick(self, router: str) -> SimulatedEndpoint | None:
-        """Return where the router's next request goes, None to wait."""
+        """Return the endpoint for the router's next request, None to wait."""
         raise NotImplementedError
 
 
 class Static(Alone):
-    """Each router has its part of the slots."""
+    """Each router has a fixed fraction of the slots."""
 
     def pick(self, router: str) -> SimulatedEndpoint | None:
-        """Return the endpoint with most room, if the router may use one."""
+        """Return the endpoint with the lowest utilisation, None without a free slot."""
         slots = sum(e.slots for e in self.endpoints.values())
         used = sum(1 for job in self.jobs if self._runs(job, router))
         if used >= slots // len(self.plan.routers):
@@ -129,7 +134,7 @@
 
 
 class Sampled(Alone):
-    """Each router takes the less loaded of two endpoints, by a lagging view."""
+    """Each router chooses the less loaded of two random endpoints, by lagging load."""
 
     def __init__(
         self, plan: VirtualPlan, sources: Sequence[Source], horizon: float
@@ -140,7 +145,7 @@
         self._tick()
 
     def pick(self, router: str) -> SimulatedEndpoint | None:
-        """Return the better of two, if it seems to have room."""
+        """Return the less loaded of two endpoints, None if it seems to be full."""
         pair = self._random.sample(list(self.endpoints.values()), 2)
         best = min(pair, key=lambda e: self._load(router, e))
         if self._load(router, best) >= best.slots:
@@ -172,9 +177,9 @@
     return Shards(plan, sources, horizon, get_policy_by_name("least-served"), ())
 
 
-Way = Callable[[VirtualPlan, Sequence[Source], float], Simulation]
+Architecture = Callable[[VirtualPlan, Sequence[Source], float], Simulation]
 
-WAYS: dict[str, Way] = {
+ARCHITECTURES: dict[str, Architecture] = {
     "central": _central,
     "shards": _shards,
     "static": Static,
@@ -182,30 +187,30 @@
 }
 
 
-class WayNotFoundError(LookupError):
-    """There is no way of that name."""
+class ArchitectureNotFoundError(LookupError):
+    """No architecture has the given name."""
 
 
-def get_way_by_name(name: str) -> Way:
-    """Return a way to dispatch.
+def get_architecture_by_name(name: str) -> Architecture:
+    """Return the constructor of an architecture.
 
     Raises
     ------
-    WayNotFoundError
-        If no way has that name.
+    ArchitectureNotFoundError
+        If no architecture has that name.
     """
-    found = WAYS.get(name)
+    found = ARCHITECTURES.get(name)
     if found is None:
-        raise WayNotFoundError(name)
+        raise ArchitectureNotFoundError(name)
     return found
 
 
-def measure_way(name: str, load_name: str, seed: int) -> dict[str, float]:
-    """Run one way and return its figures."""
+def measure_architecture(name: str, load_name: str, seed: int) -> dict[str, float]:
+    """Simulate one architecture and return its figures."""
     load = get_load_by_name(load_name)
     plan = with_kinds(get_plan_by_name(DEPLOYMENT), load)
     sources = shuffled(load.sources(plan, seed), seed)
-    simulation = get_way_by_name(name)(plan, sources, WARM_SECONDS + SECONDS)
+    simulation = get_architecture_by_name(name)(plan, sources, WARM_SECONDS + SECONDS)
     simulation.run()
     ground = simulation.ground(WARM_SECONDS)
     return {
@@ -220,8 +225,8 @@
     """Run the cases."""
     seeds = range(1, 2 if quick else SEEDS + 1)
     for load in LOADS[:1] if quick else LOADS:
-        for name in WAYS:
-            runs = [measure_way(name, load, seed) for seed in seeds]
+        for name in ARCHITECTURES:
+            runs = [measure_architecture(name, load, seed) for seed in seeds]
             mean = {key: sum(r[key] for r in runs) / len(runs) for key in runs[0]}
             figures = {key: round(value, 4) for key, value in mean.items()}
             figures["seeds"] = float(len(runs))
