--- a/packages/ctl/src/teaselctl/commands/routers.py
+++ b/packages/ctl/src/teaselctl/commands/routers.py
@@ -6,7 +6,7 @@
 
 from teaselledge_fleet.connection.peers import StateClient
 from teaselledge_fleet.process.members import (
-    HINT_SECONDS,
+    REPORTED_SILENT_SECONDS,
     Member,
     MemberReport,
     MemberState,
