--- a/packages/ctl/src/teaselctl/commands/routers.py
+++ b/packages/ctl/src/teaselctl/commands/routers.py
@@ -100,4 +100,4 @@
 
 
 def _is_answering(silent_seconds: float | None) -> bool:
-    return silent_seconds is not None and silent_seconds <= HINT_SECONDS
+    return silent_seconds is not None and silent_seconds <= REPORTED_SILENT_SECONDS
