--- a/bench/affinity.py
+++ b/bench/affinity.py
@@ -123,15 +123,15 @@
     def dispatch(self) -> None:
         while self.waiting:
             arrived, prefix = self.waiting[0]
-            told = prefix if self.variant.prefix else None
+            prefix_hash = prefix if self.variant.prefix else None
             if self.variant.perfect:
                 self.observe_caches(prefix)
-            body = Register(1, "o", "w", 1.0, 0.0, 9.0, 0, told, True, [])
+            body = Register(1, "o", "w", 1.0, 0.0, 9.0, 0, prefix_hash, True, [])
             name = self.pool.choose(body)
             if name is None:
                 return
             self.waiting.pop(0)
-            self.pool.acquire(name, told)
+            self.pool.acquire(name, prefix_hash)
             self.start(self.engines[name], arrived, prefix)
 
     def observe_caches(self, prefix: int) -> None:
@@ -171,8 +171,8 @@
         self, engine: _Engine, arrived: float, seconds: float, tokens: float
     ) -> None:
         engine.running -= 1
-        told = seconds if self.variant.pace else 0.0
-        self.pool.release(engine.name, False, told, tokens)
+        duration = seconds if self.variant.pace else 0.0
+        self.pool.release(engine.name, False, duration, tokens)
         self.latencies.append(self.now - arrived)
         self.dispatch()
 
--- a/packages/ctl/tests/test_teaselctl.py
+++ b/packages/ctl/tests/test_teaselctl.py
@@ -17,8 +17,8 @@
 
 
 @dataclass
-class _OperatorFolder:
-    """A running fleet and a folder for the operator's files."""
+class _Operator:
+    """An operator with a running fleet and a folder for files."""
 
     fleet: Fleet
     folder: Path
@@ -56,12 +56,12 @@
 
 
 @asynccontextmanager
-async def desk():
+async def operator():
     async with running_fleet() as fleet:
         with tempfile.TemporaryDirectory() as name:
             path = Path(name)
             (path / "key").write_text(key_of(OPERATOR))
-            yield _OperatorFolder(fleet, path)
+            yield _Operator(fleet, path)
 
 
 async def in_force(fleet, version):
@@ -70,134 +70,134 @@
             await asyncio.sleep(0.05)
 
 
-async def test_a_changed_share_comes_into_force_everywhere(desk):
-    document = desk.fleet.document()
+async def test_a_changed_share_comes_into_force_everywhere(operator):
+    document = operator.fleet.document()
     document["organisations"]["amber"]["share"] = 5.0
-    path = desk.write("document.yaml", document)
-    code, out, err = await desk.call("diff", path)
+    path = operator.write("document.yaml", document)
+    code, out, err = await operator.call("diff", path)
     assert (code, err) == (0, "")
     assert "organisations/amber (changed)\n  - share: 1.0\n  + share: 5.0" in out
-    code, out, err = await desk.call("apply", path, "--base=1", "--note=more")
+    code, out, err = await operator.call("apply", path, "--base=1", "--note=more")
     assert (code, err) == (0, "")
     assert out == "version 2 is accepted\n  organisations/amber\n"
-    await in_force(desk.fleet, 2)
-    for router in desk.fleet.routers.values():
+    await in_force(operator.fleet, 2)
+    for router in operator.fleet.routers.values():
         assert router.version.document.organisations["amber"].share == 5.0
-    code, out, _ = await desk.call("history")
+    code, out, _ = await operator.call("history")
     assert code == 0 and f"{OPERATOR}" in out and "more" in out
-    code, out, err = await desk.call("rollback", "--to=1", "--base=2")
+    code, out, err = await operator.call("rollback", "--to=1", "--base=2")
     assert (code, err) == (0, "")
-    await in_force(desk.fleet, 3)
-    for router in desk.fleet.routers.values():
+    await in_force(operator.fleet, 3)
+    for router in operator.fleet.routers.values():
         assert router.version.document.organisations["amber"].share == 1.0
 
 
-async def test_conflicting_change_is_refused_with_the_other_author(desk):
+async def test_conflicting_change_is_refused_with_the_other_author(operator):
     """Two operators change the same share from the same version.
 
     The second one gets the author and value of the first, and the file is unchanged.
     """
-    document = desk.fleet.document()
+    document = operator.fleet.document()
     document["organisations"]["amber"]["share"] = 5.0
-    first = desk.write("first.yaml", document)
+    first = operator.write("first.yaml", document)
     document["organisations"]["amber"]["share"] = 7.0
-    second = desk.write("second.yaml", document)
-    before = desk.read("second.yaml")
-    assert (await desk.call("apply", first, "--base=1"))[0] == 0
-    code, out, err = await desk.call("apply", second, "--base=1")
+    second = operator.write("second.yaml", document)
+    before = operator.read("second.yaml")
+    assert (await operator.call("apply", first, "--base=1"))[0] == 0
+    code, out, err = await operator.call("apply", second, "--base=1")
     assert (code, out) == (1, "")
     assert f"organisations/amber: version 2 by {OPERATOR}" in err
     assert "- share: 5.0" in err and "+ share: 7.0" in err
-    assert desk.read("second.yaml") == before
+    assert operator.read("second.yaml") == before
 
 
-async def test_invalid_section_is_refused(desk):
+async def test_invalid_section_is_refused(operator):
     """An operator applies a section that names a zone which does not exist."""
-    document = desk.fleet.document()
+    document = operator.fleet.document()
     endpoints = document["services"]["models"]["endpoints"]
     endpoints["engine-0"]["zone"] = "nowhere"
-    path = desk.write("services.yaml", {"services": document["services"]})
-    code, out, err = await desk.call("apply", path, "--base=1")
+    path = operator.write("services.yaml", {"services": document["services"]})
+    code, out, err = await operator.call("apply", path, "--base=1")
     assert (code, out) == (1, "")
     assert "services.yaml:" in err
     assert "services.models.endpoints.engine-0.zone: found nowhere" in err
-    code, out, _ = await desk.call("history", "--json")
+    code, out, _ = await operator.call("history", "--json")
     assert [head["version"] for head in json.loads(out)] == [1]
 
 
-async def test_status_lists_every_router_and_names_a_missing_one(desk):
+async def test_status_lists_every_router_and_names_a_missing_one(operator):
     """A router that stopped must be reported as missing, not as healthy."""
-    code, out, _ = await desk.call("status", "--seconds=0.1")
+    code, out, _ = await operator.call("status", "--seconds=0.1")
     assert code == 0 and "r3" in out and "no answer from" not in out
-    membership = desk.fleet.routers["r1"].node.membership
+    membership = operator.fleet.routers["r1"].node.membership
     async with asyncio.timeout(20):
         while "r3" not in membership.listed():
             await asyncio.sleep(0.05)
-    router = desk.fleet.routers.pop("r3")
+    router = operator.fleet.routers.pop("r3")
     await router.stop()
-    code, out, _ = await desk.call("status", "--seconds=0.1")
+    code, out, _ = await operator.call("status", "--seconds=0.1")
     assert code == 0 and "no answer from r3" in out
-    code, out, _ = await desk.call("report", "burn", "--json")
+    code, out, _ = await operator.call("report", "burn", "--json")
     assert code == 0 and json.loads(out)["missing"] == ["r3"]
 
 
-async def test_report_counts_the_responses_to_callers(desk):
+async def test_report_counts_the_responses_to_callers(operator):
     caller = Caller(key_of("amber"))
     for i, vm in enumerate(("r1", "r2", "r3")):
-        address = desk.fleet.routers[vm].caller_address
+        address = operator.fleet.routers[vm].caller_address
         reply = await caller.request_completion(address, f"c{i}", 3, "amber")
         assert reply.status == 200
-    page = desk.folder / "burn.html"
-    code, out, err = await desk.call("report", "burn", "--json", f"--html={page}")
+    page = operator.folder / "burn.html"
+    code, out, err = await operator.call("report", "burn", "--json", f"--html={page}")
     assert (code, err) == (0, "")
     (row,) = json.loads(out)["rows"]
     assert (row["organisation"], row["kind"]) == ("amber", "completion")
     assert (row["good"], row["bad"]) == (3, 0)
     assert row["budget_left"] == 1.0
-    assert "amber" in desk.read("burn.html")
+    assert "amber" in operator.read("burn.html")
 
 
-async def test_drained_router_is_removed_from_the_addresses_of_others(desk):
+async def test_drained_router_is_removed_from_the_addresses_of_others(operator):
     """An operator drains a router; other routers must stop listing its address."""
-    code, out, err = await desk.call("drain")
+    code, out, err = await operator.call("drain")
     assert (code, err) == (0, "")
     assert out.startswith("r1 drains")
-    addresses = {r.caller_address for r in desk.fleet.routers.values()}
-    gone = desk.fleet.routers["r1"].caller_address
+    addresses = {r.caller_address for r in operator.fleet.routers.values()}
+    gone = operator.fleet.routers["r1"].caller_address
     async with asyncio.timeout(10):
         while True:
-            listed = desk.fleet.routers["r2"].addresses()["addresses"]
+            listed = operator.fleet.routers["r2"].addresses()["addresses"]
             if {entry["address"] for entry in listed} == addresses - {gone}:
                 break
             await asyncio.sleep(0.05)
-    rows = (await desk.fleet.tables.scan("config", "audit/", 10)).ok
+    rows = (await operator.fleet.tables.scan("config", "audit/", 10)).ok
     assert b'"action": "drain", "what": "r1"' in rows[-1].value
 
 
-async def test_keys_permit_only_what_their_role_includes(desk):
+async def test_keys_permit_only_what_their_role_includes(operator):
     """An unknown key, and an editor's key for another team's section, are refused."""
-    desk.write_text("stranger", "guessed")
-    code, _, err = await desk.call("status", key="stranger")
+    operator.write_text("stranger", "guessed")
+    code, _, err = await operator.call("status", key="stranger")
     assert code == 2 and "knows no operator with this key" in err
-    document = desk.fleet.document()
+    document = operator.fleet.document()
     document["operators"]["erin"] = {
         "keys": [sha("erins-key")],
         "role": "editor",
         "sections": ["services/models"],
     }
-    path = desk.write("document.yaml", document)
-    assert (await desk.call("apply", path, "--base=1"))[0] == 0
-    await in_force(desk.fleet, 2)
-    desk.write_text("erin", "erins-key")
+    path = operator.write("document.yaml", document)
+    assert (await operator.call("apply", path, "--base=1"))[0] == 0
+    await in_force(operator.fleet, 2)
+    operator.write_text("erin", "erins-key")
     document["organisations"]["amber"]["share"] = 9.0
-    path = desk.write("document.yaml", document)
-    code, _, err = await desk.call("apply", path, "--base=2", key="erin")
+    path = operator.write("document.yaml", document)
+    code, _, err = await operator.call("apply", path, "--base=2", key="erin")
     assert code == 1 and "may not change organisations/amber" in err
     document["organisations"]["amber"]["share"] = 1.0
     document["services"]["models"]["resumes"] = False
-    path = desk.write("document.yaml", document)
-    assert (await desk.call("apply", path, "--base=2", key="erin"))[0] == 0
-    code, _, err = await desk.call("drain", key="erin")
+    path = operator.write("document.yaml", document)
+    assert (await operator.call("apply", path, "--base=2", key="erin"))[0] == 0
+    code, _, err = await operator.call("drain", key="erin")
     assert code == 1 and "role editor does not include drain" in err
 
 
