--- a/packages/router/src/teaselledge/connection/bodybudget.py
+++ b/packages/router/src/teaselledge/connection/bodybudget.py
@@ -50,11 +50,7 @@
     def acquire(self, size: int) -> Result[None, Fault]:
         """Reserve bytes; fail if they exceed the limit."""
         if self._reserved + size > self._limit:
-            return Error(
-                Fault(
-                    ErrorKind.ROUTER_FULL, detail="memory for request bodies exhausted"
-                )
-            )
+            return Error(Fault(ErrorKind.ROUTER_FULL, detail="bodies fill the memory"))
         self._reserved += size
         return Ok(None)
 
--- a/packages/router/src/teaselledge/connection/endpoint.py
+++ b/packages/router/src/teaselledge/connection/endpoint.py
@@ -242,7 +242,7 @@
         except (OSError, StreamClosedError, TimeoutError) as error:
             cause = getattr(error, "real_error", None) or error
             refused = isinstance(cause, ConnectionRefusedError)
-            detail = "cannot connect to the endpoint"
+            detail = "the endpoint refuses connections"
             return Error(SendFailure(False, detail, refused=refused))
         stream.set_nodelay(True)
         connection = HTTP1Connection(
@@ -265,7 +265,7 @@
         except (HTTPInputError, StreamClosedError, OSError) as error:
             stream.close()
             malformed = isinstance(error, HTTPInputError)
-            return Error(SendFailure(True, "the endpoint did not respond", malformed))
+            return Error(SendFailure(True, "the endpoint gave no answer", malformed))
         except asyncio.CancelledError:
             if response is not None:
                 response.close()
--- a/packages/router/src/teaselledge/connection/operator.py
+++ b/packages/router/src/teaselledge/connection/operator.py
@@ -362,7 +362,7 @@
         """Drain this router."""
         drainer = self.context.drainer
         if drainer is None:
-            detail = "this router cannot be drained"
+            detail = "this router can't drain"
             self.refuse(Fault(ErrorKind.NOT_FOUND, detail=detail))
             return
         vm = self.context.status.report()["vm"]
@@ -380,9 +380,7 @@
         """Respond with a page of orders."""
         order_admin = self.context.orders
         if order_admin is None:
-            self.refuse(
-                Fault(ErrorKind.NOT_FOUND, detail="this router has no order journal")
-            )
+            self.refuse(Fault(ErrorKind.NOT_FOUND, detail="there is no journal"))
             return
         await self.respond_result(
             order_admin.list(
@@ -409,9 +407,7 @@
         """Respond with one order."""
         order_admin = self.context.orders
         if order_admin is None:
-            self.refuse(
-                Fault(ErrorKind.NOT_FOUND, detail="this router has no order journal")
-            )
+            self.refuse(Fault(ErrorKind.NOT_FOUND, detail="there is no journal"))
             return
         await self.respond_result(order_admin.show(organisation, key))
 
@@ -422,9 +418,7 @@
         if body is None:
             return
         if order_admin is None:
-            self.refuse(
-                Fault(ErrorKind.NOT_FOUND, detail="this router has no order journal")
-            )
+            self.refuse(Fault(ErrorKind.NOT_FOUND, detail="there is no journal"))
             return
         what = f"{organisation}/{key} {body.outcome}"
         name = hashlib.sha256(what.encode()).hexdigest()[:16]
@@ -434,7 +428,7 @@
         if not audited:
             # an action without an audit row could not be traced later
             self.respond(
-                {"kind": "store", "detail": "audit row not written, order not settled"},
+                {"kind": "store", "detail": "no audit row, not settled"},
                 503,
             )
             return
--- a/packages/router/src/teaselledge/version/check.py
+++ b/packages/router/src/teaselledge/version/check.py
@@ -44,7 +44,7 @@
 def _one_of(names: object) -> str:
     ordered = sorted(names)  # type: ignore[call-overload]
     if not ordered:
-        return "nothing, as none is defined"
+        return "nothing, since there is none"
     rest = (
         f" and {len(ordered) - MAX_LISTED_NAMES} more"
         if len(ordered) > MAX_LISTED_NAMES
@@ -78,14 +78,14 @@
         path = ("services", name)
         remaining = [e for e in service.endpoints.values() if not e.leaving]
         if not remaining:
-            found = "no endpoint that is not leaving"
+            found = "no endpoint that stays"
             yield DocumentIssue((*path, "endpoints"), found, "at least one")
         if not service.kinds:
             yield DocumentIssue((*path, "kinds"), "no kind", "at least one")
         if name not in used:
-            found = "no organisation with access"
+            found = "shares that add up to 0"
             yield DocumentIssue(
-                path, found, "at least one organisation that may use it"
+                path, found, "at least one organisation that may reach it"
             )
         for endpoint, entry in service.endpoints.items():
             endpoint_path = (*path, "endpoints", endpoint)
@@ -115,9 +115,9 @@
                     path, "no method or no path", "at least one of each"
                 )
             if pairs and all(pair in seen for pair in pairs):
-                found = f"methods and paths matched by {seen[pairs[0]]} already"
+                found = f"what {seen[pairs[0]]} takes already"
                 yield DocumentIssue(
-                    (*path, "paths"), found, "a path that is matched by this kind first"
+                    (*path, "paths"), found, "a path that reaches this kind"
                 )
             for pair in pairs:
                 seen.setdefault(pair, kind)
@@ -145,10 +145,8 @@
         for organisation in objective.organisations or ("",):
             key = (objective.service, objective.kind, organisation)
             if covered_by.setdefault(key, name) != name:
-                found = f"the same requests as {covered_by[key]}"
-                yield DocumentIssue(
-                    path, found, "a single objective per set of requests"
-                )
+                found = f"the requests of {covered_by[key]}"
+                yield DocumentIssue(path, found, "one objective for the same requests")
 
 
 def _operators(document: Document) -> Iterator[DocumentIssue]:
@@ -167,9 +165,7 @@
             )
         if operator.role != "editor" and operator.sections:
             found = f"sections of a {operator.role}"
-            yield DocumentIssue(
-                (*path, "sections"), found, "sections for the role editor only"
-            )
+            yield DocumentIssue((*path, "sections"), found, "sections for editors only")
         for i, key in enumerate(operator.keys):
             if owners.setdefault(key, name) != name:
                 found = f"a key of {owners[key]}"
--- a/packages/router/src/teaselledge/version/publish.py
+++ b/packages/router/src/teaselledge/version/publish.py
@@ -237,10 +237,7 @@
         except _StoreFailureError as failure:
             kind = ApplyErrorKind.UNCERTAIN if uncertain else failure.error.kind
             return Error(replace(failure.error, kind=kind))
-        detail = (
-            f"outcome unknown after {MAX_ATTEMPTS} attempts; "
-            f"repeat apply {change.apply_id}"
-        )
+        detail = f"no answer after {MAX_ATTEMPTS} tries; apply {change.apply_id} again"
         return Error(ApplyError(ApplyErrorKind.UNCERTAIN, detail))
 
     async def load(
@@ -304,7 +301,7 @@
         if change.bootstrap_only and state.manifest.version:
             # the first key is valid for an empty store only; a router that
             # restarted without configuration cannot tell, so the store decides
-            detail = "the store already has a first version"
+            detail = "there is a first version already"
             return Error(ApplyError(ApplyErrorKind.FORBIDDEN, detail))
         merged = await self._merge_changes(change, state)
         if merged.is_error():
@@ -318,7 +315,7 @@
         entries = apply_changes(state.entries, changes)
         checked = check_value(unflatten(entries))
         if checked.is_error():
-            detail = f"the document has {len(checked.error)} faults"
+            detail = f"{len(checked.error)} faults"
             issues = tuple(checked.error)
             return Error(ApplyError(ApplyErrorKind.REFUSED, detail, issues))
         return await self._commit(change, state, entries, changes, beside)
@@ -452,7 +449,7 @@
             return None
         number, digest, changed = json.loads(row.value)
         if digest != change.digest:
-            detail = f"{change.apply_id} identifies another change, version {number}"
+            detail = f"{change.apply_id} names another change, version {number}"
             return Error(ApplyError(ApplyErrorKind.ID_REUSED, detail))
         return Ok(ApplyResult(number, tuple(changed), (), True))
 
@@ -530,12 +527,12 @@
         return decode_manifest(raw)
     except ManifestError as error:
         raise _StoreFailureError(
-            _store_error(f"version manifest cannot be read: {error}")
+            _store_error(f"head can't be read: {error}")
         ) from error
 
 
 def _unknown_version(number: int) -> ApplyError:
-    detail = f"version {number} does not exist"
+    detail = f"there is no version {number}"
     return ApplyError(ApplyErrorKind.UNKNOWN_VERSION, detail)
 
 
--- a/packages/router/src/teaselledge/version/sections.py
+++ b/packages/router/src/teaselledge/version/sections.py
@@ -135,12 +135,12 @@
         # a few bytes can decompress to gigabytes
         text = expander.decompress(data, MAX_CHUNK_BYTES)
         if expander.unconsumed_tail or not expander.eof:
-            raise ChunkError("too large or truncated")
+            raise ChunkError("too large or cut short")
         entries = json.loads(text)
     except (zlib.error, ValueError, RecursionError) as error:
         raise ChunkError(str(error)) from error
     if not isinstance(entries, dict):
-        raise ChunkError("not a mapping")
+        raise ChunkError("no mapping")
     return entries
 
 
