--- a/packages/router/tests/test_forward.py
+++ b/packages/router/tests/test_forward.py
@@ -6,7 +6,7 @@
 from teaselledge_standins.faults import EndpointFaults
 from teaselledge_standins.virtual.endpoint import (
     CHUNKS,
-    _VirtualAnswer,
+    _VirtualResponse,
     response_text,
 )
 from teaselledge_standins.virtual.orders import order_fleet, runs_by_name
@@ -150,11 +150,11 @@
     def crossed(answer):
         return HTTPHeaders({"X-Request-Id": "another"})
 
-    own = _VirtualAnswer.headers
-    _VirtualAnswer.headers = property(crossed)
+    own = _VirtualResponse.headers
+    _VirtualResponse.headers = property(crossed)
     try:
         outcome = await ask(fleet, "ledger", "read", cost=0.1)
     finally:
-        _VirtualAnswer.headers = own
+        _VirtualResponse.headers = own
     assert outcome.fault.kind is ErrorKind.ENDPOINT_GARBAGE
     assert not outcome.sink.started
--- a/packages/standins/src/teaselledge_standins/virtual/__init__.py
+++ b/packages/standins/src/teaselledge_standins/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet under a virtual clock: real tasks, fakes at the interfaces."""
+"""A fleet on a virtual clock: the routers' own code, with fakes at its interfaces."""
--- a/packages/standins/src/teaselledge_standins/virtual/endpoint.py
+++ b/packages/standins/src/teaselledge_standins/virtual/endpoint.py
@@ -1,4 +1,4 @@
-"""Endpoints in memory, whose requests share the speed of a batch."""
+"""In-memory endpoints whose running requests slow one another, as in a batch."""
 
 import asyncio
 import json
@@ -23,41 +23,42 @@
 __all__ = ["VirtualClient", "VirtualEndpoint", "response_text"]
 
 CHUNKS = 8
-"""Parts into which an answer is cut, to keep the runs fast."""
+"""Chunks of a response; few, so that the runs stay fast."""
 
-MARK = b"data:"
+EVENT_PREFIX = b"data:"
 
 
-def response_text(name: str, part: int, tokens: float = 0) -> bytes:
-    """Return one part of the answer to a named request.
+def response_text(name: str, index: int, tokens: float = 0) -> bytes:
+    """Return one chunk of the response to a named request.
 
-    An engine's answer has one event mark a token, which the routers count.
+    The response of an engine has one event per token; the routers count them.
     """
-    before = int(tokens * part / CHUNKS)
-    marks = int(tokens * (part + 1) / CHUNKS) - before
-    return f"{name}/{part};".encode() + MARK * marks
+    before = int(tokens * index / CHUNKS)
+    events = int(tokens * (index + 1) / CHUNKS) - before
+    return f"{name}/{index};".encode() + EVENT_PREFIX * events
 
 
 @dataclass
 class VirtualEndpoint:
-    """An endpoint that runs requests of a known cost.
+    """An endpoint that executes requests of a known cost.
 
     A request's body is JSON with ``name``, ``organisation`` and ``cost``.
 
     Attributes
     ----------
     name : str
-        Its name, also on the network.
+        Name of the endpoint, also its address on the virtual network.
     unit_seconds : float
-        Seconds for one unit of cost when nothing else runs.
+        Seconds per unit of cost when no other request runs.
     slowdown : float
-        Part by which each further running request slows all.
+        Fraction by which each further running request slows all of them.
     tokens : bool
-        Cost is in tokens, which are marked in the answer; else in seconds.
+        Whether cost is in tokens, with one event each in the response; otherwise
+        it is in seconds.
     resumes : bool
-        Whether it leaves out the bytes that an earlier stream brought.
+        Whether a resumed stream omits the bytes that the router already has.
     progress : list of tuple of float, str and float
-        Loop time, organisation and cost of each part that was finished.
+        Loop time, organisation and cost of each finished chunk.
     """
 
     name: str
@@ -78,10 +79,10 @@
     async def run(
         self, body: dict[str, Any], request_id: str, skip: int = 0
     ) -> AsyncIterator[bytes]:
-        """Carry out a request and yield the parts of its answer.
+        """Execute a request and yield the chunks of its response.
 
-        The first ``skip`` bytes, which an earlier stream brought, are left
-        out and cost nothing.
+        The first ``skip`` bytes, which the router has from an earlier stream, are
+        omitted and cost nothing.
         """
         loop = asyncio.get_running_loop()
         started = loop.time()
@@ -90,8 +91,8 @@
         tokens = cost if self.tokens else 0
         self.running += 1
         try:
-            for part in range(CHUNKS):
-                text = response_text(body["name"], part, tokens)
+            for index in range(CHUNKS):
+                text = response_text(body["name"], index, tokens)
                 if len(text) <= skip:
                     skip -= len(text)
                     continue
@@ -118,7 +119,7 @@
             )
 
 
-class _VirtualAnswer:
+class _VirtualResponse:
     def __init__(
         self,
         client: "VirtualClient",
@@ -128,14 +129,14 @@
         self._client = client
         self._endpoint = endpoint
         self._queue: asyncio.Queue[bytes | None] = asyncio.Queue()
-        self._whole = False
+        self._complete = False
         self._skip = 0
         if endpoint.resumes:
             self._skip = int(request.headers.get(RESUME_HEADER, "0"))
         self._first: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._task = asyncio.create_task(self._run(request))
-        client.answers.add(self._task)
-        self._task.add_done_callback(client.answers.discard)
+        client.response_tasks.add(self._task)
+        self._task.add_done_callback(client.response_tasks.discard)
 
     async def _run(self, request: OutboundRequest) -> None:
         endpoint, network = self._endpoint, self._client.network
@@ -145,36 +146,36 @@
         cut = False
         stop = endpoint.faults.next_break_offset()
         identifier = request.headers.get("X-Request-Id", "")
-        parts = endpoint.run(body, identifier, self._skip)
-        async for chunk in parts:
+        chunks = endpoint.run(body, identifier, self._skip)
+        async for chunk in chunks:
             if cut or not network.is_connected(endpoint.name, vm):
-                # the endpoint goes on; nothing of it arrives, and what follows
-                # after the cut cannot join what came before
+                # The endpoint continues, but its output is lost; output after the
+                # cut heals is dropped too, since the stream has a hole.
                 cut = True
                 continue
             if 0 <= stop < sent + len(chunk):
                 if stop > sent:
                     self._queue.put_nowait(chunk[: stop - sent])
-                    self._begin()
+                    self._signal_started()
                 break
             sent += len(chunk)
             self._queue.put_nowait(chunk)
-            self._begin()
+            self._signal_started()
         else:
-            self._whole = not cut
+            self._complete = not cut
         if endpoint.faults.drop_after_run > 0:
             endpoint.faults.drop_after_run -= 1
-            self._whole = False
+            self._complete = False
         if not self._first.done():
             self._first.set_result(False)
         self._queue.put_nowait(None)
 
-    def _begin(self) -> None:
+    def _signal_started(self) -> None:
         if not self._first.done():
             self._first.set_result(True)
 
     async def head(self) -> bool:
-        """Wait for the first part; False where the connection broke first."""
+        """Wait for the first chunk; return False if the connection broke before."""
         return await asyncio.shield(self._first)
 
     @property
@@ -190,18 +191,18 @@
         return HTTPHeaders({RESUME_HEADER: str(self._skip)})
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Iterate over the parts."""
+        """Iterate over the chunks of the body."""
         while True:
             chunk = await self._queue.get()
             await self._client.network.wait_until_resumed(self._client.vm)
             if chunk is None:
                 break
             yield chunk
-        if not self._whole:
+        if not self._complete:
             raise IncompleteResponseError
 
     def close(self) -> None:
-        """Cancel what still runs."""
+        """Cancel the request."""
         self._task.cancel()
         self._queue.put_nowait(None)
 
@@ -214,13 +215,13 @@
     ) -> None:
         self.vm = vm
         self.network = network
-        self.answers: set[asyncio.Task[None]] = set()
+        self.response_tasks: set[asyncio.Task[None]] = set()
         self._endpoints = endpoints
 
     async def send(
         self, address: str, request: OutboundRequest
     ) -> Result[EndpointResponse, SendFailure]:
-        """Send a request; the address's host names the endpoint."""
+        """Send a request to the endpoint named by the host part of the address."""
         network = self.network
         await network.wait_until_resumed(self.vm)
         endpoint = self._endpoints[address.partition(":")[0]]
@@ -234,18 +235,18 @@
             detail = "the endpoint refuses connections"
             down = endpoint.faults.refuse
             return Error(SendFailure(False, detail, refused=down))
-        answer = _VirtualAnswer(self, endpoint, request)
+        response = _VirtualResponse(self, endpoint, request)
         try:
-            began = await answer.head()
+            started = await response.head()
         except asyncio.CancelledError:
-            answer.close()
+            response.close()
             raise
         await network.wait_until_resumed(self.vm)
-        if not began:
-            return Error(SendFailure(True, "the endpoint gave no answer"))
-        return Ok(answer)
+        if not started:
+            return Error(SendFailure(True, "the endpoint sent no response"))
+        return Ok(response)
 
     def close(self) -> None:
-        """Break all connections, as a killed process does."""
-        for task in list(self.answers):
+        """Cancel all requests, as when the process is killed."""
+        for task in list(self.response_tasks):
             task.cancel()
--- a/packages/standins/src/teaselledge_standins/virtual/fleet.py
+++ b/packages/standins/src/teaselledge_standins/virtual/fleet.py
@@ -52,7 +52,7 @@
 ]
 
 STORE_CALL_SECONDS = 3.0
-"""Time after which a call to the table service counts as unanswered."""
+"""Timeout of a call to the table service."""
 
 
 @dataclass(frozen=True)
@@ -62,7 +62,7 @@
     Attributes
     ----------
     cost : str
-        Unit, ``tokens`` or ``seconds``.
+        Unit of cost, ``tokens`` or ``seconds``.
     zones : sequence of str
         Zone of each endpoint.
     slots : int
@@ -70,7 +70,7 @@
     unit_seconds, slowdown : float
         Speed, see `VirtualEndpoint`.
     kinds : mapping of str to mapping
-        Entries of the document; a request for kind ``k`` has path ``k``.
+        Kinds of the service as in the document; a request of kind ``k`` has path ``k``.
     options : mapping
         Further fields of the service in the document.
     """
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class VirtualPlan:
-    """What a virtual fleet consists of.
+    """Configuration of a virtual fleet.
 
     Attributes
     ----------
@@ -101,7 +101,7 @@
     services : mapping of str to VirtualService
         By name.
     list_lag : float
-        Seconds by which the VM list lags.
+        Delay of the VM list in seconds.
     extra : mapping
         Further sections of the document.
     """
@@ -115,7 +115,7 @@
 
 
 class MemorySink:
-    """Keeps an answer as a caller would see it."""
+    """Collects the response that a caller would receive."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -125,40 +125,40 @@
 
     @property
     def started(self) -> bool:
-        """Whether anything has reached the caller."""
+        """Whether the caller has received the status."""
         return self.status != 0
 
     async def start(self, status: int, headers: HTTPHeaders) -> None:
-        """Take the head."""
+        """Record the status."""
         self.status = status
 
     async def write(self, chunk: bytes) -> None:
-        """Take a part of the body."""
+        """Append a chunk of the body."""
         self.body += chunk
 
     async def finish(self) -> None:
-        """Note that the answer is whole."""
+        """Record that the response is complete."""
         self.complete = True
 
     def abort(self) -> None:
-        """Note that the answer is visibly broken."""
+        """Record that the response was aborted, which the caller can detect."""
         self.aborted = True
 
 
 @dataclass(frozen=True)
 class CallResult:
-    """What a caller of the virtual fleet got.
+    """Result of a call to the virtual fleet.
 
     Attributes
     ----------
     fault : Fault or None
-        The refusal, if any.
+        Error that the router returned, if any.
     sink : MemorySink
-        What reached the caller.
+        Response as the caller received it.
     is_correct : bool
-        Whether the answer is the whole answer to this request.
+        Whether the response is complete and belongs to this request.
     seconds : float
-        Time from call to end.
+        Time from the call to its end.
     """
 
     fault: Fault | None
@@ -168,7 +168,7 @@
 
 
 class PausableTables(TableService):
-    """The table service as one VM reaches it, with delay and pauses."""
+    """The table service as seen from one VM, with network delay, cuts and pauses."""
 
     def __init__(
         self, vm: str, network: VirtualNetwork, tables: MemoryTables, zone: str
@@ -180,33 +180,33 @@
 
     async def get(self, table: str, key: str) -> Result[Row | None, StoreError]:
         """Read a row."""
-        if not await self._cross(True):
-            return _silence()
+        if not await self._travel(True):
+            return _no_response()
         result = await self._tables.get(table, key)
-        return result if await self._cross(False) else _silence()
+        return result if await self._travel(False) else _no_response()
 
     async def scan(
         self, table: str, prefix: str, limit: int, after: str = ""
     ) -> Result[list[Row], StoreError]:
         """Read rows in key order."""
-        if not await self._cross(True):
-            return _silence()
+        if not await self._travel(True):
+            return _no_response()
         result = await self._tables.scan(table, prefix, limit, after)
-        return result if await self._cross(False) else _silence()
+        return result if await self._travel(False) else _no_response()
 
     async def commit(self, writes: Sequence[Write]) -> Result[None, StoreError]:
         """Write all rows or none."""
-        if not await self._cross(True):
-            return _silence()
+        if not await self._travel(True):
+            return _no_response()
         result = await self._tables.commit(writes)
-        return result if await self._cross(False) else _silence()
+        return result if await self._travel(False) else _no_response()
 
-    async def _cross(self, there: bool) -> bool:
-        """Wait for one way; return whether the network let it pass."""
+    async def _travel(self, is_request: bool) -> bool:
+        """Wait for the network delay; return False if the message was lost."""
         network = self._network
-        way = (self._vm, "tables") if there else ("tables", self._vm)
+        path = (self._vm, "tables") if is_request else ("tables", self._vm)
         await network.wait_until_resumed(self._vm)
-        if not network.is_connected(*way):
+        if not network.is_connected(*path):
             await asyncio.sleep(STORE_CALL_SECONDS)
             await network.wait_until_resumed(self._vm)
             return False
@@ -215,7 +215,7 @@
         return True
 
 
-def _silence() -> Result[Any, StoreError]:
+def _no_response() -> Result[Any, StoreError]:
     return Error(StoreError(StoreErrorKind.UNCERTAIN, "no answer"))
 
 
@@ -226,9 +226,9 @@
     Attributes
     ----------
     nodes : dict of str to Node
-        Live routers by VM.
+        Running routers by VM.
     endpoints : dict of str to VirtualEndpoint
-        By name, ``{service}-{index}``.
+        Endpoints by name, which is ``{service}-{index}``.
     """
 
     plan: VirtualPlan
@@ -241,10 +241,10 @@
     endpoints: dict[str, VirtualEndpoint] = field(default_factory=dict)
     clients: dict[str, VirtualClient] = field(default_factory=dict)
     _calls: dict[str, set[asyncio.Task[Any]]] = field(default_factory=dict)
-    _request: int = 0
+    _request_count: int = 0
     clock_skew: float = 0.0
-    """Seconds by which a router's wall clock may be wrong."""
-    _starts: int = 0
+    """Maximum error of a router's wall clock in seconds, in both directions."""
+    _start_count: int = 0
 
     def document(self) -> dict[str, Any]:
         """Return the configuration document."""
@@ -275,17 +275,18 @@
         }
 
     def publish(self, number: int, document: dict[str, Any] | None = None) -> None:
-        """Put a document into the table service, past all checks."""
+        """Write a document to the table service without validating it."""
         self.tables.apply(unchecked_writes(document or self.document(), number))
 
     async def start(self, vm: str) -> Node:
-        """Start a router, with nothing kept from an earlier life."""
+        """Start a router without state of an earlier incarnation."""
         zone = self.plan.routers[vm]
         region = self.plan.network.regions[zone]
-        # starts are numbered instead of dated, so that runs are the same
-        self._starts += 1
+        # Incarnations use the number of the start instead of the date, so that runs
+        # are reproducible.
+        self._start_count += 1
         random_bits = self.random.getrandbits(RANDOM_BITS)
-        origin = Origin(vm, new_incarnation(self._starts, random_bits))
+        origin = Origin(vm, new_incarnation(self._start_count, random_bits))
         mesh = VirtualMesh(self.network, origin, zone)
         settings = Settings(vm, zone, region, Platform("tables", "objects", "vms"))
         first_zone = next(iter(self.plan.network.regions))
@@ -311,7 +312,7 @@
         return node
 
     async def kill(self, vm: str) -> None:
-        """Kill a router: its connections break and its state is gone."""
+        """Kill a router: its connections break and its state is lost."""
         node = self.nodes.pop(vm)
         mesh = self.network.meshes.get(vm)
         if mesh is not None:
@@ -337,12 +338,12 @@
         Raises
         ------
         ConnectionError
-            If the router is not there or is killed meanwhile.
+            If the router is not running or is killed during the call.
         """
         node = self.nodes.get(vm)
         if node is None or node.version is None:
             raise ConnectionError(vm)
-        request = self._make(
+        request = self._make_request(
             node, organisation, service, kind, name, cost, key, padding
         )
         loop = asyncio.get_running_loop()
@@ -360,17 +361,17 @@
         finally:
             calls.discard(task)
         tokens = cost if self.plan.services[service].cost == "tokens" else 0
-        expected = b"".join(response_text(name, part, tokens) for part in range(CHUNKS))
+        expected = b"".join(response_text(name, i, tokens) for i in range(CHUNKS))
         fault = result.error if result.is_error() else None
-        right = sink.complete and sink.body == expected
-        return CallResult(fault, sink, right, loop.time() - started)
+        is_correct = sink.complete and sink.body == expected
+        return CallResult(fault, sink, is_correct, loop.time() - started)
 
     async def stop(self) -> None:
         """Stop everything."""
         for vm in list(self.nodes):
             await self.kill(vm)
 
-    def _make(
+    def _make_request(
         self,
         node: Node,
         organisation: str,
@@ -383,14 +384,14 @@
     ) -> CallerRequest:
         version = node.version
         assert version is not None
-        self._request += 1
+        self._request_count += 1
         body = {
             "name": name,
             "organisation": organisation,
             "cost": cost,
             "padding": "x" * padding,
         }
-        identifier = f"{node.settings.vm}-{self._request}"
+        identifier = f"{node.settings.vm}-{self._request_count}"
         entry = version.document.services[service].kinds[kind]
         return CallerRequest(
             identifier,
@@ -411,16 +412,16 @@
 async def running_virtual_fleet(
     plan: VirtualPlan, seed: int = 0, settle: float = 3.0
 ) -> AsyncIterator[VirtualFleet]:
-    """Run a virtual fleet for the time of a block.
+    """Run a virtual fleet as a context manager.
 
     Parameters
     ----------
     plan : VirtualPlan
-        What it consists of.
+        Configuration of the fleet.
     seed : int
-        Names the run.
+        Seed of the random numbers.
     settle : float
-        Virtual seconds to wait until the routers know each other.
+        Virtual seconds to wait for the routers to discover each other.
     """
     random = Random(seed)
     network = VirtualNetwork(plan.network, random)
--- a/packages/standins/src/teaselledge_standins/virtual/leaving.py
+++ b/packages/standins/src/teaselledge_standins/virtual/leaving.py
@@ -1,4 +1,4 @@
-"""Random graceful shutdowns under load, judged by what callers saw."""
+"""Random graceful shutdowns under load, checked by the responses of the callers."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,9 +19,9 @@
 
 __all__ = ["DrainReport", "run_drain_scenario"]
 
-REQUESTS = 60
+REQUEST_COUNT = 60
 SPREAD_SECONDS = 30.0
-LONGEST_SECONDS = 40.0
+MAX_REQUEST_SECONDS = 40.0
 OUTAGE_SECONDS = 120.0
 ROUTERS = {"v1": "a", "v2": "b", "v3": "a", "v4": "b"}
 
@@ -54,10 +54,10 @@
 
 
 def store_down(fleet: VirtualFleet) -> None:
-    """Take the table service and the VM list away for a while.
+    """Make the table service and the VM list unavailable for ``OUTAGE_SECONDS``.
 
-    An outage beyond the settings' longest shutdown ends it by the deadline,
-    since the outcomes of orders then have nowhere to go.
+    A longer outage than the settings' maximum duration of a drain would end the drain
+    by its deadline, since the outcomes of orders can't be written.
     """
 
     def switch(down: bool) -> None:
@@ -74,12 +74,12 @@
 
 
 def router_killed(fleet: VirtualFleet) -> None:
-    """Kill a router that is not leaving."""
+    """Kill a router that is not shutting down."""
     asyncio.ensure_future(fleet.kill("v4"))  # noqa: RUF006
 
 
 def nothing(fleet: VirtualFleet) -> None:
-    """Do nothing beside."""
+    """Inject no second fault."""
 
 
 CONCURRENT_FAULTS: tuple[Callable[[VirtualFleet], None], ...] = (
@@ -89,23 +89,24 @@
     frames_lost,
     router_killed,
 )
-"""Second faults; none of them breaks a connection of the routers that leave."""
+"""Second faults; none breaks a connection of the routers that shut down."""
 
 
 @dataclass(frozen=True)
 class DrainReport:
-    """What the callers of routers that left saw.
+    """Counts of the requests to routers that shut down during a run.
 
     Attributes
     ----------
     requests, answered, refused : int
-        Sent, answered right, and refused.
+        Requests sent, with the correct response, and refused.
     cut : int
-        Answers that were broken, wrong or ended with the process.
+        Responses that were broken, wrong or ended with the process, and refusals for
+        a reason other than the shutdown or an unavailable journal.
     false_no : int
-        Refused as not run, and yet carried out.
+        Requests refused as not executed that an endpoint did execute.
     not_whole : int
-        Shutdowns that did not end by themselves.
+        Shutdowns that were ended by their deadline or by a second signal.
     """
 
     requests: int
@@ -118,11 +119,19 @@
 
 @dataclass(frozen=True)
 class _Sent:
-    """A request; one that was met and has no outcome ended with the process."""
+    """A request to a router.
+
+    Attributes
+    ----------
+    connected : bool
+        Whether the router was running when the request was sent.
+    result : CallResult or None
+        None if the router's process ended during the request.
+    """
 
     name: str
-    met: bool
-    outcome: CallResult | None = None
+    connected: bool
+    result: CallResult | None = None
 
 
 async def _send(fleet: VirtualFleet, random: Random, number: int) -> _Sent:
@@ -131,18 +140,18 @@
     name = f"r{number}"
     kind, key = ("order", name) if random.random() < 0.2 else ("work", None)  # noqa: PLR2004
     organisation = random.choice(list(PLAN.shares))
-    cost = random.uniform(0.1, LONGEST_SECONDS)
+    cost = random.uniform(0.1, MAX_REQUEST_SECONDS)
     if vm not in fleet.nodes:
-        # nobody listens there any more, so that the caller asks elsewhere
+        # The router has stopped listening; a real caller would use another one.
         return _Sent(name, False)
     try:
-        calling = fleet.call(vm, organisation, "s", kind, name, cost, key)
-        return _Sent(name, True, await calling)
+        call = fleet.call(vm, organisation, "s", kind, name, cost, key)
+        return _Sent(name, True, await call)
     except ConnectionError:
         return _Sent(name, True)
 
 
-async def _leave(fleet: VirtualFleet, vm: str, after: float) -> DrainExit:
+async def _shut_down(fleet: VirtualFleet, vm: str, after: float) -> DrainExit:
     await asyncio.sleep(after)
     drain = fleet.nodes[vm].drain
     drain.start()
@@ -152,47 +161,52 @@
 
 
 async def run_drain_scenario(seed: int) -> DrainReport:
-    """Let two routers leave at random times, with a second fault beside.
+    """Shut two routers down at random times during a second fault.
 
     Parameters
     ----------
     seed : int
-        Names the run, and by turns the second fault.
+        Seed of the run; it also selects the second fault.
     """
     random = Random(seed)
     async with running_virtual_fleet(PLAN, seed) as fleet:
         leaving = [
-            asyncio.create_task(_leave(fleet, vm, random.uniform(2, SPREAD_SECONDS)))
+            asyncio.create_task(
+                _shut_down(fleet, vm, random.uniform(2, SPREAD_SECONDS))
+            )
             for vm in ("v1", "v2")
         ]
         sending = [
             asyncio.create_task(_send(fleet, random, number))
-            for number in range(REQUESTS)
+            for number in range(REQUEST_COUNT)
         ]
         await asyncio.sleep(random.uniform(0, SPREAD_SECONDS))
         CONCURRENT_FAULTS[seed % len(CONCURRENT_FAULTS)](fleet)
         ends = await asyncio.gather(*leaving)
         sent = await asyncio.gather(*sending)
         ran = {run.name for e in fleet.endpoints.values() for run in e.runs}
-    return _judge(list(sent), ran, list(ends))
+    return _make_report(list(sent), ran, list(ends))
 
 
-def _judge(sent: list[_Sent], ran: set[str], ends: list[DrainExit]) -> DrainReport:
-    met = [entry for entry in sent if entry.met]
+def _make_report(
+    sent: list[_Sent], ran: set[str], ends: list[DrainExit]
+) -> DrainReport:
+    connected = [entry for entry in sent if entry.connected]
     answered = refused = cut = false_no = 0
-    for entry in met:
-        outcome = entry.outcome
-        if outcome is None:
+    for entry in connected:
+        result = entry.result
+        if result is None:
             cut += 1
             continue
-        fault = outcome.fault
+        fault = result.fault
         if fault is None:
-            answered += outcome.is_correct
-            cut += not outcome.is_correct
+            answered += result.is_correct
+            cut += not result.is_correct
             continue
         refused += 1
         false_no += fault.ran is Ran.NO and entry.name in ran
-        # an order that the store holds up may be refused at its deadline
+        # An order whose journal record could not be written before its deadline,
+        # because the store is slow or unavailable, may be refused.
         cut += fault.kind not in (ErrorKind.LEAVING, ErrorKind.JOURNAL_UNAVAILABLE)
     not_whole = sum(end is not DrainExit.WHOLE for end in ends)
-    return DrainReport(len(met), answered, refused, cut, false_no, not_whole)
+    return DrainReport(len(connected), answered, refused, cut, false_no, not_whole)
--- a/packages/standins/src/teaselledge_standins/virtual/members.py
+++ b/packages/standins/src/teaselledge_standins/virtual/members.py
@@ -1,4 +1,4 @@
-"""Many routers' memberships on a virtual network, without the rest of them."""
+"""Memberships of many routers on a virtual network, without their other parts."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -21,12 +21,12 @@
 
 __all__ = ["MemberFleet", "running_members"]
 
-PHASES = 10
+START_PHASES_COUNT = 10
 
 
 @dataclass
 class MemberFleet:
-    """Memberships by VM, their network and their list."""
+    """Memberships by VM, with their network and VM list."""
 
     network: VirtualNetwork
     vms: MemoryVms
@@ -37,7 +37,7 @@
     def start(
         self, vm: str, zone: str, listed: bool = True, address: str = ""
     ) -> Membership:
-        """Start a router's membership, with nothing kept from an earlier life."""
+        """Start a router's membership, without state of an earlier incarnation."""
         self.starts += 1
         incarnation = new_incarnation(self.starts, 7)
         region = self.network.plan.regions[zone]
@@ -52,7 +52,7 @@
         return membership
 
     def kill(self, vm: str) -> None:
-        """Kill a router without a word."""
+        """Kill a router; the others get no message about it."""
         self.tasks.pop(vm).cancel()
         self.members.pop(vm)
         mesh = self.network.meshes.get(vm)
@@ -60,11 +60,11 @@
             mesh.close()
 
     def count_aware(self, vm: str) -> int:
-        """Return how many routers have a router among the live ones."""
+        """Return how many other routers consider a router alive."""
         return len(self._views_of(vm))
 
     def count_not_leaving(self, vm: str) -> int:
-        """Return how many routers would give a router new work."""
+        """Return how many other routers consider a router alive and not leaving."""
         return sum(not member.leaving for member in self._views_of(vm))
 
     def _views_of(self, vm: str) -> list[Member]:
@@ -72,17 +72,17 @@
         return [member for member in found if member is not None]
 
     def prefill_members(self) -> None:
-        """Let every router know every other, as after a long time together."""
+        """Make every router consider every other one alive, as in a settled fleet."""
         now = asyncio.get_running_loop().time()
-        rumours = [
+        reports = [
             MemberRecord(m.own, 1, State.ALIVE, now).to_report()
             for m in self.members.values()
         ]
         for vm, membership in self.members.items():
-            membership.load_reports([rumour for rumour in rumours if rumour.vm != vm])
+            membership.load_reports([report for report in reports if report.vm != vm])
 
     async def wait_until_converged(self, seconds: float = 60.0) -> None:
-        """Wait until every router knows every other."""
+        """Wait until every router considers every other one alive."""
         async with asyncio.timeout(seconds):
             while any(
                 len(m.live()) != len(self.members) for m in self.members.values()
@@ -90,8 +90,11 @@
                 await asyncio.sleep(0.1)
 
     async def _run(self, vm: str, membership: Membership) -> None:
-        # routers don't start in step; few phases keep the virtual clock fast
-        await asyncio.sleep(self.network.random.randrange(PHASES) / PHASES)
+        # Real routers don't start in phase; few phases keep the number of clock
+        # steps low.
+        await asyncio.sleep(
+            self.network.random.randrange(START_PHASES_COUNT) / START_PHASES_COUNT
+        )
         await membership.run()
 
 
@@ -104,7 +107,7 @@
     seed: int = 1,
     prefilled: bool = False,
 ) -> AsyncIterator[MemberFleet]:
-    """Run so many memberships, spread over zones, until a block ends."""
+    """Run ``count`` memberships, distributed over zones, as a context manager."""
     random = Random(seed)
     plan = NetworkPlan({f"z{i}": f"g{i % regions}" for i in range(zones)})
     network = VirtualNetwork(plan, random)
--- a/packages/standins/src/teaselledge_standins/virtual/mishaps.py
+++ b/packages/standins/src/teaselledge_standins/virtual/mishaps.py
@@ -1,4 +1,4 @@
-"""Faults of a virtual fleet, each with its begin and its end."""
+"""Fault injections for a virtual fleet, each with a start and an undo function."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -9,21 +9,21 @@
 
 __all__ = ["FAULT_INJECTIONS", "FaultInjection", "get_fault_injection_by_name"]
 
-CUT_AWAY = ("tables",)
+PLATFORM_NODES = ("tables",)
 
 Undo = Callable[[], None]
 
 
 @dataclass(frozen=True)
 class FaultInjection:
-    """One kind of fault.
+    """One kind of injected fault.
 
     Attributes
     ----------
     begin : callable
-        Starts the fault and returns what ends it.
+        Starts the fault and returns the function that ends it.
     min_seconds, max_seconds : float
-        Bounds of its length in seconds.
+        Minimum and maximum duration.
     """
 
     begin: Callable[["VirtualFleet", Random], Undo]
@@ -32,21 +32,21 @@
 
 
 class FaultInjectionNotFoundError(LookupError):
-    """There is no fault of that name."""
+    """There is no fault injection of that name."""
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
 
 
-def _some_router(fleet: VirtualFleet, random: Random) -> str:
+def _random_router(fleet: VirtualFleet, random: Random) -> str:
     return random.choice(sorted(fleet.plan.routers))
 
 
-def _cut_off(fleet: VirtualFleet, random: Random) -> Undo:
-    """Cut a router from some of all others, sometimes one way only."""
-    vm = _some_router(fleet, random)
-    others = sorted({*fleet.network.zones, *CUT_AWAY} - {vm})
+def _partition(fleet: VirtualFleet, random: Random) -> Undo:
+    """Cut a router off from some of the other nodes, sometimes in one direction."""
+    vm = _random_router(fleet, random)
+    others = sorted({*fleet.network.zones, *PLATFORM_NODES} - {vm})
     chosen = {name for name in others if random.random() < random.choice((0.4, 1.0))}
     both = random.random() < 0.7  # noqa: PLR2004
     before = set(fleet.network.cuts)
@@ -59,10 +59,10 @@
 
 
 def _kill(fleet: VirtualFleet, random: Random) -> Undo:
-    """Kill a router, which restarts empty at the end."""
-    vm = _some_router(fleet, random)
+    """Kill a router; it restarts without its state at the end of the fault."""
+    vm = _random_router(fleet, random)
     if vm not in fleet.nodes:
-        return _nothing
+        return _do_nothing
     task = asyncio.ensure_future(fleet.kill(vm))
 
     def restart() -> None:
@@ -73,7 +73,7 @@
 
 def _pause(fleet: VirtualFleet, random: Random) -> Undo:
     """Pause a router between any two of its calls."""
-    vm = _some_router(fleet, random)
+    vm = _random_router(fleet, random)
     fleet.network.resume(vm)
     fleet.network.pause(vm)
     return lambda: fleet.network.resume(vm)
@@ -101,8 +101,8 @@
     return lambda: setattr(fleet.tables.faults, "lose_answers", 0)
 
 
-def _dropped(fleet: VirtualFleet, random: Random) -> Undo:
-    """Let endpoints run requests and drop their connections."""
+def _endpoint_drops(fleet: VirtualFleet, random: Random) -> Undo:
+    """Make endpoints execute requests and drop their connections."""
     faults = [endpoint.faults for endpoint in fleet.endpoints.values()]
     stop = random.choice((-1, 0, 0, 5, 20))
     for fault in faults:
@@ -117,8 +117,8 @@
     return end
 
 
-def _slow(fleet: VirtualFleet, random: Random) -> Undo:
-    """Slow some endpoints, also beyond the callers' deadline."""
+def _endpoint_slow(fleet: VirtualFleet, random: Random) -> Undo:
+    """Slow some endpoints down, some so far that callers' deadlines pass."""
     faults = [endpoint.faults for endpoint in fleet.endpoints.values()]
     for fault in faults:
         fault.slow = random.choice((1.0, 5.0, 60.0))
@@ -130,7 +130,7 @@
     return end
 
 
-def _refusing(fleet: VirtualFleet, random: Random) -> Undo:
+def _endpoint_refuses(fleet: VirtualFleet, random: Random) -> Undo:
     faults = [endpoint.faults for endpoint in fleet.endpoints.values()]
     chosen = random.sample(faults, random.randint(1, len(faults)))
     for fault in chosen:
@@ -144,25 +144,25 @@
 
 
 FAULT_INJECTIONS: Mapping[str, FaultInjection] = {
-    "partition": FaultInjection(_cut_off, 2.0, 25.0),
+    "partition": FaultInjection(_partition, 2.0, 25.0),
     "kill": FaultInjection(_kill, 0.5, 10.0),
     "pause": FaultInjection(_pause, 0.5, 30.0),
     "store-down": FaultInjection(_store_down, 1.0, 40.0),
     "store-slow": FaultInjection(_store_slow, 2.0, 20.0),
     "answers-lost": FaultInjection(_answers_lost, 1.0, 10.0),
     "late-writes": FaultInjection(_late_writes, 1.0, 10.0),
-    "endpoint-drops": FaultInjection(_dropped, 1.0, 8.0),
-    "endpoint-slow": FaultInjection(_slow, 1.0, 20.0),
-    "endpoint-refuses": FaultInjection(_refusing, 1.0, 20.0),
+    "endpoint-drops": FaultInjection(_endpoint_drops, 1.0, 8.0),
+    "endpoint-slow": FaultInjection(_endpoint_slow, 1.0, 20.0),
+    "endpoint-refuses": FaultInjection(_endpoint_refuses, 1.0, 20.0),
 }
 
 
 def get_fault_injection_by_name(name: str) -> FaultInjection:
-    """Return a kind of fault.
+    """Return a fault injection.
 
     Raises
     ------
-    MishapNotFoundError
+    FaultInjectionNotFoundError
         If there is none of that name.
     """
     found = FAULT_INJECTIONS.get(name)
--- a/packages/standins/src/teaselledge_standins/virtual/naive.py
+++ b/packages/standins/src/teaselledge_standins/virtual/naive.py
@@ -1,4 +1,4 @@
-"""A naive order desk: it tries again on errors and journals after the fact."""
+"""A naive order executor: it retries on errors and writes the journal afterwards."""
 
 from expression import Error, Ok, Result
 from teaselledge.connection.endpoint import IncompleteResponseError, OutboundRequest
@@ -15,11 +15,11 @@
 
 __all__ = ["NaiveGate"]
 
-ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 
 
 class NaiveOrderExecutor(OrderExecutor):
-    """Looks for a stored answer, else sends until one comes, then stores it."""
+    """Returns the stored response, or retries until there is one and stores it."""
 
     def __init__(self, node: Node) -> None:
         tools = node.orders.tools
@@ -28,27 +28,27 @@
         )
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
-        """Answer an order."""
+        """Execute an order."""
         row = order_row(request.organisation, request.key or "")
         tables = self.tools.journal.tables
         found = await tables.get(ORDERS_TABLE, row)
         if found.is_ok() and found.ok is not None:
-            await self._give(sink, found.ok.value)
+            await self._send_response(sink, found.ok.value)
             return Ok(None)
-        for _ in range(ATTEMPTS):
-            body = await self._try_once(request)
+        for _ in range(MAX_ATTEMPTS):
+            body = await self._attempt(request)
             if body is not None:
                 await tables.commit([Write(ORDERS_TABLE, row, body, ANY)])
-                await self._give(sink, body)
+                await self._send_response(sink, body)
                 return Ok(None)
         return Error(Fault(ErrorKind.ENDPOINT_FAILED))
 
-    async def _give(self, sink: Sink, body: bytes) -> None:
+    async def _send_response(self, sink: Sink, body: bytes) -> None:
         await sink.start(200, HTTPHeaders())
         await sink.write(body)
         await sink.finish()
 
-    async def _try_once(self, request: CallerRequest) -> bytes | None:
+    async def _attempt(self, request: CallerRequest) -> bytes | None:
         tools = self.tools
         ticket = SlotRequest(
             request.organisation,
@@ -77,20 +77,20 @@
 
 
 class NaiveGate(DrainGate):
-    """Gives orders to a naive desk, and all else to the router's own runner."""
+    """Passes orders to a naive executor and other requests to the router's runner."""
 
     def __init__(self, node: Node) -> None:
         super().__init__(node.request_runner, node.orders)
-        self._desk = NaiveOrderExecutor(node)
+        self._executor = NaiveOrderExecutor(node)
 
     @classmethod
     def install(cls, node: Node) -> None:
-        """Put a naive desk into a node, once."""
+        """Replace a node's request runner by a naive one, unless that is done."""
         if not isinstance(node.request_runner, cls):
             node.request_runner = cls(node)
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
-        """Answer a request."""
+        """Run a request."""
         if request.kind_entry.repeatable:
             return await super().run(request, sink)
-        return await self._desk.run(request, sink)
+        return await self._executor.run(request, sink)
--- a/packages/standins/src/teaselledge_standins/virtual/network.py
+++ b/packages/standins/src/teaselledge_standins/virtual/network.py
@@ -1,4 +1,4 @@
-"""A network in memory with delays, cuts, a narrow region link and counters."""
+"""A simulated network with delays, partitions, a limited region link and counters."""
 
 import asyncio
 from collections import defaultdict
@@ -13,8 +13,8 @@
 
 __all__ = ["NetworkPlan", "VirtualMesh", "VirtualNetwork"]
 
-BITS = 8
-DECIMALS = 6
+BITS_PER_BYTE = 8
+TIME_DECIMALS = 6
 
 
 @dataclass(frozen=True)
@@ -40,15 +40,15 @@
 
 @dataclass
 class VirtualNetwork:
-    """Carries frames and calls between VMs and endpoints.
+    """Network between VMs and endpoints, for frames and calls.
 
     Attributes
     ----------
     cuts : set of tuple of str
-        Pairs of sender and receiver between which nothing passes; a receiver
-        or sender is a VM or an endpoint.
+        Pairs of sender and receiver that are disconnected in this direction; each
+        is a VM or an endpoint.
     loss : float
-        Part of the frames between VMs that is lost.
+        Fraction of the frames between VMs that is lost.
     sent_bytes : dict of str to int
         Bytes of frames that each VM sent.
     link_bytes : dict of tuple to int
@@ -75,7 +75,7 @@
         return self.plan.regions[self.zones[name]]
 
     def delay(self, sender: str, receiver: str, size: int = 0) -> float:
-        """Return the seconds that so many bytes take, and occupy the link."""
+        """Return the one-way delay of a message, and reserve link time for it."""
         here, there = self.zones[sender], self.zones[receiver]
         if here == there:
             return self.plan.zone_delay
@@ -84,16 +84,16 @@
             return self.plan.near_delay
         now = asyncio.get_running_loop().time()
         start = max(now, self._link_free.get(link, 0.0))
-        end = start + size * BITS / self.plan.link_bits
+        end = start + size * BITS_PER_BYTE / self.plan.link_bits
         self._link_free[link] = end
         return end - now + self.plan.region_delay
 
     def is_connected(self, sender: str, receiver: str) -> bool:
-        """Return whether anything gets from one to the other."""
+        """Return whether messages from the sender reach the receiver."""
         return (sender, receiver) not in self.cuts
 
     def cut(self, side: set[str], other: set[str], both_ways: bool = True) -> None:
-        """Cut all connections from one side to the other."""
+        """Disconnect ``side`` from ``other``, by default in both directions."""
         for sender in side:
             for receiver in other:
                 self.cuts.add((sender, receiver))
@@ -101,19 +101,19 @@
                     self.cuts.add((receiver, sender))
 
     def heal(self) -> None:
-        """End all cuts."""
+        """Remove all cuts."""
         self.cuts.clear()
 
     def pause(self, vm: str) -> None:
-        """Pause a VM: its calls and frames wait until it goes on.
+        """Pause a VM: its calls and frames wait until it is resumed.
 
-        Calls to fakes wait on entry and on return, so that what was checked
-        before a call has aged when the task goes on.
+        Calls to fakes wait on entry and on return, so that a check made before a
+        call can be outdated when the task continues.
         """
         self._resumed[vm] = asyncio.Event()
 
     def resume(self, vm: str) -> None:
-        """Let a paused VM go on."""
+        """Resume a paused VM."""
         event = self._resumed.pop(vm, None)
         if event is not None:
             event.set()
@@ -125,7 +125,7 @@
             await event.wait()
 
     def transmit(self, mesh: "VirtualMesh", receiver: str, data: bytes) -> None:
-        """Carry a frame, or lose it."""
+        """Send a frame, unless it is lost or the receiver is disconnected."""
         sender = mesh.origin.vm
         self.sent_bytes[sender] += len(data)
         self.sent_frames[sender] += 1
@@ -138,9 +138,9 @@
             return
         delay = self.delay(sender, receiver, len(data))
         loop = asyncio.get_running_loop()
-        # rounded, so that what arrives together does so in each run, whatever
-        # the rounding of the clock's floating point
-        when = round(loop.time() + delay, DECIMALS)
+        # Rounded so that frames that arrive at the same time in one run do so in
+        # every run, independent of the clock's floating-point error.
+        when = round(loop.time() + delay, TIME_DECIMALS)
         loop.call_at(when, self._arrive, mesh.origin, receiver, data)
 
     def _arrive(self, origin: Origin, receiver: str, data: bytes) -> None:
@@ -157,7 +157,7 @@
 
 
 class VirtualMesh:
-    """The mesh of one VM on a virtual network; bytes are those of real frames."""
+    """The mesh of one VM on a virtual network, with the encoding of real frames."""
 
     def __init__(self, network: VirtualNetwork, origin: Origin, zone: str) -> None:
         self._network = network
@@ -177,7 +177,7 @@
         self._registry.subscribe(body, handler)
 
     def send(self, vm: str, sent: Message) -> None:
-        """Send to a router, in one frame with what this turn has for it."""
+        """Send a message; those of one loop iteration share a frame."""
         loop = asyncio.get_running_loop()
         if vm == self._origin.vm:
             loop.call_soon(self._registry.deliver, self._origin, sent)
@@ -194,7 +194,7 @@
             self._registry.deliver(origin, received)
 
     def close(self) -> None:
-        """Drop off the network, as a killed process does."""
+        """Leave the network, as when the process is killed."""
         if self._network.meshes.get(self._origin.vm) is self:
             del self._network.meshes[self._origin.vm]
 
--- a/packages/standins/src/teaselledge_standins/virtual/orders.py
+++ b/packages/standins/src/teaselledge_standins/virtual/orders.py
@@ -1,4 +1,4 @@
-"""A small virtual fleet for orders, and what its endpoints saw of them."""
+"""A small virtual fleet for orders, and counts of what its endpoints executed."""
 
 from collections import Counter
 from collections.abc import AsyncIterator
@@ -15,7 +15,7 @@
 __all__ = ["ORDER_PLAN", "ORDER_SECONDS", "order_fleet", "runs_by_name"]
 
 ORDER_SECONDS = 20.0
-"""Deadline of an order."""
+"""Time from the request to the deadline of an order."""
 
 ORDER_PLAN = VirtualPlan(
     NetworkPlan({"near-a": "near", "near-b": "near", "far-a": "far"}),
@@ -52,13 +52,13 @@
 
 @asynccontextmanager
 async def order_fleet(seed: int = 0) -> AsyncIterator[VirtualFleet]:
-    """Run the small fleet for the time of a block."""
+    """Run the small fleet as a context manager."""
     async with running_virtual_fleet(ORDER_PLAN, seed, settle=2.0) as fleet:
         yield fleet
 
 
 def runs_by_name(fleet: VirtualFleet) -> Counter[str]:
-    """Return how often each named request was begun by an endpoint."""
+    """Return how many times endpoints started each named request."""
     return Counter(
         run.name for endpoint in fleet.endpoints.values() for run in endpoint.runs
     )
--- a/packages/standins/src/teaselledge_standins/virtual/outcomes.py
+++ b/packages/standins/src/teaselledge_standins/virtual/outcomes.py
@@ -1,4 +1,4 @@
-"""Orders under random faults, checked against what the endpoints ran."""
+"""Orders under random faults, checked against what the endpoints executed."""
 
 import asyncio
 from collections import Counter
@@ -26,70 +26,81 @@
 __all__ = ["OutcomeReport", "run_outcomes"]
 
 ORGANISATION = "amber"
-ORDERS = 30
-READS = 15
-FLOOD = 60
-SPAN_SECONDS = 40.0
-"""Time over which orders are placed."""
+ORDER_COUNT = 30
+READ_COUNT = 15
+FLOOD_REQUEST_COUNT = 60
+PLACING_SECONDS = 40.0
+"""Time during which orders are placed."""
 
-FAULT_PAIRS = 3
+FAULT_PAIR_COUNT = 3
 QUIET_SECONDS = 60.0
-"""Time after the last fault until callers ask for the last time."""
+"""Time from the last fault to the callers' final requests."""
 
-TRIES = 8
-LAST_TRIES = 6
-SKEW_SECONDS = 0.45
-"""Error of a router's wall clock, each way."""
+MAX_TRIES = 8
+MAX_FINAL_TRIES = 6
+MAX_CLOCK_SKEW_SECONDS = 0.45
+"""Maximum error of a router's wall clock, in both directions."""
 
 
 @dataclass
 class _Order:
-    """What one caller knows of its order."""
+    """State of an order as its caller sees it.
+
+    Attributes
+    ----------
+    placed : list of float
+        Loop time of each request for the order.
+    refused_at : list of float
+        Loop time of each response that said that the order was not executed.
+    state : str
+        Result of the latest requests.
+    """
 
     name: str
     cost: float
     placed: list[float] = field(default_factory=list)
-    said_no: list[float] = field(default_factory=list)
+    refused_at: list[float] = field(default_factory=list)
     state: str = "open"
 
-    def no_is_false(self, begun: float) -> bool:
-        """Return whether a run makes a refusal false.
+    def is_false_refusal(self, started: float) -> bool:
+        """Return whether an execution that started at a time makes a refusal false.
 
-        A refusal says that none of the attempts so far ran or will run; a run
-        is right after it only for a later attempt.
+        A refusal states that no request for the order so far was or will be
+        executed. An execution after it must belong to a later request.
         """
-        for said in self.said_no:
-            if begun < said:
+        for refused in self.refused_at:
+            if started < refused:
                 return True
-            if not any(said <= placed <= begun for placed in self.placed):
+            if not any(refused <= placed <= started for placed in self.placed):
                 return True
         return False
 
 
 @dataclass(frozen=True)
 class OutcomeReport:
-    """What one run showed; the endpoints' counts are the truth.
+    """Counts of one run, checked against the executions at the endpoints.
 
     Attributes
     ----------
     orders : int
         Orders placed.
     answered, not_run, ran, unknown : int
-        How they ended for their callers.
+        Final result of the orders as their callers see it.
     lost : int
-        Orders whose caller got no final word although it went on asking.
+        Orders whose caller got no final result although it continued to retry.
     twice : int
-        Orders that ran more than once.
+        Orders that were executed more than once.
     false_no : int
-        Refusals that said "not run" though the order ran.
+        Orders reported as not executed that were executed.
     false_yes : int
-        Answers for orders that did not run.
+        Orders reported as executed that were not.
     wrong : int
-        Whole answers that are not those of the request.
+        Complete responses that belong to another request.
     stuck : int
-        Unknown orders whose router lives and has nothing to do any more.
+        Unknown orders that need not be: their router is running, or there is no
+        record of them.
     reasons : Counter of str
-        Why the journal leaves orders unknown.
+        Orders that remain unknown, by what their journal record shows.
     """
 
     orders: int
@@ -107,7 +118,7 @@
 
     @property
     def violations(self) -> int:
-        """Broken promises of all kinds."""
+        """Number of violations of all kinds."""
         return (
             self.lost
             + self.twice
@@ -128,36 +139,38 @@
         self._orders: list[_Order] = []
         self._wrong = 0
 
-    async def carry_out(self) -> OutcomeReport:
-        """Place orders while faults come and go, and judge."""
+    async def run(self) -> OutcomeReport:
+        """Place orders during random faults, and count the results."""
         for node in self._fleet.nodes.values():
             self._prepare(node)
-        callers = [self._order(i) for i in range(ORDERS)]
-        reads = [self._read(i) for i in range(READS)]
-        await asyncio.gather(self._faults(), *callers, *reads)
+        callers = [self._place_order(i) for i in range(ORDER_COUNT)]
+        reads = [self._send_read(i) for i in range(READ_COUNT)]
+        await asyncio.gather(self._inject_faults(), *callers, *reads)
         await asyncio.sleep(QUIET_SECONDS)
-        await asyncio.gather(*(self._ask_again(order) for order in self._orders))
-        return self._judge()
+        await asyncio.gather(*(self._place_finally(order) for order in self._orders))
+        return self._make_report()
 
-    async def _faults(self) -> None:
+    async def _inject_faults(self) -> None:
         random = self._random
-        for _ in range(FAULT_PAIRS):
+        for _ in range(FAULT_PAIR_COUNT):
             names = random.sample(sorted(FAULT_INJECTIONS), 2)
-            await asyncio.gather(*(self._fault(name) for name in names))
-        # nodes that were restarted come back before the callers' last calls
+            await asyncio.gather(*(self._inject_fault(name) for name in names))
+        # Restarted nodes must be running before the callers' final requests.
         for vm in self._fleet.plan.routers:
             if vm not in self._fleet.nodes:
                 await asyncio.sleep(1.0)
 
-    async def _fault(self, name: str) -> None:
-        mishap = get_fault_injection_by_name(name)
+    async def _inject_fault(self, name: str) -> None:
+        injection = get_fault_injection_by_name(name)
         random = self._random
         await asyncio.sleep(random.uniform(0.0, 5.0))
-        undo = mishap.begin(self._fleet, random)
+        undo = injection.begin(self._fleet, random)
         flood = None
         if random.random() < 0.3:  # noqa: PLR2004
             flood = asyncio.ensure_future(self._flood())
-        await asyncio.sleep(random.uniform(mishap.min_seconds, mishap.max_seconds))
+        await asyncio.sleep(
+            random.uniform(injection.min_seconds, injection.max_seconds)
+        )
         undo()
         await asyncio.sleep(1.0)
         for node in self._fleet.nodes.values():
@@ -166,55 +179,55 @@
             await flood
 
     async def _flood(self) -> None:
-        """Let another organisation send many requests at once."""
+        """Send many requests of another organisation at once."""
         calls = [
             self._call("birch", "read", f"flood-{i}-{self._random.random()}", 0.5, 5.0)
-            for i in range(FLOOD)
+            for i in range(FLOOD_REQUEST_COUNT)
         ]
         await asyncio.gather(*calls)
 
-    async def _read(self, index: int) -> None:
-        await asyncio.sleep(self._random.uniform(0.0, SPAN_SECONDS))
+    async def _send_read(self, index: int) -> None:
+        await asyncio.sleep(self._random.uniform(0.0, PLACING_SECONDS))
         await self._call(ORGANISATION, "read", f"read-{index}", 0.2, 30.0)
 
-    async def _order(self, index: int) -> None:
+    async def _place_order(self, index: int) -> None:
         random = self._random
         order = _Order(f"order-{index}", random.choice((0.05, 0.1, 1.0, 5.0)))
         self._orders.append(order)
-        await asyncio.sleep(random.uniform(0.0, SPAN_SECONDS))
+        await asyncio.sleep(random.uniform(0.0, PLACING_SECONDS))
         copies = 1
         if random.random() < 0.2:  # noqa: PLR2004
             copies = 3
-        for _ in range(TRIES):
-            patience = random.choice((0.3, 3.0, 30.0))
-            words = await asyncio.gather(
-                *(self._ask(order, patience) for _ in range(copies))
+        for _ in range(MAX_TRIES):
+            timeout = random.choice((0.3, 3.0, 30.0))
+            results = await asyncio.gather(
+                *(self._place_once(order, timeout) for _ in range(copies))
             )
-            order.state = _strongest(words)
+            order.state = _most_certain(results)
             if order.state in ("answered", "yes"):
                 return
             if order.state == "no" and random.random() < 0.4:  # noqa: PLR2004
                 return
             await asyncio.sleep(random.choice((0.0, 0.5, 3.0)))
 
-    async def _ask_again(self, order: _Order) -> None:
+    async def _place_finally(self, order: _Order) -> None:
         if order.state in ("answered", "yes", "no"):
             return
-        for _ in range(LAST_TRIES):
-            order.state = await self._ask(order, 60.0)
+        for _ in range(MAX_FINAL_TRIES):
+            order.state = await self._place_once(order, 60.0)
             if order.state in ("answered", "yes", "unknown"):
                 return
             await asyncio.sleep(3.0)
 
-    async def _ask(self, order: _Order, patience: float) -> str:
+    async def _place_once(self, order: _Order, timeout: float) -> str:
         loop = asyncio.get_running_loop()
         order.placed.append(loop.time())
-        word = await self._call(
-            ORGANISATION, "order", order.name, order.cost, patience, order.name
+        result = await self._call(
+            ORGANISATION, "order", order.name, order.cost, timeout, order.name
         )
-        if word == "no":
-            order.said_no.append(loop.time())
-        return word
+        if result == "no":
+            order.refused_at.append(loop.time())
+        return result
 
     async def _call(
         self,
@@ -222,27 +235,27 @@
         kind: str,
         name: str,
         cost: float,
-        patience: float,
+        timeout: float,
         key: str | None = None,
     ) -> str:
-        """Call a router and return the word that the caller takes from it."""
+        """Call a random router and return the result as the caller sees it."""
         vm = self._random.choice(sorted(self._fleet.plan.routers))
         call = self._fleet.call(vm, organisation, "ledger", kind, name, cost, key)
         with suppress(ConnectionError, TimeoutError):
-            outcome = await asyncio.wait_for(call, patience)
-            if outcome.is_correct:
+            result = await asyncio.wait_for(call, timeout)
+            if result.is_correct:
                 return "answered"
-            if outcome.sink.complete:
+            if result.sink.complete:
                 self._wrong += 1
                 return "wrong"
-            if outcome.fault is None:
+            if result.fault is None:
                 return "broken"
-            if outcome.fault.kind is ErrorKind.KEY_MISMATCH:
+            if result.fault.kind is ErrorKind.KEY_MISMATCH:
                 return "mismatch"
-            return outcome.fault.ran.value
+            return result.fault.ran.value
         return "cut"
 
-    def _judge(self) -> OutcomeReport:
+    def _make_report(self) -> OutcomeReport:
         runs: dict[str, list[float]] = {}
         for endpoint in self._fleet.endpoints.values():
             for run in endpoint.runs:
@@ -259,7 +272,7 @@
             sum(count for state, count in states.items() if state not in known),
             sum(len(runs.get(o.name, ())) > 1 for o in self._orders),
             sum(
-                any(order.no_is_false(begun) for begun in runs.get(order.name, ()))
+                any(order.is_false_refusal(time) for time in runs.get(order.name, ()))
                 for order in self._orders
             ),
             sum(
@@ -272,7 +285,7 @@
         )
 
     def _reasons(self, runs: dict[str, list[float]]) -> tuple[Counter[str], int]:
-        """Return why orders are unknown, and how many need not be."""
+        """Count unknown orders by reason, and those that should not be unknown."""
         reasons: Counter[str] = Counter()
         stuck = 0
         nodes = self._fleet.nodes.values()
@@ -298,31 +311,31 @@
         return reasons, stuck
 
 
-def _strongest(words: list[str]) -> str:
-    for word in ("answered", "yes", "unknown", "broken", "cut"):
-        if word in words:
-            return word
-    return words[0]
+def _most_certain(results: list[str]) -> str:
+    for result in ("answered", "yes", "unknown", "broken", "cut"):
+        if result in results:
+            return result
+    return results[0]
 
 
-def _as_it_is(node: Node) -> None:
+def _leave_unchanged(node: Node) -> None:
     pass
 
 
 async def run_outcomes(
-    seed: int, prepare: Callable[[Node], None] = _as_it_is
+    seed: int, prepare: Callable[[Node], None] = _leave_unchanged
 ) -> OutcomeReport:
     """Run orders under faults, two at a time.
 
     Parameters
     ----------
     seed : int
-        Names the run.
+        Seed of the random numbers.
     prepare : callable
-        Called with each router's node, again after each fault; a naive
-        version puts its own parts into it.
+        Called with each router's node at the start and after each fault; tests use
+        it to install a naive implementation.
     """
     async with order_fleet(seed) as fleet:
-        fleet.clock_skew = SKEW_SECONDS
+        fleet.clock_skew = MAX_CLOCK_SKEW_SECONDS
         run = _Run(fleet, Random(seed), prepare)
-        return await run.carry_out()
+        return await run.run()
--- a/packages/standins/src/teaselledge_standins/virtual/plans.py
+++ b/packages/standins/src/teaselledge_standins/virtual/plans.py
@@ -1,4 +1,4 @@
-"""The two deployments of today, as plans of a virtual fleet."""
+"""Virtual fleets modelled on the two existing deployments."""
 
 from typing import Any
 
@@ -7,15 +7,15 @@
 
 __all__ = ["PLANS", "PlanNotFoundError", "get_plan_by_name"]
 
-LARGE = 4.0
-ORGANISATIONS = 16
-LARGE_ORGANISATIONS = 3
+LARGE_SHARE = 4.0
+ORGANISATION_COUNT = 16
+LARGE_ORGANISATION_COUNT = 3
 
 
 def _shares() -> dict[str, float]:
     return {
-        f"org-{i:02d}": LARGE if i < LARGE_ORGANISATIONS else 1.0
-        for i in range(ORGANISATIONS)
+        f"org-{i:02d}": LARGE_SHARE if i < LARGE_ORGANISATION_COUNT else 1.0
+        for i in range(ORGANISATION_COUNT)
     }
 
 
@@ -60,10 +60,10 @@
     network = NetworkPlan(
         {first: regions[0], second: regions[0], far: regions[1]}, near_delay=near
     )
-    spread = [first, second, far, first, second, far, first, second]
+    router_zones = [first, second, far, first, second, far, first, second]
     return VirtualPlan(
         network,
-        {f"vm-{i}": zone for i, zone in enumerate(spread)},
+        {f"vm-{i}": zone for i, zone in enumerate(router_zones)},
         _shares(),
         {
             names[0]: VirtualService(
--- a/packages/standins/tests/test_virtual_fleet.py
+++ b/packages/standins/tests/test_virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of the fleet under a virtual clock."""
+"""Tests of the fleet on a virtual clock."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -16,19 +16,19 @@
         yield fleet
 
 
-async def test_every_router_answers(cellarwright):
+async def test_every_router_responds(cellarwright):
     calls = [
         cellarwright.call(vm, "org-01", "sommelier-models", "summary", f"s-{vm}", 100)
         for vm in cellarwright.nodes
     ]
-    outcomes = await asyncio.gather(*calls)
-    assert all(outcome.is_correct for outcome in outcomes)
+    results = await asyncio.gather(*calls)
+    assert all(result.is_correct for result in results)
 
 
-def test_a_run_is_the_same_each_time():
-    # each run has a loop of its own: a seed names a run that starts at time
-    # zero, and at another time the clock's rounding orders messages otherwise
-    async def sent():
+def test_runs_are_reproducible():
+    # Each run has a new loop, since a run is reproducible only from time zero: at
+    # other times the rounding of the clock changes the order of messages.
+    async def count_sent():
         plan = get_plan_by_name("sudski-trag")
         async with running_virtual_fleet(plan, seed=3) as fleet:
             await fleet.call("vm-2", "org-02", "registar", "read", "r", 0.1)
@@ -37,6 +37,6 @@
 
     def run():
         with asyncio.Runner(loop_factory=looptime.new_event_loop) as runner:
-            return runner.run(sent())
+            return runner.run(count_sent())
 
     assert run() == run()
--- a/packages/standins/tests/test_virtual_leaving.py
+++ b/packages/standins/tests/test_virtual_leaving.py
@@ -7,7 +7,7 @@
 from teaselledge_standins.virtual.leaving import run_drain_scenario
 
 
-def verdict_of(seed):
+def run_seed(seed):
     def loop():
         return looptime.new_event_loop(noop_cycles=0)
 
@@ -15,29 +15,29 @@
         return runner.run(run_drain_scenario(seed))
 
 
-def test_routers_that_leave_cut_nothing():
-    """Two of four routers leave while streams run and requests wait, and the store
-    fails or frames are lost meanwhile. Every caller gets its whole answer or a true
-    refusal, and both processes end by themselves.
+def test_shutdown_of_routers_cuts_no_response():
+    """Two of four routers shut down with open streams and queued requests, while the
+    store fails or frames are lost. Every caller gets its complete response or a
+    correct refusal, and both shutdowns complete before their deadline.
     """
     for seed in (1, 2, 3):
-        verdict = verdict_of(seed)
-        assert verdict.answered > 0 and verdict.refused > 0
-        assert (verdict.cut, verdict.false_no, verdict.not_whole) == (0, 0, 0), seed
+        report = run_seed(seed)
+        assert report.answered > 0 and report.refused > 0
+        assert (report.cut, report.false_no, report.not_whole) == (0, 0, 0), seed
 
 
-def test_shutdown_that_does_not_wait_is_caught():
-    """A router ends as soon as it refuses new requests. Its callers' streams break,
-    and the count has to show it.
+def test_shutdown_that_does_not_wait_is_detected():
+    """A router that stops as soon as it refuses new requests breaks the streams of its
+    callers; the report must count them.
     """
-    whole = Drain.wait
+    original_wait = Drain.wait
 
-    async def hasty(self):
+    async def wait_for_nothing(self):
         self._in_progress = lambda: 0
-        return await whole(self)
+        return await original_wait(self)
 
-    Drain.wait = hasty
+    Drain.wait = wait_for_nothing
     try:
-        assert verdict_of(1).cut > 0
+        assert run_seed(1).cut > 0
     finally:
-        Drain.wait = whole
+        Drain.wait = original_wait
--- a/packages/standins/tests/test_virtual_outcomes.py
+++ b/packages/standins/tests/test_virtual_outcomes.py
@@ -15,39 +15,39 @@
 
 
 def check_seed(seed):
-    verdict = run_seed(seed)
-    assert verdict.violations == 0, verdict
-    assert verdict.answered > verdict.orders / 3, verdict
+    report = run_seed(seed)
+    assert report.violations == 0, report
+    assert report.answered > report.orders / 3, report
 
 
-def test_faults_of_seed_1_break_no_promise():
-    """Two faults at a time, three times over, while callers lose patience and
-    ask other routers again.
+def test_no_violations_with_faults_of_seed_1():
+    """Three pairs of simultaneous faults, while callers time out and retry at other
+    routers.
     """
     check_seed(1)
 
 
-def test_faults_of_seed_4_break_no_promise():
+def test_no_violations_with_faults_of_seed_4():
     """As above, with other faults."""
     check_seed(4)
 
 
-def test_faults_of_seed_6_break_no_promise():
+def test_no_violations_with_faults_of_seed_6():
     """As above, with other faults."""
     check_seed(6)
 
 
-def test_naive_desk_is_caught():
-    """A desk that sends again on errors and journals after the fact runs
-    orders twice and says "not run" of orders that ran.
+def test_naive_executor_is_detected():
+    """An executor that retries on errors and writes the journal afterwards executes
+    orders twice, and reports executed orders as not executed.
     """
-    verdict = run_seed(1, NaiveGate.install)
-    assert verdict.twice and verdict.false_no, verdict
+    report = run_seed(1, NaiveGate.install)
+    assert report.twice and report.false_no, report
 
 
-def test_journal_without_conditions_is_caught():
-    """A journal whose inserts have no condition lets a repeated key run again;
-    the random run has to see it as the exploration does.
+def test_journal_without_conditions_is_detected():
+    """A journal that inserts without a condition lets a repeated key execute again.
+    The random run must detect it, as the exhaustive exploration does.
     """
 
     async def write(journal, row, record, expect, indexed=False):
@@ -56,7 +56,7 @@
     conditional = Journal.write
     Journal.write = write
     try:
-        verdict = run_seed(1)
+        report = run_seed(1)
     finally:
         Journal.write = conditional
-    assert verdict.twice, verdict
+    assert report.twice, report
