--- a/packages/standins/src/teaselledge_standins/virtual/naive.py
+++ b/packages/standins/src/teaselledge_standins/virtual/naive.py
@@ -22,7 +22,7 @@
     """Returns the stored response, or retries until there is one and stores it."""
 
     def __init__(self, node: Node) -> None:
-        tools = node.orders.tools
+        tools = node.orders.dependencies
         super().__init__(
             tools.ingress, tools.client, tools.journal, NullMetrics(), tools.owner
         )
@@ -30,7 +30,7 @@
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
         """Execute an order."""
         row = order_row(request.organisation, request.key or "")
-        tables = self.tools.journal.tables
+        tables = self.dependencies.journal.tables
         found = await tables.get(ORDERS_TABLE, row)
         if found.is_ok() and found.ok is not None:
             await self._send_response(sink, found.ok.value)
