--- a/packages/router/tests/test_forward.py
+++ b/packages/router/tests/test_forward.py
@@ -150,7 +150,7 @@
         return HTTPHeaders({"X-Request-Id": "another"})
 
     own = _VirtualResponse.headers
-    _VirtualResponse.headers = property(crossed)
+    _VirtualResponse.headers = property(headers_of_another_request)
     try:
         outcome = await send_request(fleet, "ledger", "read", cost=0.1)
     finally:
--- a/packages/standins/src/teaselledge_standins/virtual/naive.py
+++ b/packages/standins/src/teaselledge_standins/virtual/naive.py
@@ -22,9 +22,13 @@
     """Returns the stored response, or retries until there is one and stores it."""
 
     def __init__(self, node: Node) -> None:
-        tools = node.orders.dependencies
+        dependencies = node.orders.dependencies
         super().__init__(
-            tools.ingress, tools.client, tools.journal, NullMetrics(), tools.owner
+            dependencies.ingress,
+            dependencies.client,
+            dependencies.journal,
+            NullMetrics(),
+            dependencies.owner,
         )
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
@@ -49,7 +53,7 @@
         await sink.finish()
 
     async def _attempt(self, request: CallerRequest) -> bytes | None:
-        tools = self.tools
+        dependencies = self.dependencies
         ticket = SlotRequest(
             request.organisation,
             request.service,
@@ -57,7 +61,7 @@
             request.kind_entry.cost_hint,
             request.deadline,
         )
-        acquired = await tools.ingress.acquire(ticket)
+        acquired = await dependencies.ingress.acquire(ticket)
         if acquired.is_error():
             return None
         granted = acquired.ok
@@ -66,14 +70,14 @@
             outbound = OutboundRequest(
                 request.method, request.path, request.headers, request.body
             )
-            sent = await tools.client.send(endpoint.address, outbound)
+            sent = await dependencies.client.send(endpoint.address, outbound)
             if sent.is_error():
                 return None
             return b"".join([chunk async for chunk in sent.ok.chunks()])
         except IncompleteResponseError:
             return None
         finally:
-            tools.ingress.release(granted, 0.0, False)
+            dependencies.ingress.release(granted, 0.0, False)
 
 
 class NaiveGate(DrainGate):
