--- a/packages/standins/src/teaselledge_standins/fleetrouters.py
+++ b/packages/standins/src/teaselledge_standins/fleetrouters.py
@@ -1,4 +1,4 @@
-"""Whole routers in one process, over loopback, with a store in memory."""
+"""Complete routers in one process, on loopback, with an in-memory store."""
 
 from collections.abc import AsyncIterator, Iterable
 from contextlib import asynccontextmanager
@@ -20,7 +20,7 @@
 
 
 class LocalPages:
-    """Answers with the addresses, a line each."""
+    """Page of router addresses, with one address per line."""
 
     addresses_path = "/addresses"
 
@@ -29,13 +29,13 @@
         return ZONE, REGION
 
     def addresses_page(self, addresses: list[str], seconds: float) -> Page:
-        """Return the page that names routers."""
+        """Return the page with the addresses."""
         return Page(200, "\n".join(addresses).encode())
 
 
 @dataclass
 class SaturatedLoopMonitor:
-    """Stands for the busyness of a router that has no processor time left."""
+    """Event-loop monitor of a router whose CPU is saturated."""
 
     recently_blocked: bool = False
     overloaded: bool = True
@@ -44,23 +44,23 @@
     loop_utilisation: float = 0.0
 
     def responsive_since(self, at: float) -> bool:
-        """Return that it is late all the time."""
+        """Return False: the event loop is always behind."""
         return False
 
     def pop_longest_iteration(self) -> float:
-        """Return that turns are short: the limit of connections is not wanted here."""
+        """Return 0, so that the limit of new connections is not applied."""
         return 0.0
 
 
 @dataclass(frozen=True)
 class RunningRouter:
-    """A router and the port for its callers."""
+    """A router and the port of its callers' listener."""
 
     router: FleetRouter
     port: int
 
     def simulate_saturation(self) -> None:
-        """Take all its processor time from it."""
+        """Make the router consider its CPU saturated."""
         self.router._busyness = SaturatedLoopMonitor()  # type: ignore[assignment]
 
 
@@ -84,7 +84,7 @@
 async def running_routers(
     count: int, routing: RoutingConfiguration, endpoints: Iterable[Endpoint]
 ) -> AsyncIterator[list[RunningRouter]]:
-    """Run so many routers of one zone."""
+    """Run ``count`` routers in one zone as a context manager."""
     store = make_store(endpoints)
     seeds = tuple(f"127.0.0.1:{port}" for port in free_ports(count))
     running = []
@@ -99,10 +99,10 @@
         )
         port = int(settings.listeners.callers.rpartition(":")[2])
         running.append(RunningRouter(router, port))
-    for each in running:
-        await each.router.start()
+    for entry in running:
+        await entry.router.start()
     try:
         yield running
     finally:
-        for each in running:
-            await each.router.close()
+        for entry in running:
+            await entry.router.close()
--- a/packages/standins/src/teaselledge_standins/routes.py
+++ b/packages/standins/src/teaselledge_standins/routes.py
@@ -1,4 +1,4 @@
-"""Routes, endpoints and callers for tests of the serving path."""
+"""A route, a placer and a client for tests of the request path."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -58,7 +58,7 @@
 
 
 def make_routing(route: Route, version: int = 1) -> RoutingConfiguration:
-    """Return a version with one route."""
+    """Return a configuration with one route."""
     return RoutingConfiguration(
         version,
         (route,),
@@ -69,7 +69,15 @@
 
 @dataclass
 class SequentialPlacer:
-    """Places each attempt on the next of a list of endpoints."""
+    """Places each attempt on the first endpoint of a list that was not attempted.
+
+    Attributes
+    ----------
+    outcomes : list of Outcome
+        Outcomes of the attempts, in order of ending.
+    leaving : set of str
+        Endpoints that accept no requests.
+    """
 
     endpoints: list[Endpoint]
     outcomes: list[Outcome] = field(default_factory=list)
@@ -81,7 +89,7 @@
         """Do nothing."""
 
     async def place(self, context: RequestContext) -> Result[Placement, Fault]:
-        """Return the first endpoint that was not tried."""
+        """Return the first endpoint that the request was not sent to."""
         for endpoint in self.endpoints:
             if endpoint.id not in context.attempted_endpoints:
                 return Ok(Placement(endpoint))
@@ -97,13 +105,13 @@
     def on_attempt_ended(
         self, context: RequestContext, endpoint: Endpoint, outcome: Outcome
     ) -> None:
-        """Note the outcome."""
+        """Record the outcome."""
         self.outcomes.append(outcome)
 
 
 @dataclass
 class RunningRoute:
-    """A router's serving path that listens on loopback."""
+    """A router's request path, listening on loopback."""
 
     server: RequestProxy
     placer: SequentialPlacer
@@ -113,7 +121,7 @@
 
 @asynccontextmanager
 async def running_route(route: Route, *addresses: str) -> AsyncIterator[RunningRoute]:
-    """Serve one route with endpoints at these addresses, named e1, e2, ..."""
+    """Serve one route with endpoints e1, e2, ... at the given addresses."""
     endpoints = [
         Endpoint(f"e{number}", "books", address, "north", 4)
         for number, address in enumerate(addresses, 1)
@@ -135,18 +143,19 @@
 
 @dataclass(frozen=True)
 class ClientResponse:
-    """What a caller saw.
+    """A response as the client received it.
 
     Attributes
     ----------
     status : int
-        HTTP status; 0 where none came.
+        HTTP status; 0 if no response was received.
     headers : dict of str to str
         Headers by lower-case name.
     body : bytes
-        What came of the body, chunks joined.
+        Received body. Of a chunked body, the complete chunks; of one with a length,
+        empty unless all of it was received.
     complete : bool
-        Whether the answer's framing says that it is complete.
+        Whether the body was received up to its end.
     """
 
     status: int
@@ -161,7 +170,7 @@
     headers: dict[str, str] | None = None,
     body: bytes = b"",
 ) -> ClientResponse:
-    """Send a request on a new connection and read the answer to its end."""
+    """Send a request on a new connection and read the response to its end."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     fields = {"Host": HOST, "X-Request-Id": "q1", **(headers or {})}
     if body:
@@ -169,12 +178,12 @@
     lines = [f"{method} /r/1 HTTP/1.1"] + [f"{n}: {v}" for n, v in fields.items()]
     writer.write("\r\n".join([*lines, "", ""]).encode() + body)
     try:
-        return await _read_answer(reader)
+        return await _read_response(reader)
     finally:
         writer.close()
 
 
-async def _read_answer(reader: asyncio.StreamReader) -> ClientResponse:
+async def _read_response(reader: asyncio.StreamReader) -> ClientResponse:
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
     except (asyncio.IncompleteReadError, ConnectionError):
--- a/packages/standins/src/teaselledge_standins/spreadfleet.py
+++ b/packages/standins/src/teaselledge_standins/spreadfleet.py
@@ -1,4 +1,4 @@
-"""Routers that follow a store and tell one another, without sockets."""
+"""Simulated routers that poll a store and exchange gossip without sockets."""
 
 import asyncio
 import random
@@ -35,7 +35,7 @@
 
 @dataclass
 class GossipRouter:
-    """One router's part that spreads state."""
+    """The parts of a router that exchange state with other routers and the store."""
 
     vm: str
     members: Members
@@ -50,10 +50,10 @@
     tasks: list["asyncio.Task[None]"] = field(default_factory=list)
     killed: bool = False
     queued_datagrams: list[tuple[bytes, str]] | None = None
-    """What came while its VM is suspended; None while it runs."""
+    """Datagrams received while the VM is suspended; None while it runs."""
 
     def run(self) -> None:
-        """Let it run."""
+        """Start the router's tasks."""
         self.tasks = [
             asyncio.create_task(self.gossip.run()),
             asyncio.create_task(self.admission_rpc.run()),
@@ -62,17 +62,17 @@
         ]
 
     def stop_tasks(self) -> None:
-        """Let it do nothing more."""
+        """Cancel the router's tasks."""
         for task in self.tasks:
             task.cancel()
 
     def kill(self) -> None:
-        """End it without a word."""
+        """Stop the router without announcing it."""
         self.killed = True
         self.stop_tasks()
 
     def receive(self, data: bytes, sender: str) -> None:
-        """Take a datagram."""
+        """Handle a datagram, or queue it while the VM is suspended."""
         if self.queued_datagrams is not None:
             self.queued_datagrams.append((data, sender))
             return
@@ -81,7 +81,7 @@
 
 
 class _Link:
-    """Carries a router's datagrams and fetches through the fleet."""
+    """Transport of one router; sends its datagrams and fetches through the fleet."""
 
     def __init__(self, fleet: "GossipFleet", vm: str) -> None:
         self._fleet = fleet
@@ -89,8 +89,8 @@
         self.sent_bytes = 0
         self.handlers: dict[type, Callable[..., None]] = {}
 
-    def on(self, kind: type, take: Callable[..., None]) -> None:
-        self.handlers[kind] = take
+    def on(self, kind: type, handler: Callable[..., None]) -> None:
+        self.handlers[kind] = handler
 
     def send(self, address: str, content: Datagram) -> None:
         self.send_all([address], content)
@@ -119,10 +119,16 @@
 
     Attributes
     ----------
-    cut : callable
-        Whether nothing passes from one VM to another.
+    by_address : dict of str to GossipRouter
+        Routers by peer address.
+    delay : float
+        Network delay of a datagram in seconds.
     loss : float
-        Part of the datagrams that are lost.
+        Fraction of the datagrams that are lost.
+    cut : callable
+        Whether a sending VM is disconnected from a receiving VM.
+    rng : Random
+        Random numbers for losses and incarnations.
     """
 
     store: MemoryStateStore
@@ -134,7 +140,7 @@
     rng: random.Random = field(default_factory=lambda: random.Random(1))
 
     def transmit(self, sender: str, address: str, data: bytes) -> None:
-        """Deliver a datagram after the delay."""
+        """Deliver a datagram after the delay, unless it is lost or the path is cut."""
         receiver = self.by_address.get(address)
         if receiver is None or self.cut(sender, receiver.vm):
             return
@@ -149,41 +155,43 @@
         own = Member(vm, self.rng.getrandbits(60), zone, zone, f"{vm}:2", address)
         members = Members(own)
         members.set_state(MemberState.READY)
-        belief = StoreCache(vm, decode)
-        placer = FleetPlacer(belief.view, zone, {})
-        work, admission = placer.load, AdmissionController()
-        work.coordinated_load = admission.total_load
+        store_cache = StoreCache(vm, decode)
+        placer = FleetPlacer(store_cache.view, zone, {})
+        load, admission = placer.load, AdmissionController()
+        load.coordinated_load = admission.total_load
         coordinators = Coordinators(members)
         link = _Link(self, vm)
         clock = asyncio.get_running_loop().time
-        spreading = Gossip(
+        gossip = Gossip(
             members,
-            belief,
+            store_cache,
             seeds,
-            work,
+            load,
             admission,
             placer.shares,
             link,
             coordinators,
             StallDetector(clock),
         )
-        spreading._client = link  # type: ignore[assignment]
-        asking = AdmissionRpc(members, belief.view, work, admission, link, coordinators)
+        gossip._client = link  # type: ignore[assignment]
+        admission_rpc = AdmissionRpc(
+            members, store_cache.view, load, admission, link, coordinators
+        )
         client = StoreClient(self.store, vm)
-        follower = StorePoller(vm, client, belief, address not in seeds)
-        placer.set_admission_check(asking.request_admission)
+        poller = StorePoller(vm, client, store_cache, address not in seeds)
+        placer.set_admission_check(admission_rpc.request_admission)
         placer.set_locator(PrefixLocator(members, link, coordinators))
-        registration = Registration(client, members, belief)
+        registration = Registration(client, members, store_cache)
         router = GossipRouter(
             vm,
             members,
-            belief,
-            follower,
+            store_cache,
+            poller,
             registration,
-            spreading,
-            asking,
+            gossip,
+            admission_rpc,
             placer,
-            work,
+            load,
             link,
         )
         router.run()
@@ -191,16 +199,16 @@
         self.by_address[address] = router
 
     def suspend(self, vm: str) -> None:
-        """Suspend a VM; what is sent to it waits."""
+        """Suspend a VM; datagrams sent to it are queued."""
         router = self.by_address[f"{vm}:1"]
         router.queued_datagrams = []
         router.stop_tasks()
 
     def resume(self, vm: str) -> None:
-        """Let a suspended VM go on, with what waits for it first."""
+        """Resume a suspended VM; it handles its queued datagrams first."""
         router = self.by_address[f"{vm}:1"]
-        waiting, router.queued_datagrams = router.queued_datagrams or [], None
-        for data, sender in waiting:
+        queued, router.queued_datagrams = router.queued_datagrams or [], None
+        for data, sender in queued:
             router.receive(data, sender)
         router.run()
 
@@ -213,7 +221,7 @@
 async def running_gossip_fleet(
     store: MemoryStateStore, count: int, decode: Decode, zones: int = 3
 ) -> AsyncIterator[GossipFleet]:
-    """Run so many routers, of which three are seeds."""
+    """Run ``count`` routers, the first three of them seeds, as a context manager."""
     random.seed(count)
     fleet = GossipFleet(store)
     seeds = [f"r{number:03}:1" for number in range(min(3, count))]
--- a/packages/standins/src/teaselledge_standins/statestore.py
+++ b/packages/standins/src/teaselledge_standins/statestore.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory, as the routers' interface sees it."""
+"""In-memory double of the platform's store, behind the routers' store interface."""
 
 import asyncio
 from collections.abc import Iterable
@@ -27,15 +27,15 @@
 
 @dataclass(frozen=True)
 class EndpointRow:
-    """What an endpoint wrote, and the store's number of it."""
+    """An endpoint's row, and the revision at which it was written."""
 
-    number: int
+    revision: int
     endpoint: Endpoint
 
 
 @dataclass(frozen=True)
 class StoreCopy:
-    """The rows at some moment."""
+    """Backup of the rows."""
 
     revision: int
     entries: dict[str, EndpointRow]
@@ -51,13 +51,13 @@
     Attributes
     ----------
     delay : float
-        Seconds that each call takes.
+        Duration of each call in seconds.
     unreachable_vms : set of str
-        VMs whose calls get no answer; ``*`` stands for all.
+        VMs whose calls time out; ``*`` stands for all.
     calls : int
-        Calls so far, unanswered ones included.
+        Number of calls so far, including those that timed out.
     era : int
-        Rises with each restore.
+        Counter that rises with each restore from a backup.
     """
 
     delay: float = 0.01
@@ -86,7 +86,7 @@
         self.entries.pop(name, None)
 
     def copy(self) -> StoreCopy:
-        """Return a copy of the rows, to be restored later."""
+        """Return a backup of the rows."""
         return StoreCopy(
             self.revision,
             dict(self.entries),
@@ -96,7 +96,7 @@
         )
 
     def restore(self, copy: StoreCopy) -> None:
-        """Go back to a copy; what was written since is gone."""
+        """Restore a backup; later writes are lost."""
         self.era += 1
         self.revision = copy.revision
         self.entries = dict(copy.entries)
@@ -120,11 +120,13 @@
         """Read the entries of all endpoints."""
         store = self._store
         entries = [
-            EndpointEntry.from_row(name, Revision(store.era, row.number), row.endpoint)
+            EndpointEntry.from_row(
+                name, Revision(store.era, row.revision), row.endpoint
+            )
             for name, row in store.entries.items()
         ]
         rows = EndpointRows(store.newest, tuple(entries))
-        # a store that is slow answers with what it held when it was asked
+        # A slow store returns the rows that it held when the request was sent.
         return Ok(rows) if await self._reach() else Error(StoreFault.UNREACHABLE)
 
     async def configuration(
@@ -142,7 +144,7 @@
         return Ok(StoredConfiguration(store.newest, store.data))
 
     async def routers(self) -> Result[dict[str, bytes], StoreFault]:
-        """Read what routers wrote of themselves."""
+        """Read the rows of all routers."""
         if not await self._reach():
             return Error(StoreFault.UNREACHABLE)
         return Ok(dict(self._store.router_rows))
@@ -172,12 +174,15 @@
 
 
 def decode_empty_routing(data: bytes) -> RoutingConfiguration | None:
-    """Read a configuration that is only the number of its version."""
+    """Decode a configuration without routes, encoded as its version number.
+
+    Returns None if the data is not a number.
+    """
     return RoutingConfiguration(int(data), (), {}, ()) if data.isdigit() else None
 
 
 def make_store(endpoints: Iterable[Endpoint]) -> MemoryStateStore:
-    """Return a store with version 1 and the entries of some endpoints."""
+    """Return a store with configuration version 1 and the given endpoints."""
     store = MemoryStateStore()
     store.configure(b"1")
     for endpoint in endpoints:
