--- a/packages/router/tests/test_engineorders.py
+++ b/packages/router/tests/test_engineorders.py
@@ -104,7 +104,9 @@
     """
     if not world.is_dead(holder):
         return False
-    return not any(f.label.startswith(f"{holder} order") for f in world._floating)
+    return not any(
+        f.label.startswith(f"{holder} order") for f in world._pending_effects
+    )
 
 
 def holders(checks_fencing, reconciler_class=EngineReconciler, versions=("1", "2")):
@@ -147,7 +149,7 @@
     if not record.open and not world.engine.checks:
         # a closed record means that no earlier order can arrive any more; an order
         # whose connection was refused is closed too, without being carried out
-        floating = [f.label for f in world._floating if " order " in f.label]
+        floating = [f.label for f in world._pending_effects if " order " in f.label]
         assert not floating, f"closed, but still in transit: {floating}"
 
 
--- a/packages/standins/src/teaselledge_standins/explore.py
+++ b/packages/standins/src/teaselledge_standins/explore.py
@@ -1,12 +1,12 @@
 """Explore every interleaving of a few tasks that share a table service.
 
 The tasks run the real code on a virtual clock. Each call to the store or to an
-endpoint waits until the explorer chooses which call goes on, and how: answered,
-refused, carried out with the answer lost, carried out later. Not choosing a call
-for long is a pause of its task. The explorer runs the tasks again for each new
+endpoint waits until the explorer chooses which call continues, and how: executed,
+refused, executed with the response lost, or executed later. A call that is not chosen
+for long acts as a pause of its task. The explorer runs the tasks again for each new
 sequence of choices, depth first, and stops a run at a state that it has seen.
-A state is the store's content, the log of effects and what each task has been
-answered so far; the tasks must depend on nothing else.
+A state consists of the store's content, the log of effects and the results that each
+task has received; the tasks must depend on nothing else.
 """
 
 import asyncio
@@ -43,25 +43,25 @@
 ]
 
 CRASH = "crash"
-"""Budget: a task is killed, with what it had under way."""
+"""Budget: a task is killed; its pending calls may still take effect."""
 
 JUMP = "jump"
-"""Budget: so much time passes that deadlines pass."""
+"""Budget: so much time passes that deadlines expire."""
 
 LATE = "late"
-"""Budget: a write's answer is lost and the write lands later, or never."""
+"""Budget: a write's response is lost, and the write is applied later or never."""
 
 LOST = "lost"
-"""Budget: a write lands and its answer is lost."""
+"""Budget: a write is applied and its response is lost."""
 
 REFUSED = "refused"
-"""Budget: a call is refused and does nothing."""
+"""Budget: a call is refused and has no effect."""
 
 WAIT = "wait"
-"""Budget: time passes though calls are under way."""
+"""Budget: time passes although calls are pending."""
 
 SETTLE_SECONDS = 1e-4
-"""Virtual time in which tasks get as far as they can without waiting."""
+"""Virtual time in which tasks run until all of them wait."""
 
 WAIT_SECONDS = 1.1
 JUMP_SECONDS = 30.0
@@ -69,21 +69,21 @@
 
 
 class ExplorationError(AssertionError):
-    """A check failed; the message lists the choices that led there."""
+    """A check failed; the message lists the choices that led to the failure."""
 
 
 @dataclass(frozen=True)
 class CallChoice:
-    """One way in which a call can go on.
+    """One possible outcome of a call.
 
     Attributes
     ----------
     name : str
-        Names it among the call's outcomes.
+        Name that is unique among the call's outcomes.
     act : callable
-        Carries it out and returns the call's result.
+        Applies the effect and returns the call's result.
     fault : str
-        Budget that it draws on; empty for the way without a fault.
+        Budget that it uses; empty for the outcome without a fault.
     """
 
     name: str
@@ -93,16 +93,16 @@
 
 @dataclass(frozen=True)
 class ExplorationStats:
-    """How much was explored.
+    """Size of an exploration.
 
     Attributes
     ----------
     states : int
-        Different states seen.
+        Distinct states seen.
     runs : int
         Sequences of choices that were run.
     completed_runs : int
-        Runs that came to an end where everything was done.
+        Runs that continued until all tasks had finished.
     """
 
     states: int
@@ -119,7 +119,7 @@
 
 
 @dataclass
-class _Floating:
+class _PendingEffect:
     label: str
     act: Callable[[], Any]
 
@@ -132,8 +132,8 @@
     dead: bool = False
 
     @property
-    def over(self) -> bool:
-        """Whether nothing more comes from it."""
+    def finished(self) -> bool:
+        """Whether the task has ended or was killed."""
         return self.dead or self.task.done()
 
 
@@ -145,18 +145,18 @@
 
 
 class ExploredSystem:
-    """What the explored tasks share.
+    """State that the explored tasks share.
 
     Attributes
     ----------
     tables : MemoryTables
         The store's content.
     log : list
-        Effects beside the store, such as what an endpoint ran.
+        Effects outside the store, such as requests that an endpoint executed.
     trace : list of str
-        The choices so far.
+        Choices made so far.
     clock : float
-        Seconds that waits and jumps have taken, for wall clocks.
+        Total seconds of waits and jumps, for the wall clocks of the tasks.
     """
 
     def __init__(self, budget: Mapping[str, int]) -> None:
@@ -166,7 +166,7 @@
         self.trace: list[str] = []
         self.budget = dict(budget)
         self._calls: list[_Call] = []
-        self._floating: list[_Floating] = []
+        self._pending_effects: list[_PendingEffect] = []
         self._actors: dict[str, _Actor] = {}
 
     def spawn(
@@ -175,13 +175,13 @@
         work: Coroutine[Any, Any, Any],
         kill: Callable[[], None] | None = None,
     ) -> "asyncio.Task[Any]":
-        """Start a task; ``kill`` ends what it started beside itself."""
+        """Start a task; ``kill`` is called to end other tasks that it started."""
         task = asyncio.get_running_loop().create_task(work)
         self._actors[actor] = _Actor(task, kill or (lambda: None))
         return task
 
     def tables_of(self, actor: str) -> "ExploredTables":
-        """Return the table service as one task reaches it."""
+        """Return the table service for one task."""
         return ExploredTables(self, actor)
 
     def is_dead(self, actor: str) -> bool:
@@ -197,66 +197,68 @@
             result = await done
         except asyncio.CancelledError:
             if call in self._calls:
-                # the task stopped waiting; the call may still take effect
+                # The task has stopped waiting, but the call may still take effect.
                 self._calls.remove(call)
-                self._float(call)
+                self._make_pending(call)
             raise
-        self._remember(actor, (label, repr(result)))
+        self._record(actor, (label, repr(result)))
         return result
 
     def schedule_effect(self, label: str, act: Callable[[], Any]) -> None:
-        """Let an effect happen at any later time, or never."""
-        self._floating.append(_Floating(label, act))
+        """Add an effect that may be applied at any later time, or never."""
+        self._pending_effects.append(_PendingEffect(label, act))
 
-    # for the explorer
+    # interface for the explorer
 
     @property
     def finished(self) -> bool:
-        """Whether no task will go on."""
-        return all(actor.over for actor in self._actors.values())
+        """Whether all tasks have ended."""
+        return all(actor.finished for actor in self._actors.values())
 
     def options(self) -> list[_Option]:
-        """Return what can happen next, in a fixed order."""
-        found = [*self._going_on(), *self._landing(), *self._crashes()]
+        """Return the possible next steps, in a fixed order."""
+        found = [*self._call_options(), *self._effect_options(), *self._crash_options()]
         if not self.finished:
             if self._calls:
-                found.append(_Option(WAIT, lambda: self._pass(WAIT_SECONDS), WAIT))
+                found.append(
+                    _Option(WAIT, lambda: self._let_time_pass(WAIT_SECONDS), WAIT)
+                )
             else:
                 found.append(_Option("sleep", lambda: WAIT_SECONDS))
-            found.append(_Option(JUMP, lambda: self._pass(JUMP_SECONDS), JUMP))
+            found.append(_Option(JUMP, lambda: self._let_time_pass(JUMP_SECONDS), JUMP))
         else:
             found.append(_Option("end", lambda: -1.0))
         return [o for o in found if not o.fault or self.budget.get(o.fault, 0) > 0]
 
     def fingerprint(self) -> int:
-        """Return what tells this state from others."""
+        """Return a hash that identifies this state."""
         rows = tuple(
             (table, row.key, row.version, row.value)
             for table, rows in sorted(self.tables.snapshot().items())
             for row in rows
         )
         actors = tuple(
-            (name, a.over, tuple(a.history)) for name, a in self._actors.items()
+            (name, a.finished, tuple(a.history)) for name, a in self._actors.items()
         )
         calls = tuple((call.actor, call.label) for call in self._calls)
-        floating = tuple(sorted(floating.label for floating in self._floating))
+        effects = tuple(sorted(effect.label for effect in self._pending_effects))
         budget = tuple(sorted(self.budget.items()))
-        return hash((rows, tuple(self.log), actors, calls, floating, budget))
+        return hash((rows, tuple(self.log), actors, calls, effects, budget))
 
     def step(self, option: _Option) -> float:
-        """Let something happen; return the seconds that pass, -1 at the end."""
+        """Apply an option; return the seconds to let pass, or -1 at the end."""
         self.trace.append(option.label)
         if option.fault:
             self.budget[option.fault] -= 1
         return option.apply()
 
     def stop(self) -> None:
-        """Cancel what is left."""
+        """Kill all tasks."""
         for actor in self._actors.values():
             actor.kill()
             actor.task.cancel()
 
-    def _going_on(self) -> list[_Option]:
+    def _call_options(self) -> list[_Option]:
         return [
             _Option(
                 f"{call.actor} {call.label}: {outcome.name}",
@@ -267,17 +269,17 @@
             for outcome in call.outcomes
         ]
 
-    def _landing(self) -> list[_Option]:
+    def _effect_options(self) -> list[_Option]:
         return [
-            _Option(f"lands: {item.label}", partial(self._land, item))
-            for item in self._floating
+            _Option(f"lands: {item.label}", partial(self._apply_effect, item))
+            for item in self._pending_effects
         ]
 
-    def _crashes(self) -> list[_Option]:
+    def _crash_options(self) -> list[_Option]:
         return [
             _Option(f"crash of {name}", partial(self._crash, name, a), CRASH)
             for name, a in self._actors.items()
-            if not a.over
+            if not a.finished
         ]
 
     def _resolve(self, call: _Call, outcome: CallChoice) -> float:
@@ -287,8 +289,8 @@
             call.done.set_result(result)
         return SETTLE_SECONDS
 
-    def _land(self, item: _Floating) -> float:
-        self._floating.remove(item)
+    def _apply_effect(self, item: _PendingEffect) -> float:
+        self._pending_effects.remove(item)
         item.act()
         return SETTLE_SECONDS
 
@@ -296,52 +298,52 @@
         actor.dead = True
         for call in [call for call in self._calls if call.actor == name]:
             self._calls.remove(call)
-            self._float(call)
+            self._make_pending(call)
         actor.kill()
         actor.task.cancel()
         return SETTLE_SECONDS
 
-    def _float(self, call: _Call) -> None:
+    def _make_pending(self, call: _Call) -> None:
         effect = next(o for o in call.outcomes if not o.fault)
         if effect.name != "read":
             self.schedule_effect(f"{call.actor} {call.label}", effect.act)
 
-    def _pass(self, seconds: float) -> float:
+    def _let_time_pass(self, seconds: float) -> float:
         for name in self._actors:
-            self._remember(name, seconds)
+            self._record(name, seconds)
         return seconds
 
-    def _remember(self, actor: str, entry: Hashable) -> None:
+    def _record(self, actor: str, entry: Hashable) -> None:
         history = self._actors[actor].history
-        # a task that polls and gets the same answer is where it was before
+        # A task that polls and gets the same result is in the same state as before.
         if not history or history[-1] != entry:
             history.append(entry)
 
 
 class ExploredTables(TableService):
-    """The table service of one explored task."""
+    """The table service as one explored task reaches it."""
 
-    def __init__(self, world: ExploredSystem, actor: str) -> None:
-        self._world = world
+    def __init__(self, system: ExploredSystem, actor: str) -> None:
+        self._system = system
         self._actor = actor
 
     async def get(self, table: str, key: str) -> Result[Row | None, StoreError]:
         """Read a row."""
-        tables = self._world.tables
+        tables = self._system.tables
         outcomes = [
             CallChoice("read", lambda: Ok(tables.peek(table, key))),
             CallChoice("refused", _refused, REFUSED),
         ]
-        return await self._world.call(self._actor, f"get {table}/{key}", outcomes)
+        return await self._system.call(self._actor, f"get {table}/{key}", outcomes)
 
     async def scan(
         self, table: str, prefix: str, limit: int, after: str = ""
     ) -> Result[list[Row], StoreError]:
         """Read rows in key order."""
-        world = self._world
+        system = self._system
 
         def rows() -> Result[list[Row], StoreError]:
-            found = world.tables.snapshot().get(table, [])
+            found = system.tables.snapshot().get(table, [])
             chosen = [r for r in found if r.key.startswith(prefix) and r.key > after]
             return Ok(chosen[:limit])
 
@@ -349,26 +351,26 @@
             CallChoice("read", rows),
             CallChoice("refused", _refused, REFUSED),
         ]
-        return await world.call(self._actor, f"scan {table}/{prefix}", outcomes)
+        return await system.call(self._actor, f"scan {table}/{prefix}", outcomes)
 
     async def commit(self, writes: Sequence[Write]) -> Result[None, StoreError]:
         """Write all rows or none."""
-        world = self._world
+        system = self._system
         label = " ".join(
             f"put {w.table}/{w.key}@{w.expect} {w.value!r}" for w in writes
         )
 
         def apply() -> Result[None, StoreError]:
-            if world.tables.apply(writes):
+            if system.tables.apply(writes):
                 return Ok(None)
             return Error(StoreError(StoreErrorKind.CONFLICT))
 
         def lose() -> Result[None, StoreError]:
-            world.tables.apply(writes)
+            system.tables.apply(writes)
             return Error(StoreError(StoreErrorKind.UNCERTAIN))
 
         def defer() -> Result[None, StoreError]:
-            world.schedule_effect(label, apply)
+            system.schedule_effect(label, apply)
             return Error(StoreError(StoreErrorKind.UNCERTAIN))
 
         outcomes = [
@@ -377,7 +379,7 @@
             CallChoice("answer lost", lose, LOST),
             CallChoice("late", defer, LATE),
         ]
-        return await world.call(self._actor, label, outcomes)
+        return await system.call(self._actor, label, outcomes)
 
 
 def _refused() -> Result[Any, StoreError]:
@@ -396,43 +398,43 @@
         self._budget = budget
         self.seen: set[int] = set()
         self.stack: list[tuple[int, ...]] = [()]
-        self.ends = 0
+        self.completed_runs = 0
 
     async def run(self, prefix: tuple[int, ...]) -> None:
-        """Follow a sequence of choices, then always the first one."""
-        world = ExploredSystem(self._budget)
-        self._setup(world)
+        """Apply a sequence of choices, then the first option at every further step."""
+        system = ExploredSystem(self._budget)
+        self._setup(system)
         try:
-            await self._follow(world, prefix)
+            await self._follow(system, prefix)
         except AssertionError as error:
-            steps = "\n  ".join(world.trace)
+            steps = "\n  ".join(system.trace)
             raise ExplorationError(f"{error}\n  {steps}") from error
         finally:
-            world.stop()
+            system.stop()
             await asyncio.sleep(SETTLE_SECONDS)
 
-    async def _follow(self, world: ExploredSystem, prefix: tuple[int, ...]) -> None:
+    async def _follow(self, system: ExploredSystem, prefix: tuple[int, ...]) -> None:
         path: list[int] = []
         await asyncio.sleep(SETTLE_SECONDS)
         while len(path) < MAX_STEPS:
-            options = world.options()
+            options = system.options()
             chosen = 0
             if len(path) < len(prefix):
                 chosen = prefix[len(path)]
             else:
-                state = world.fingerprint()
+                state = system.fingerprint()
                 if state in self.seen:
                     return
                 self.seen.add(state)
                 self.stack += [(*path, i) for i in range(len(options) - 1, 0, -1)]
             path.append(chosen)
-            seconds = world.step(options[chosen])
+            seconds = system.step(options[chosen])
             if seconds < 0:
-                self.ends += 1
-                self._check(world)
+                self.completed_runs += 1
+                self._check(system)
                 return
             await asyncio.sleep(seconds)
-        raise AssertionError(f"no end after {MAX_STEPS} steps")
+        raise AssertionError(f"the run did not end within {MAX_STEPS} steps")
 
 
 def explore(
@@ -448,29 +450,29 @@
     setup : callable
         Starts the tasks of a run with `ExploredSystem.spawn`.
     check : callable
-        Asserts what must hold where all is done; called at each end.
+        Asserts the conditions that must hold; called when all tasks have ended.
     budget : mapping of str to int
-        How often each fault may happen in one run.
+        Maximum count of each fault in one run.
     max_runs : int
-        Runs after which the exploration counts as too large.
+        Maximum number of runs.
 
     Returns
     -------
     ExplorationStats
-        How much was explored.
+        Size of the exploration.
 
     Raises
     ------
     ExplorationError
-        If a check failed, or there are too many runs.
+        If a check failed, or there are more than ``max_runs`` runs.
     """
     explorer = _Explorer(setup, check, budget)
     runs = 0
     while explorer.stack:
         if runs >= max_runs:
             raise ExplorationError(f"more than {max_runs} runs")
-        # a clock of its own makes each run the same as its twin before
+        # A new loop per run makes runs with the same choices identical.
         with asyncio.Runner(loop_factory=virtual_loop) as runner:
             runner.run(explorer.run(explorer.stack.pop()))
         runs += 1
-    return ExplorationStats(len(explorer.seen), runs, explorer.ends)
+    return ExplorationStats(len(explorer.seen), runs, explorer.completed_runs)
--- a/packages/standins/src/teaselledge_standins/exploredorders.py
+++ b/packages/standins/src/teaselledge_standins/exploredorders.py
@@ -1,4 +1,4 @@
-"""Attempts at one order under the explorer, on the real code."""
+"""Explored system of routers that execute the same order, on the real code."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Sequence
@@ -31,7 +31,7 @@
 """Budget: an endpoint refuses the connection."""
 
 DROP = "endpoint drops"
-"""Budget: an endpoint runs the order and drops the connection."""
+"""Budget: an endpoint executes the order and drops the connection."""
 
 DOCUMENT = Document(
     {},
@@ -47,11 +47,13 @@
 
 
 class _FreeIngress:
-    """Grants each first wish at once, and no second one."""
+    """Grants the first slot of an order at once, and none for retries."""
 
-    async def acquire(self, ticket: SlotRequest) -> Result[SlotGrant, Fault]:
-        if ticket.excluded:
-            await asyncio.sleep(ticket.deadline - asyncio.get_running_loop().time())
+    async def acquire(self, slot_request: SlotRequest) -> Result[SlotGrant, Fault]:
+        if slot_request.excluded:
+            await asyncio.sleep(
+                slot_request.deadline - asyncio.get_running_loop().time()
+            )
             return Error(Fault(ErrorKind.QUEUE_TIMEOUT))
         return Ok(
             SlotGrant("ledger-0", Origin("d", 1), Shard("ledger", "z"), 1, 1, 0.0)
@@ -62,18 +64,19 @@
 
 
 class _FullIngress(_FreeIngress):
-    """Refuses each wish."""
+    """Refuses each request for a slot."""
 
-    async def acquire(self, ticket: SlotRequest) -> Result[SlotGrant, Fault]:
+    async def acquire(self, slot_request: SlotRequest) -> Result[SlotGrant, Fault]:
         return Error(Fault(ErrorKind.QUEUE_TIMEOUT))
 
 
-class _Answer:
+class _Response:
     status = 200
     headers = HTTPHeaders()
 
     def __repr__(self) -> str:
-        # results are part of a state, which must not hold an object's address
+        # Results are part of a state's fingerprint, which must not depend on the
+        # address of an object.
         return "whole answer"
 
     async def chunks(self) -> AsyncIterator[bytes]:
@@ -84,18 +87,18 @@
 
 
 class _Client:
-    """Runs each order that gets through, and notes it in the world's log."""
+    """Executes each order that arrives, and records it in the system's log."""
 
-    def __init__(self, world: ExploredSystem, actor: str) -> None:
-        self._world = world
+    def __init__(self, system: ExploredSystem, actor: str) -> None:
+        self._system = system
         self._actor = actor
 
     async def send(
         self, address: str, request: OutboundRequest
     ) -> Result[EndpointResponse, SendFailure]:
         def run() -> Result[EndpointResponse, SendFailure]:
-            self._world.log.append(("ran", request.body))
-            return Ok(_Answer())
+            self._system.log.append(("ran", request.body))
+            return Ok(_Response())
 
         def drop() -> Result[EndpointResponse, SendFailure]:
             run()
@@ -106,7 +109,7 @@
             CallChoice("drop", drop, DROP),
             CallChoice("refused", lambda: Error(SendFailure(False, "refused")), DOWN),
         ]
-        return await self._world.call(self._actor, "send", outcomes)
+        return await self._system.call(self._actor, "send", outcomes)
 
 
 def _request(seconds: float) -> CallerRequest:
@@ -126,14 +129,14 @@
 
 
 async def _place(
-    world: ExploredSystem, desk: OrderExecutor, actor: str, seconds: float
+    system: ExploredSystem, executor: OrderExecutor, actor: str, seconds: float
 ) -> None:
     sink = MemorySink()
-    result = await desk.run(_request(seconds), sink)
-    told = "answer" if result.is_ok() else result.error.ran.value
-    world.log.append(("told", actor, told))
-    # the records that the journal still has to get belong to the attempt
-    await desk.wait_until_drained()
+    result = await executor.run(_request(seconds), sink)
+    reported = "answer" if result.is_ok() else result.error.ran.value
+    system.log.append(("told", actor, reported))
+    # Journal writes that are still pending belong to the attempt.
+    await executor.wait_until_drained()
 
 
 def order_attempts(
@@ -141,37 +144,37 @@
     journal_class: type[Journal] = Journal,
     full: Sequence[str] = (),
 ) -> Callable[[ExploredSystem], None]:
-    """Return a set-up with one attempt of the same order on each router.
+    """Return a setup in which each router executes the same order once.
 
-    Routers that are ``full`` find no slot.
+    Routers in ``full`` get no slot.
     """
 
-    def setup(world: ExploredSystem) -> None:
+    def setup(system: ExploredSystem) -> None:
         for i, name in enumerate(names):
-            tables = world.tables_of(name)
+            tables = system.tables_of(name)
             journal = journal_class(
-                tables, MemoryObjects(), NullMetrics(), lambda: world.clock
+                tables, MemoryObjects(), NullMetrics(), lambda: system.clock
             )
-            desk = OrderExecutor(
+            executor = OrderExecutor(
                 cast(Ingress, _FullIngress() if name in full else _FreeIngress()),
-                _Client(world, name),
+                _Client(system, name),
                 journal,
                 NullMetrics(),
                 name,
             )
-            work = _place(world, desk, name, 3.0 + 3.0 * i)
-            world.spawn(name, work, desk.close)
+            work = _place(system, executor, name, 3.0 + 3.0 * i)
+            system.spawn(name, work, executor.close)
 
     return setup
 
 
-def check_order(world: ExploredSystem) -> None:
-    """Check what callers were told against what the endpoint ran."""
-    log = cast(list[tuple[str, ...]], world.log)
+def check_order(system: ExploredSystem) -> None:
+    """Check the results that callers received against the executions."""
+    log = cast(list[tuple[str, ...]], system.log)
     runs = sum(1 for entry in log if entry[0] == "ran")
     assert runs <= 1, f"ran {runs} times"
-    for _, actor, told in (entry for entry in log if entry[0] == "told"):
-        if told == Ran.NO.value:
+    for _, actor, result in (entry for entry in log if entry[0] == "told"):
+        if result == Ran.NO.value:
             assert runs == 0, f"{actor} was told that it did not run"
-        if told in ("answer", Ran.YES.value):
+        if result in ("answer", Ran.YES.value):
             assert runs == 1, f"{actor} was told that it ran"
--- a/packages/standins/src/teaselledge_standins/platformserver.py
+++ b/packages/standins/src/teaselledge_standins/platformserver.py
@@ -1,4 +1,4 @@
-"""Serve the platform stand-ins over HTTP; run with ``python -m``."""
+"""Serve the platform doubles over HTTP; run with ``python -m``."""
 
 import asyncio
 import base64
@@ -36,18 +36,18 @@
     server: "PlatformServer"
 
     def initialize(self, server: "PlatformServer") -> None:
-        """Take the server."""
+        """Store the server."""
         self.server = server
 
-    def answer(self, result: Result[Any, StoreError], value: Any = None) -> None:
-        """Write a value or the error's status."""
+    def respond(self, result: Result[Any, StoreError], value: Any = None) -> None:
+        """Respond with a value, or with the error's status."""
         if result.is_error():
             self.set_status(STATUS[result.error.kind])
             return
         self.write(json.dumps(value))
 
 
-def _plain(row: Row) -> dict[str, Any]:
+def _row_as_json(row: Row) -> dict[str, Any]:
     value = base64.b64encode(row.value).decode()
     return {"key": row.key, "version": row.version, "value": value}
 
@@ -60,7 +60,7 @@
         if result.is_ok() and row is None:
             self.set_status(404)
             return
-        self.answer(result, _plain(row) if row else None)
+        self.respond(result, _row_as_json(row) if row else None)
 
 
 class _RowsHandler(_Handler):
@@ -71,12 +71,12 @@
         after = self.get_query_argument("after", "")
         result = await self.server.tables.scan(table, prefix, limit, after)
         rows = result.ok if result.is_ok() else []
-        self.answer(result, [_plain(row) for row in rows])
+        self.respond(result, [_row_as_json(row) for row in rows])
 
 
 class _CommitHandler(_Handler):
     async def post(self) -> None:
-        """Carry out a transaction."""
+        """Commit a transaction."""
         writes = [
             Write(
                 entry["table"],
@@ -86,7 +86,7 @@
             )
             for entry in json.loads(self.request.body)
         ]
-        self.answer(await self.server.tables.commit(writes))
+        self.respond(await self.server.tables.commit(writes))
 
 
 class _ObjectHandler(_Handler):
@@ -94,7 +94,7 @@
         """Read an object."""
         result = await self.server.objects.get(key)
         if result.is_error():
-            self.answer(result)
+            self.respond(result)
             return
         if result.ok is None:
             self.set_status(404)
@@ -103,19 +103,19 @@
 
     async def put(self, key: str) -> None:
         """Store an object."""
-        self.answer(await self.server.objects.put(key, self.request.body))
+        self.respond(await self.server.objects.put(key, self.request.body))
 
     async def delete(self, key: str) -> None:
         """Remove an object."""
-        self.answer(await self.server.objects.delete(key))
+        self.respond(await self.server.objects.delete(key))
 
 
 class _VmsHandler(_Handler):
     async def get(self) -> None:
-        """Read the list."""
+        """Return the list."""
         result = await self.server.vms.list()
         entries = result.ok if result.is_ok() else []
-        self.answer(result, [asdict(entry) for entry in entries])
+        self.respond(result, [asdict(entry) for entry in entries])
 
     def put(self) -> None:
         """Add a VM."""
@@ -123,7 +123,7 @@
 
 
 class PlatformServer:
-    """The table service, the object store and the VM list on one port."""
+    """Serves the table service, the object store and the VM list on one port."""
 
     def __init__(self, tables: MemoryTables, objects: MemoryObjects, vms: MemoryVms):
         self.tables = tables
@@ -155,7 +155,7 @@
 
 
 def read_vms(path: str) -> MemoryVms:
-    """Return a list with the VMs of a YAML file."""
+    """Return the VM list from a YAML file."""
     vms = MemoryVms()
     for entry in yaml.safe_load(Path(path).read_text()) if path else []:
         vms.add(VmEntry(**entry))
@@ -163,14 +163,14 @@
 
 
 async def serve(port: int, vms: MemoryVms) -> None:
-    """Serve until ended by a signal."""
+    """Serve until the process gets a signal."""
     server = PlatformServer(MemoryTables(), MemoryObjects(), vms)
     print(f"platform on {server.listen(port)}", file=sys.stderr)
     await asyncio.Event().wait()
 
 
 def main(argv: list[str]) -> None:
-    """Serve the stand-ins."""
+    """Serve the platform doubles."""
     asyncio.run(serve(_PORT.value, read_vms(_VMS.value)))
 
 
--- a/packages/standins/src/teaselledge_standins/tables.py
+++ b/packages/standins/src/teaselledge_standins/tables.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's table service, in memory."""
+"""In-memory double of the platform's table service."""
 
 import asyncio
 from collections.abc import Sequence
@@ -26,7 +26,7 @@
     faults : StoreFaults
         The switches.
     reads, writes : int
-        Calls that were carried out.
+        Calls that were executed.
     """
 
     def __init__(self) -> None:
@@ -37,9 +37,9 @@
 
     async def get(self, table: str, key: str) -> Result[Row | None, StoreError]:
         """Read a row."""
-        refused = await self._enter()
-        if refused is not None:
-            return Error(refused)
+        error = await self._apply_faults()
+        if error is not None:
+            return Error(error)
         self.reads += 1
         return Ok(self._tables.get(table, {}).get(key))
 
@@ -47,9 +47,9 @@
         self, table: str, prefix: str, limit: int, after: str = ""
     ) -> Result[list[Row], StoreError]:
         """Read rows in key order."""
-        refused = await self._enter()
-        if refused is not None:
-            return Error(refused)
+        error = await self._apply_faults()
+        if error is not None:
+            return Error(error)
         self.reads += 1
         rows = self._tables.get(table, {})
         keys = sorted(k for k in rows if k.startswith(prefix) and k > after)
@@ -57,9 +57,9 @@
 
     async def commit(self, writes: Sequence[Write]) -> Result[None, StoreError]:
         """Write all rows or none."""
-        refused = await self._enter()
-        if refused is not None:
-            return Error(refused)
+        error = await self._apply_faults()
+        if error is not None:
+            return Error(error)
         self.writes += 1
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
@@ -71,18 +71,18 @@
         return Ok(None)
 
     def peek(self, table: str, key: str) -> Row | None:
-        """Read a row past all faults, for checks."""
+        """Read a row regardless of faults, for checks."""
         return self._tables.get(table, {}).get(key)
 
     def snapshot(self) -> dict[str, list[Row]]:
-        """Return all rows by table in key order, past all faults."""
+        """Return all rows by table in key order, regardless of faults."""
         return {
             table: [rows[key] for key in sorted(rows)]
             for table, rows in self._tables.items()
         }
 
     def apply(self, writes: Sequence[Write]) -> bool:
-        """Write at once, and tell whether the conditions held."""
+        """Apply writes immediately; return False if a condition did not hold."""
         for write in writes:
             row = self._tables.get(write.table, {}).get(write.key)
             version = row.version if row else 0
@@ -101,7 +101,7 @@
         version = old.version + 1 if old else 1
         rows[write.key] = Row(write.key, version, write.value)
 
-    async def _enter(self) -> StoreError | None:
+    async def _apply_faults(self) -> StoreError | None:
         if self.faults.delay:
             await asyncio.sleep(self.faults.delay)
         if self.faults.down:
