--- a/packages/standins/src/teaselledge_standins/caller.py
+++ b/packages/standins/src/teaselledge_standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller that checks its answers."""
+"""A client of the routers, and a check of its responses."""
 
 import json
 import time
@@ -14,20 +14,20 @@
 
 @dataclass(frozen=True)
 class ClientResponse:
-    """What a caller got.
+    """Response to a request, with timing.
 
     Attributes
     ----------
     status : int
-        HTTP status; 599 where the connection broke.
+        HTTP status; 599 if the connection broke.
     body : bytes
         The body.
     headers : dict of str to str
         Headers.
     first_seconds : float
-        Time from call to the first part of the body.
+        Time from the call to the first chunk of the body.
     seconds : float
-        Time from call to the end.
+        Time from the call to the end of the response.
     """
 
     status: int
@@ -38,17 +38,17 @@
 
     @property
     def kind(self) -> str:
-        """Error kind of a problem answer."""
+        """Error kind of a problem response."""
         return str(json.loads(self.body)["kind"])
 
     @property
     def ran(self) -> str:
-        """What a problem answer tells about running."""
+        """Whether the request was executed, according to a problem response."""
         return str(json.loads(self.body)["ran"])
 
 
 class Caller:
-    """Calls routers with one organisation's key."""
+    """Sends requests to routers with the key of one organisation."""
 
     def __init__(self, key: str) -> None:
         self._key = key
@@ -102,21 +102,21 @@
     async def request_completion(
         self, address: str, name: str, tokens: int, user: str
     ) -> ClientResponse:
-        """Ask a model engine for a completion."""
+        """Request a completion from the model engine."""
         body = json.dumps({"prompt": name, "max_tokens": tokens, "user": user})
         path = "/v1/services/models/v1/completions"
         return await self.call(address, "POST", path, body.encode())
 
     async def place_order(self, address: str, name: str, user: str) -> ClientResponse:
-        """Place an order under its name as key."""
+        """Place an order with its name as idempotency key."""
         body = json.dumps({"name": name, "organisation": user}).encode()
         path = "/v1/services/ledger/orders"
         return await self.call(address, "POST", path, body, name)
 
 
-def is_complete_response(reply: ClientResponse, name: str, tokens: int) -> bool:
-    """Return whether an answer is the whole answer to its own request."""
-    events = [line for line in reply.body.decode().split("\n\n") if line]
+def is_complete_response(response: ClientResponse, name: str, tokens: int) -> bool:
+    """Return whether a response is complete and belongs to the named request."""
+    events = [line for line in response.body.decode().split("\n\n") if line]
     if events[-1:] != ["data: [DONE]"]:
         return False
     texts = [
--- a/packages/standins/src/teaselledge_standins/certificates.py
+++ b/packages/standins/src/teaselledge_standins/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates made for tests."""
+"""Certificates for tests."""
 
 import datetime
 from collections.abc import Sequence
@@ -25,9 +25,9 @@
     Parameters
     ----------
     folder : Path
-        Where the files go.
+        Folder for the files.
     name : str
-        Tells authorities apart.
+        Name that distinguishes authorities.
     """
 
     def __init__(self, folder: Path, name: str = "authority") -> None:
@@ -39,9 +39,9 @@
         self.path.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
 
     def issue(self, names: Sequence[str], authority: Path | None = None) -> Tls:
-        """Return settings with a certificate for some names.
+        """Return TLS settings with a certificate for the given names.
 
-        The files of another authority may be trusted in place of this one's.
+        ``authority`` is the certificate of the authority to trust, by default this one.
         """
         key = ec.generate_private_key(ec.SECP256R1())
         certificate = self._build(_name(names[0]), key, names, authority=False)
--- a/packages/standins/src/teaselledge_standins/demo.py
+++ b/packages/standins/src/teaselledge_standins/demo.py
@@ -1,4 +1,4 @@
-"""Run a small fleet under load and print what its callers and endpoints saw."""
+"""Run a small fleet under load and print figures of its callers and endpoints."""
 
 import asyncio
 import json
@@ -28,16 +28,16 @@
     slots=2,
     count_peer_bytes=True,
 )
-LEAVING = "r2"
+SHUT_DOWN_ROUTER = "r2"
 WARM_UP_SECONDS = 2.0
 RUN_SECONDS = 13.0
-LEAVE_AT_SECONDS = 6.0
+SHUT_DOWN_AT_SECONDS = 6.0
 SAMPLE_SECONDS = 0.1
 
 
 @dataclass(frozen=True)
 class Sample:
-    """What the engines had done at one moment.
+    """State of the engines at one moment.
 
     Attributes
     ----------
@@ -46,7 +46,7 @@
     running : int
         Slots in use.
     waiting : dict of str to int
-        Completions that wait at callers, by organisation.
+        Outstanding completions of callers, by organisation.
     """
 
     served: Counter[str]
@@ -56,16 +56,16 @@
 
 @dataclass(frozen=True)
 class Fairness:
-    """Figures of the time in which every organisation was backlogged.
+    """Fairness figures while every organisation was backlogged.
 
     Attributes
     ----------
     received : dict of str to float
-        Part of the tokens, by organisation.
+        Fraction of the tokens, by organisation.
     gap : float
-        Largest difference in tokens per share.
+        Maximum difference in tokens per share.
     utilisation : float
-        Part of the slots in use.
+        Fraction of the slots in use.
     """
 
     received: dict[str, float]
@@ -74,16 +74,16 @@
 
 
 def take_sample(fleet: Fleet, load: DemoLoad) -> Sample:
-    """Look at the engines and at the callers."""
+    """Return the current state of engines and callers."""
     served: Counter[str] = Counter()
     for engine in fleet.engines.values():
         served.update(engine.served)
     running = sum(engine.running for engine in fleet.engines.values())
-    return Sample(served, running, Counter(load.seen.outstanding))
+    return Sample(served, running, Counter(load.counts.outstanding))
 
 
 def fairness_of(samples: list[Sample], slots: int) -> Fairness:
-    """Work the figures out from samples after the warm-up."""
+    """Compute the figures from samples after the warm-up."""
     first, last = samples[0], samples[-1]
     names = [organisation.name for organisation in ORGANISATIONS]
     shares = {organisation.name: organisation.share for organisation in ORGANISATIONS}
@@ -98,7 +98,7 @@
 
 
 def bound_of(fleet: Fleet, samples: list[Sample]) -> float:
-    """Return the bound of the gap for this fleet and its engines' speed."""
+    """Return the upper bound of the gap for this fleet at its engines' speed."""
     router = next(iter(fleet.routers.values()))
     assert router.version is not None
     document: Document = router.version.document
@@ -114,10 +114,10 @@
     return gap_bound(slots, TOKENS, quantum, delay, rate, share, dispatchers)
 
 
-async def leave(fleet: Fleet) -> None:
-    """Let one router leave gracefully in the middle of the run."""
-    await asyncio.sleep(WARM_UP_SECONDS + LEAVE_AT_SECONDS)
-    await fleet.drain_router(LEAVING)
+async def shut_down_router(fleet: Fleet) -> None:
+    """Shut one router down gracefully in the middle of the run."""
+    await asyncio.sleep(WARM_UP_SECONDS + SHUT_DOWN_AT_SECONDS)
+    await fleet.drain_router(SHUT_DOWN_ROUTER)
 
 
 async def observe(fleet: Fleet, load: DemoLoad) -> list[Sample]:
@@ -128,7 +128,7 @@
     for step in range(steps):
         samples.append(take_sample(fleet, load))
         if step % 10 == 0:
-            done = load.seen.answered
+            done = load.counts.answered
             text = f"\r{step * SAMPLE_SECONDS:4.0f} s  {done} answers"
             print(text, end="", file=sys.stderr, flush=True)
         await asyncio.sleep(SAMPLE_SECONDS)
@@ -138,7 +138,7 @@
 
 
 def print_tables(load: DemoLoad, fairness: Fairness, bound: float) -> None:
-    """Print what an operator wants to see."""
+    """Print the figures as tables."""
     total = sum(organisation.share for organisation in ORGANISATIONS)
     print(f"{'organisation':<14}{'router':<8}{'asks for':>9}{'due':>8}{'received':>10}")
     for organisation in ORGANISATIONS:
@@ -149,7 +149,7 @@
             f"{organisation.workers:>9}{due:>8.1%}{got:>10.1%}"
         )
     print(f"\n{'kind':<14}{'answers':>8}{'wait p50':>10}{'wait p95':>10}")
-    for kind, waits in sorted(load.seen.waits.items()):
+    for kind, waits in sorted(load.counts.waits.items()):
         half, most = np.percentile(waits, [50, 95])
         print(f"{kind:<14}{len(waits):>8}{half:>8.3f} s{most:>8.3f} s")
     print(
@@ -162,7 +162,7 @@
     fleet: Fleet, load: DemoLoad, samples: list[Sample], seconds: float
 ) -> dict[str, float]:
     """Return the figures of the run."""
-    seen = load.seen
+    counts = load.counts
     slots = sum(PLAN.slots for _ in PLAN.engine_zones)
     fairness = fairness_of(samples, slots)
     bound = bound_of(fleet, samples)
@@ -170,14 +170,15 @@
     runs = Counter(run.name for p in fleet.plains.values() for run in p.runs)
     control = sum(meter.received for meter in fleet.meters.values())
     return {
-        "requests": seen.requests,
-        "answered": seen.answered,
-        "refused": seen.refused,
-        "wrong_answers": seen.wrong,
-        "orders": len(seen.orders),
-        "orders_run_twice": sum(runs[name] > 1 for name in seen.orders),
+        "requests": counts.requests,
+        "answered": counts.answered,
+        "refused": counts.refused,
+        "wrong_answers": counts.wrong,
+        "orders": len(counts.orders),
+        "orders_run_twice": sum(runs[name] > 1 for name in counts.orders),
         "orders_lost": sum(
-            not confirmed or runs[name] == 0 for name, confirmed in seen.orders.items()
+            not confirmed or runs[name] == 0
+            for name, confirmed in counts.orders.items()
         ),
         "fairness_gap": round(fairness.gap, 1),
         "fairness_gap_bound": round(bound, 1),
@@ -195,7 +196,7 @@
         started = loop.time()
         async with asyncio.TaskGroup() as group:
             group.create_task(load.run())
-            group.create_task(leave(fleet))
+            group.create_task(shut_down_router(fleet))
             samples = group.create_task(observe(fleet, load))
         seconds = loop.time() - started
         for meter in fleet.meters.values():
--- a/packages/standins/src/teaselledge_standins/demoload.py
+++ b/packages/standins/src/teaselledge_standins/demoload.py
@@ -1,4 +1,4 @@
-"""The callers of the demo: what they send and what they saw."""
+"""The callers of the demo, and counts of their responses."""
 
 import asyncio
 import json
@@ -9,15 +9,15 @@
 from teaselledge_standins.caller import Caller, ClientResponse, is_complete_response
 from teaselledge_standins.fleet import Fleet, key_of
 
-__all__ = ["DemoLoad", "Organisation", "Seen"]
+__all__ = ["CallerCounts", "DemoLoad", "Organisation"]
 
 TOKENS = 30
 ORDER_PAUSE_SECONDS = 0.12
 RETRY_SECONDS = 0.2
-ORDER_TRIES = 30
+MAX_ORDER_TRIES = 30
 LOOKUP_PAUSE_SECONDS = 0.1
 OK = 200
-BROKEN = 599
+CONNECTION_BROKEN = 599
 
 
 @dataclass(frozen=True)
@@ -27,15 +27,15 @@
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the organisation.
     share : float
-        Its share.
+        Share of the organisation.
     router : str
-        The router that its callers use while it is there.
+        Router that its callers use while it is listed.
     workers : int
-        Completions that it asks for at once.
+        Completions that it requests concurrently.
     orders : bool
-        Whether it places orders and looks things up too.
+        Whether it also places orders and does lookups.
     """
 
     name: str
@@ -46,17 +46,18 @@
 
 
 @dataclass
-class Seen:
-    """What callers saw.
+class CallerCounts:
+    """Counts of the callers' requests.
 
     Attributes
     ----------
     requests, answered, wrong, refused : int
-        Requests sent, whole answers, wrong answers, true refusals.
+        Requests sent; with a complete response, a wrong or broken response, and an
+        error response.
     waits : dict of str to list of float
-        Seconds to the first part of an answer, by kind.
+        Seconds to the first chunk of a response, by kind.
     outstanding : Counter of str
-        Completions without a first part yet, by organisation.
+        Completions whose response has not ended, by organisation.
     orders : dict of str to bool
         Orders by name, and whether they were confirmed in the end.
     """
@@ -71,18 +72,18 @@
 
 
 class DemoLoad:
-    """Callers of all organisations, each on the router it was told to use."""
+    """Callers of all organisations, each at the router of its organisation."""
 
     def __init__(self, fleet: Fleet, organisations: list[Organisation]) -> None:
-        self.seen = Seen()
+        self.counts = CallerCounts()
         self._fleet = fleet
         self._organisations = organisations
         self._names = count()
-        self._left: set[str] = set()
+        self._gone_routers: set[str] = set()
         self._stopping = False
 
     async def run(self) -> None:
-        """Call until stopped, then wait for the answers."""
+        """Send requests until stopped, then wait for the responses."""
         async with asyncio.TaskGroup() as group:
             for organisation in self._organisations:
                 for _ in range(organisation.workers):
@@ -92,36 +93,40 @@
                     group.create_task(self._look_up(organisation))
 
     def stop(self) -> None:
-        """Start no further requests."""
+        """Send no further requests."""
         self._stopping = True
 
     async def _address(self, organisation: Organisation) -> str:
-        """Return the address to use, as the fleet tells it."""
-        wished = self._fleet.routers[organisation.router].caller_address
+        """Return the preferred router's address if the fleet lists it, else another."""
+        preferred = self._fleet.routers[organisation.router].caller_address
         for vm, router in self._fleet.routers.items():
-            if vm in self._left:
+            if vm in self._gone_routers:
                 continue
-            reply = await Caller("").call(router.caller_address, "GET", "/v1/addresses")
-            if reply.status != OK:
-                self._left.add(vm)
+            response = await Caller("").call(
+                router.caller_address, "GET", "/v1/addresses"
+            )
+            if response.status != OK:
+                self._gone_routers.add(vm)
                 continue
-            listed = [e["address"] for e in json.loads(reply.body)["addresses"]]
-            return wished if wished in listed else listed[0]
-        raise ConnectionError("no router answers")
+            listed = [e["address"] for e in json.loads(response.body)["addresses"]]
+            return preferred if preferred in listed else listed[0]
+        raise ConnectionError("no router responds")
 
     async def _complete(self, organisation: Organisation) -> None:
         caller = Caller(key_of(organisation.name))
         address = await self._address(organisation)
         while not self._stopping:
             name = f"{organisation.name}-{next(self._names)}"
-            self.seen.outstanding[organisation.name] += 1
-            reply = await caller.request_completion(
+            self.counts.outstanding[organisation.name] += 1
+            response = await caller.request_completion(
                 address, name, TOKENS, organisation.name
             )
-            self.seen.outstanding[organisation.name] -= 1
-            whole = reply.status == OK and is_complete_response(reply, name, TOKENS)
-            self._note("completion", reply, whole)
-            if reply.status != OK:
+            self.counts.outstanding[organisation.name] -= 1
+            complete = response.status == OK and is_complete_response(
+                response, name, TOKENS
+            )
+            self._count("completion", response, complete)
+            if response.status != OK:
                 address = await self._address(organisation)
                 await asyncio.sleep(RETRY_SECONDS)
 
@@ -131,41 +136,45 @@
         path = "/v1/services/ledger/work"
         while not self._stopping:
             address = await self._address(organisation)
-            reply = await caller.call(address, "POST", path, body)
-            whole = reply.status == OK and json.loads(reply.body)["name"] == "look"
-            self._note("lookup", reply, whole)
+            response = await caller.call(address, "POST", path, body)
+            complete = (
+                response.status == OK and json.loads(response.body)["name"] == "look"
+            )
+            self._count("lookup", response, complete)
             await asyncio.sleep(LOOKUP_PAUSE_SECONDS)
 
     async def _order(self, organisation: Organisation) -> None:
         caller = Caller(key_of(organisation.name))
         while not self._stopping:
             name = f"order-{organisation.name}-{next(self._names)}"
-            self.seen.orders[name] = False
+            self.counts.orders[name] = False
             await self._place(caller, organisation, name)
             await asyncio.sleep(ORDER_PAUSE_SECONDS)
 
     async def _place(
         self, caller: Caller, organisation: Organisation, name: str
     ) -> None:
-        """Ask again under the same key until the order is confirmed."""
-        for _ in range(ORDER_TRIES):
+        """Retry with the same key until the order is confirmed."""
+        for _ in range(MAX_ORDER_TRIES):
             address = await self._address(organisation)
-            reply = await caller.place_order(address, name, organisation.name)
-            whole = reply.status == OK and json.loads(reply.body)["name"] == name
-            self._note("order", reply, whole)
-            if whole:
-                self.seen.orders[name] = True
+            response = await caller.place_order(address, name, organisation.name)
+            complete = (
+                response.status == OK and json.loads(response.body)["name"] == name
+            )
+            self._count("order", response, complete)
+            if complete:
+                self.counts.orders[name] = True
                 return
             await asyncio.sleep(RETRY_SECONDS)
 
-    def _note(self, kind: str, reply: ClientResponse, whole: bool) -> None:
-        seen = self.seen
-        seen.requests += 1
-        if whole:
-            seen.answered += 1
-            seen.waits.setdefault(kind, []).append(reply.first_seconds)
+    def _count(self, kind: str, response: ClientResponse, complete: bool) -> None:
+        counts = self.counts
+        counts.requests += 1
+        if complete:
+            counts.answered += 1
+            counts.waits.setdefault(kind, []).append(response.first_seconds)
             return
-        if reply.status in (OK, BROKEN):
-            seen.wrong += 1
+        if response.status in (OK, CONNECTION_BROKEN):
+            counts.wrong += 1
             return
-        seen.refused += 1
+        counts.refused += 1
--- a/packages/standins/src/teaselledge_standins/endpoint.py
+++ b/packages/standins/src/teaselledge_standins/endpoint.py
@@ -1,4 +1,4 @@
-"""What the stand-in endpoints share."""
+"""Base classes of the endpoint doubles."""
 
 import asyncio
 from dataclasses import dataclass
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True)
 class ExecutedRequest:
-    """One request that an endpoint carried out.
+    """One request that an endpoint executed.
 
     Attributes
     ----------
     request_id : str
-        As the router sent it.
+        Request id from the header that the router sent.
     name : str
-        What the caller put into its request to tell it apart.
+        Name that the caller gave the request in the body.
     organisation : str
-        As the caller named itself in the body.
+        Organisation that the caller named in the body.
     started, ended : float
-        Loop time.
+        Start and end as loop time.
     cost : float
         Tokens or slot-seconds.
     """
@@ -40,14 +40,14 @@
 
 
 class BaseEndpoint:
-    """An endpoint on loopback that counts what it runs.
+    """An endpoint on loopback that records the requests it executes.
 
     Attributes
     ----------
     faults : EndpointFaults
-        The switches.
-    runs : list of Run
-        What was carried out, in order of ending.
+        Fault switches.
+    runs : list of ExecutedRequest
+        Executed requests, in order of ending.
     running : int
         Requests in progress.
     """
@@ -81,28 +81,28 @@
 
 
 class BaseEndpointHandler(RequestHandler):
-    """What the handlers of stand-in endpoints share."""
+    """Base class of the handlers of endpoint doubles."""
 
     def initialize(self, endpoint: Any) -> None:
-        """Take the endpoint."""
+        """Store the endpoint."""
         self.endpoint = endpoint
         self.closed = False
 
     def on_connection_close(self) -> None:
-        """Note that the router dropped the connection."""
+        """Record that the router closed the connection."""
         self.closed = True
 
     def drop(self) -> None:
-        """Drop the connection without an answer."""
+        """Close the connection without a response."""
         stream = self.request.connection.stream  # type: ignore[union-attr]
         stream.close()
 
     async def send_garbage(self) -> None:
-        """Answer with bytes that are no HTTP, and drop the connection."""
+        """Send bytes that are not HTTP, and close the connection."""
         stream = self.request.connection.stream  # type: ignore[union-attr]
         await stream.write(b"\x00\x01 this is no HTTP \r\n\r\n")
         stream.close()
 
     async def pause(self, seconds: float) -> None:
-        """Sleep, stretched by the slowness switch."""
+        """Sleep for the given time multiplied by the slowness switch."""
         await asyncio.sleep(seconds * self.endpoint.faults.slow)
--- a/packages/standins/src/teaselledge_standins/engine.py
+++ b/packages/standins/src/teaselledge_standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a model engine with continuous batching."""
+"""Test double of a model engine with continuous batching."""
 
 import asyncio
 import json
@@ -26,12 +26,12 @@
 SERVICE_UNAVAILABLE = 503
 TOKEN_SECONDS = 0.005
 END_EVENT = "data: [DONE]\n\n"
-SLOWDOWN = 0.05
-"""Part by which each further request in the batch slows a step."""
+SLOWDOWN_FRACTION = 0.05
+"""Fraction by which each further request in the batch slows a step."""
 
 
 def token_text(name: str, position: int) -> str:
-    """Return the token at a position of an answer, which a caller can check."""
+    """Return the token at a position of a response; callers check it."""
     return f"{name}.{position}"
 
 
@@ -62,7 +62,7 @@
             )
 
     async def _stream(self, name: str, count: int) -> int:
-        """Send the events of an answer from a byte on, and count the tokens."""
+        """Send the events from the resume offset on; return the tokens sent."""
         skip = int(self.request.headers.get(RESUME_HEADER, "0"))
         if skip:
             self.set_header(RESUME_HEADER, str(skip))
@@ -70,12 +70,12 @@
         sent = written = 0
         for event in [*_events(name, count), END_EVENT]:
             if len(event) <= skip:
-                # an earlier stream brought it to the router
+                # The router has it from an earlier stream.
                 skip -= len(event)
                 continue
             if event != END_EVENT:
                 batch = max(1, self.endpoint.running)
-                await self.pause(TOKEN_SECONDS * (1 + SLOWDOWN * (batch - 1)))
+                await self.pause(TOKEN_SECONDS * (1 + SLOWDOWN_FRACTION * (batch - 1)))
             part, skip = event[skip:], 0
             breaks = 0 <= stop < written + len(part)
             if breaks:
@@ -102,7 +102,7 @@
 
 
 def _events(name: str, count: int) -> list[str]:
-    """Return the events of a whole answer, one a token."""
+    """Return the events of a complete response, one per token."""
     texts = [token_text(name, position) for position in range(count)]
     chunks = [json.dumps({"choices": [{"text": text}]}) for text in texts]
     return [f"data: {chunk}\n\n" for chunk in chunks]
@@ -116,7 +116,7 @@
     served : Counter of str
         Tokens sent, by organisation.
     cache : PrefixCache
-        Prefixes that it holds.
+        Cached prefixes.
     """
 
     def __init__(self) -> None:
@@ -133,14 +133,14 @@
 
 
 async def serve(port: int) -> None:
-    """Serve until ended by a signal."""
+    """Serve until the process gets a signal."""
     endpoint = EngineEndpoint()
     print(f"engine on {endpoint.listen(port)}", file=sys.stderr)
     await asyncio.Event().wait()
 
 
 def main(argv: list[str]) -> None:
-    """Serve the stand-in."""
+    """Serve the engine."""
     asyncio.run(serve(_PORT.value))
 
 
--- a/packages/standins/src/teaselledge_standins/engineadmin.py
+++ b/packages/standins/src/teaselledge_standins/engineadmin.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's interface for orders."""
+"""The engine double's interface for engine orders."""
 
 import asyncio
 import json
@@ -9,21 +9,21 @@
 
 __all__ = ["AdminState", "admin_handlers"]
 
-OLD_NUMBER = 409
+CONFLICT = 409
 
 
 @dataclass
 class AdminState:
-    """What an engine has loaded, and how it takes orders.
+    """State of an engine, as changed by engine orders.
 
     Attributes
     ----------
     checks_fencing : bool
-        Orders with an old number are refused, not carried out.
+        Whether orders with a lower fencing token than an earlier one are refused.
     load_seconds : float
-        Time that a load takes.
+        Duration of loading a model.
     orders : list of int
-        Numbers of the orders carried out.
+        Fencing tokens of the executed orders.
     """
 
     checks_fencing: bool = False
@@ -36,11 +36,11 @@
 
     @property
     def loading(self) -> bool:
-        """Whether it loads now."""
+        """Whether the engine is loading a model."""
         return asyncio.get_running_loop().time() < self.loaded_at
 
     def apply_order(self, number: int, role: str, models: list[str]) -> bool:
-        """Take an order; tell whether it is carried out."""
+        """Execute an engine order; return False if it is refused."""
         if self.checks_fencing and number < self.highest_token:
             return False
         self.highest_token = max(self.highest_token, number)
@@ -54,7 +54,7 @@
 
 class _StateHandler(BaseEndpointHandler):
     def get(self) -> None:
-        """Answer with the state."""
+        """Return the state."""
         admin = self.endpoint.admin
         self.write(
             {"role": admin.role, "models": admin.models, "loading": admin.loading}
@@ -63,16 +63,16 @@
 
 class _TargetHandler(BaseEndpointHandler):
     def put(self) -> None:
-        """Take an order."""
+        """Apply an engine order."""
         body = json.loads(self.request.body)
-        taken = self.endpoint.admin.apply_order(
+        executed = self.endpoint.admin.apply_order(
             body["number"], body["role"], body["models"]
         )
-        self.set_status(200 if taken else OLD_NUMBER)
+        self.set_status(200 if executed else CONFLICT)
 
 
 def admin_handlers(endpoint: Any) -> list[Any]:
-    """Return the routes of the interface for orders."""
+    """Return the routes of the interface for engine orders."""
     options = {"endpoint": endpoint}
     return [
         (r"/admin/state", _StateHandler, options),
--- a/packages/standins/src/teaselledge_standins/faults.py
+++ b/packages/standins/src/teaselledge_standins/faults.py
@@ -1,4 +1,4 @@
-"""The fault switches of every stand-in, in one place."""
+"""Fault switches of the test doubles."""
 
 from dataclasses import dataclass
 
@@ -7,18 +7,18 @@
 
 @dataclass
 class StoreFaults:
-    """Faults of a platform service.
+    """Fault switches of a platform service.
 
     Attributes
     ----------
     down : bool
-        Calls are refused; nothing is written.
+        Whether calls are refused and nothing is written.
     delay : float
         Seconds added to each call.
     lose_answers : int
-        So many of the next writes take effect, and their answers are lost.
+        Number of next writes that take effect but whose responses are lost.
     late_writes : float
-        Seconds by which a write whose answer was lost takes effect late.
+        Seconds until a write whose response was lost takes effect.
     """
 
     down: bool = False
@@ -29,22 +29,22 @@
 
 @dataclass
 class EndpointFaults:
-    """Faults of an endpoint.
+    """Fault switches of an endpoint.
 
     Attributes
     ----------
     refuse : bool
-        New requests get status 503.
+        Whether new requests get status 503.
     slow : float
         Factor on all durations.
     drop_after_run : int
-        So many of the next requests run, and their connection is dropped.
+        Number of next requests that are executed but whose connection is dropped.
     break_after : int
-        Bytes of an answer after which the connection is dropped; -1 never.
+        Bytes of a response after which the connection is dropped; -1 for never.
     break_times : int
-        So many of the next answers break; -1 all.
+        Number of next responses that break; -1 for all.
     garbage : int
-        So many of the next requests are answered with bytes that are no HTTP.
+        Number of next requests that get bytes that are not HTTP.
     """
 
     refuse: bool = False
@@ -55,7 +55,7 @@
     break_times: int = -1
 
     def next_break_offset(self) -> int:
-        """Return the bytes after which the next answer breaks; -1 never."""
+        """Return the bytes after which the next response breaks; -1 for never."""
         if self.break_times == 0:
             return -1
         if self.break_after >= 0 and self.break_times > 0:
--- a/packages/standins/src/teaselledge_standins/fleet.py
+++ b/packages/standins/src/teaselledge_standins/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet with its endpoints and platform, as tasks of one process."""
+"""A small fleet with its endpoints and platform, in one process."""
 
 import asyncio
 import hashlib
@@ -23,19 +23,19 @@
 __all__ = ["OPERATOR", "Fleet", "FleetPlan", "key_of", "running_fleet"]
 
 OPERATOR = "dana"
-"""An operator who may do all, with the key `key_of` gives."""
+"""Operator with the admin role; `key_of` returns the key."""
 
 ZONES = {"north-a": "north", "north-b": "north", "south-a": "south"}
 
 
 def key_of(organisation: str) -> str:
-    """Return the bearer key of an organisation of the fleet."""
+    """Return the bearer key of an organisation or operator of the fleet."""
     return f"key-of-{organisation}"
 
 
 @dataclass(frozen=True)
 class FleetPlan:
-    """What a fleet consists of.
+    """Configuration of a fleet.
 
     Attributes
     ----------
@@ -50,7 +50,7 @@
     limits : Limits
         Limits of each router.
     count_peer_bytes : bool
-        Count the bytes between routers by relays.
+        Whether a counting proxy measures the bytes that each router receives.
     callers_tls, operators_tls : Tls or None
         TLS of the listeners.
     """
@@ -170,7 +170,7 @@
         )
 
     def publish(self, number: int) -> None:
-        """Put the document into the table service, past all checks."""
+        """Write the document to the table service without validating it."""
         self.tables.apply(unchecked_writes(self.document(), number))
 
     async def start_router(self, vm: str) -> Router:
@@ -191,7 +191,7 @@
         return router
 
     async def drain_router(self, vm: str) -> None:
-        """Let a router finish what it has and stop, as a drain does."""
+        """Let a router finish its requests and stop it, as a drain does."""
         router = self.routers[vm]
         router.node.membership.announce_leaving()
         await asyncio.sleep(2)
@@ -212,7 +212,7 @@
 
 @asynccontextmanager
 async def running_fleet(plan: FleetPlan | None = None) -> AsyncIterator[Fleet]:
-    """Run a fleet, whose routers know each other, for the time of a block."""
+    """Run a fleet as a context manager, once the routers have discovered each other."""
     plan = plan or FleetPlan()
     engines = {f"engine-{i}": EngineEndpoint() for i, _ in enumerate(plan.engine_zones)}
     plains = {f"plain-{i}": PlainEndpoint() for i, _ in enumerate(plan.plain_zones)}
@@ -226,16 +226,16 @@
     try:
         for vm in plan.routers:
             await fleet.start_router(vm)
-        await _until_known(fleet)
+        await _wait_until_discovered(fleet)
         yield fleet
     finally:
         await fleet.stop()
 
 
-async def _until_known(fleet: Fleet) -> None:
+async def _wait_until_discovered(fleet: Fleet) -> None:
     async with asyncio.timeout(15):
         while True:
-            seen = [len(r.addresses()["addresses"]) for r in fleet.routers.values()]
-            if all(count == len(fleet.routers) for count in seen):
+            counts = [len(r.addresses()["addresses"]) for r in fleet.routers.values()]
+            if all(count == len(fleet.routers) for count in counts):
                 return
             await asyncio.sleep(0.05)
--- a/packages/standins/src/teaselledge_standins/loopback.py
+++ b/packages/standins/src/teaselledge_standins/loopback.py
@@ -1,4 +1,4 @@
-"""A TCP server on loopback that ends all its connections when it is closed."""
+"""A TCP server on loopback that closes all its connections when it is closed."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,7 +10,7 @@
 
 
 class LoopbackServer:
-    """Serves each connection by one task.
+    """Serves each connection in its own task.
 
     Parameters
     ----------
@@ -20,7 +20,7 @@
     Attributes
     ----------
     address : str
-        ``host:port`` where it listens.
+        ``host:port`` that the server listens on.
     """
 
     def __init__(self, serve: Serve) -> None:
@@ -30,7 +30,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self) -> None:
-        """Start to listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
@@ -53,8 +53,8 @@
         try:
             await self._serve_one(reader, writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            # the other side broke off, or the server is closed; asyncio's server
-            # would log a cancelled handler as an error
+            # The client disconnected or the server was closed; asyncio's server would
+            # log a cancelled handler as an error.
             return
         finally:
             writer.close()
--- a/packages/standins/src/teaselledge_standins/meter.py
+++ b/packages/standins/src/teaselledge_standins/meter.py
@@ -1,4 +1,4 @@
-"""Count the bytes between routers, outside of the routers."""
+"""Count the bytes between routers independently of the routers."""
 
 import asyncio
 
@@ -10,15 +10,15 @@
 
 
 class CountingProxy(LoopbackServer):
-    """A relay before one router's peer port.
+    """A proxy in front of one router's peer port.
 
-    Other routers are told its address, so that what they send to the router is
-    counted by neither of them.
+    Other routers get the proxy's address, so that their bytes are counted outside of
+    sender and receiver.
 
     Attributes
     ----------
     received : int
-        Bytes that other routers sent.
+        Bytes received from other routers.
     """
 
     def __init__(self) -> None:
@@ -27,13 +27,13 @@
         self._target = ""
 
     def forward_to(self, address: str) -> None:
-        """Set the router's own address."""
+        """Set the address of the router."""
         self._target = address
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Pass on what comes, and count it."""
+        """Forward and count the bytes of a connection."""
         host, port = self._target.rsplit(":", 1)
         _, target = await asyncio.open_connection(host, int(port))
         while data := await reader.read(READ_BYTES):
--- a/packages/standins/src/teaselledge_standins/objects.py
+++ b/packages/standins/src/teaselledge_standins/objects.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's object store, in memory."""
+"""In-memory double of the platform's object store."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class MemoryObjects(ObjectStore):
-    """Objects in memory, with fault switches."""
+    """In-memory objects with fault switches."""
 
     def __init__(self) -> None:
         self.faults = StoreFaults()
@@ -19,9 +19,9 @@
 
     async def put(self, key: str, data: bytes) -> Result[None, StoreError]:
         """Store an object."""
-        refused = await self._enter()
-        if refused is not None:
-            return Error(refused)
+        error = await self._apply_faults()
+        if error is not None:
+            return Error(error)
         self._objects[key] = data
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
@@ -30,20 +30,20 @@
 
     async def get(self, key: str) -> Result[bytes | None, StoreError]:
         """Read an object."""
-        refused = await self._enter()
-        if refused is not None:
-            return Error(refused)
+        error = await self._apply_faults()
+        if error is not None:
+            return Error(error)
         return Ok(self._objects.get(key))
 
     async def delete(self, key: str) -> Result[None, StoreError]:
         """Remove an object."""
-        refused = await self._enter()
-        if refused is not None:
-            return Error(refused)
+        error = await self._apply_faults()
+        if error is not None:
+            return Error(error)
         self._objects.pop(key, None)
         return Ok(None)
 
-    async def _enter(self) -> StoreError | None:
+    async def _apply_faults(self) -> StoreError | None:
         if self.faults.delay:
             await asyncio.sleep(self.faults.delay)
         if self.faults.down:
--- a/packages/standins/src/teaselledge_standins/plain.py
+++ b/packages/standins/src/teaselledge_standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: a ledger that counts its orders."""
+"""Test double of a service without streams: a ledger that records its orders."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 class _OrderHandler(BaseEndpointHandler):
     async def post(self) -> None:
-        """Carry out an order; the body has ``name`` and may have ``seconds``."""
+        """Execute an order; the body has ``name`` and may have ``seconds``."""
         endpoint = self.endpoint
         body = json.loads(self.request.body)
         if endpoint.faults.refuse:
@@ -57,12 +57,12 @@
 
 class _RunsHandler(BaseEndpointHandler):
     def get(self) -> None:
-        """List the names of what was carried out, one a line."""
+        """Return the names of the executed requests, one per line."""
         self.write("\n".join(run.name for run in self.endpoint.runs))
 
 
 class PlainEndpoint(BaseEndpoint):
-    """A plain service."""
+    """A service without streams."""
 
     def handlers(self) -> list[Any]:
         """Return the routes."""
@@ -74,14 +74,14 @@
 
 
 async def serve(port: int) -> None:
-    """Serve until ended by a signal."""
+    """Serve until the process gets a signal."""
     endpoint = PlainEndpoint()
     print(f"plain service on {endpoint.listen(port)}", file=sys.stderr)
     await asyncio.Event().wait()
 
 
 def main(argv: list[str]) -> None:
-    """Serve the stand-in."""
+    """Serve the endpoint."""
     asyncio.run(serve(_PORT.value))
 
 
--- a/packages/standins/src/teaselledge_standins/playground.py
+++ b/packages/standins/src/teaselledge_standins/playground.py
@@ -1,4 +1,4 @@
-"""Run a small fleet until it is interrupted, to try `teaselctl` on."""
+"""Run a small fleet until it is interrupted, for trying out `teaselctl`."""
 
 import asyncio
 import sys
@@ -32,7 +32,7 @@
 
 
 def welcome(fleet: Fleet, flag_path: Path) -> str:
-    """Return what a newcomer needs to know."""
+    """Return the text with addresses, password and example commands."""
     lines = ["A fleet runs until you press Ctrl-C.", ""]
     for vm, router in fleet.routers.items():
         lines.append(
@@ -51,7 +51,7 @@
 
 
 async def serve(folder: Path) -> None:
-    """Run the fleet for ever."""
+    """Run the fleet until cancelled."""
     async with running_fleet() as fleet:
         print(welcome(fleet, flag_file(fleet, folder)), flush=True)
         await asyncio.Event().wait()
--- a/packages/standins/src/teaselledge_standins/processes.py
+++ b/packages/standins/src/teaselledge_standins/processes.py
@@ -1,4 +1,4 @@
-"""A fleet of separate processes, for tests that kill and freeze them."""
+"""A fleet of separate processes, for tests that kill and suspend them."""
 
 import asyncio
 import hashlib
@@ -37,37 +37,37 @@
 
 
 PORTS = range(10_000, 30_000)
-"""Ports to choose from. They are below those that the system gives to outgoing
-connections: one of these could take a port between its choice here and its use."""
+"""Ports to choose from. They are below the range for outgoing connections, since such a
+connection could take a port between its choice and its use."""
 
 
 class ProcessEndedError(Exception):
     """A process of the fleet ended before it was ready."""
 
 
-SLICES = 50
-"""Parts of these ports; processes that run at the same time choose from different
-ones, as their ids follow one another."""
+RANGE_COUNT = 50
+"""Ranges that `PORTS` is divided into. Processes that run at the same time have
+consecutive ids and so choose from different ranges."""
 
-REMEMBERED = 200
-"""Ports given out that are not given out again, half of a part.
+RECENT_PORTS_COUNT = 200
+"""Recently returned ports that are not returned again; half of a range.
 
-What was given out a moment ago does not listen yet and looks free. Chosen twice, one
-process can't start, and who calls it reaches another one.
+A port returned just before has no listener yet and looks free. If it were returned
+twice, one process could not start, and its clients would reach another process.
 """
 
-_given: deque[int] = deque(maxlen=REMEMBERED)
+_recent_ports: deque[int] = deque(maxlen=RECENT_PORTS_COUNT)
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports on loopback that are free now and were not given out lately."""
-    size = len(PORTS) // SLICES
-    first = os.getpid() % SLICES * size
+    """Return ports on loopback that are free and were not returned recently."""
+    size = len(PORTS) // RANGE_COUNT
+    first = os.getpid() % RANGE_COUNT * size
     chosen: list[int] = []
     while len(chosen) < count:
         port = secrets.choice(PORTS[first : first + size])
-        if port not in _given and _is_free(port):
-            _given.append(port)
+        if port not in _recent_ports and _is_free(port):
+            _recent_ports.append(port)
             chosen.append(port)
     return chosen
 
@@ -83,7 +83,7 @@
 def start_process(
     log: Path, *arguments: str, environment: Mapping[str, str] | None = None
 ) -> subprocess.Popen[bytes]:
-    """Start the interpreter with arguments; its output is added to a file."""
+    """Start the interpreter with arguments, and append its output to a file."""
     with log.open("ab") as output:
         return subprocess.Popen(
             [sys.executable, *arguments],
@@ -94,22 +94,22 @@
 
 
 def end_process(process: subprocess.Popen[bytes]) -> None:
-    """Kill a process, stopped or not, and wait for its end."""
+    """Kill a process, which may be suspended, and wait for its end."""
     if process.poll() is None:
-        # a stopped process must go on to be ended
+        # A suspended process must be resumed to end.
         process.send_signal(signal.SIGCONT)
         process.kill()
     process.wait()
 
 
 def digest(key: str) -> str:
-    """Return the digest of a key, as the document holds it."""
+    """Return the digest of a key, as used in the configuration document."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 @dataclass
 class ProcessFleet:
-    """Processes of a fleet by name, and where they listen."""
+    """Processes of a fleet by name, and the addresses they listen on."""
 
     folder: Path
     processes: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
@@ -135,7 +135,7 @@
         self.processes[name].send_signal(number)
 
     async def exit_code(self, name: str, seconds: float = 15.0) -> int:
-        """Wait until a process ends."""
+        """Wait until a process ends and return its exit code."""
         return await asyncio.to_thread(self.processes[name].wait, seconds)
 
     def document(self) -> dict[str, Any]:
@@ -206,10 +206,10 @@
                 return
 
     def check_alive(self) -> None:
-        """Raise with its exit code and output if a process ended with an error.
+        """Raise an error with exit code and output if a process ended with an error.
 
-        Otherwise a test waits until its time is over for a process that will never
-        listen, and nothing tells why.
+        Without it a test would wait until its timeout for a process that will never
+        listen, without showing the cause.
         """
         for name, process in self.processes.items():
             code = process.poll()
@@ -218,7 +218,7 @@
                 raise ProcessEndedError(f"{name} ended with {code}:\n{text[-4000:]}")
 
     def stop(self) -> None:
-        """Kill what still runs."""
+        """Kill all processes that are still running."""
         for process in self.processes.values():
             end_process(process)
 
@@ -258,7 +258,7 @@
 
 @asynccontextmanager
 async def running_processes() -> AsyncIterator[ProcessFleet]:
-    """Run stand-ins and two routers, without a configuration yet."""
+    """Run test doubles and two unconfigured routers as a context manager."""
     with TemporaryDirectory() as name:
         fleet = ProcessFleet(Path(name))
         ports = free_ports(3)
--- a/packages/standins/src/teaselledge_standins/rawcaller.py
+++ b/packages/standins/src/teaselledge_standins/rawcaller.py
@@ -1,4 +1,4 @@
-"""A caller that speaks HTTP by hand, to do what a good client does not."""
+"""A client that writes HTTP by hand, to send what a well-behaved client does not."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -27,7 +27,7 @@
         await self._writer.drain()
 
     async def post(self, path: str, key: str, body: bytes) -> None:
-        """Send a whole request with a body."""
+        """Send a complete request with a body."""
         await self.send(
             f"POST {path} HTTP/1.1",
             f"Authorization: Bearer {key}",
@@ -36,14 +36,14 @@
         )
 
     async def send_bytes(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send bytes unchanged."""
         self._writer.write(data)
         await self._writer.drain()
 
-    async def read_until(self, mark: bytes) -> bytes:
-        """Read up to a mark."""
+    async def read_until(self, delimiter: bytes) -> bytes:
+        """Read up to and including a delimiter."""
         async with asyncio.timeout(READ_SECONDS):
-            return await self._reader.readuntil(mark)
+            return await self._reader.readuntil(delimiter)
 
     async def read_all(self) -> bytes:
         """Read until the router closes the connection."""
@@ -57,9 +57,9 @@
 
 @asynccontextmanager
 async def raw_caller(address: str) -> AsyncIterator[RawCaller]:
-    """Connect to a router for the time of a block."""
+    """Connect to a router as a context manager."""
     host, port = address.rsplit(":", 1)
-    # a small buffer, so that a caller that does not read is noticed soon
+    # A small buffer, so that the router soon notices a client that does not read.
     reader, writer = await asyncio.open_connection(host, int(port), limit=4096)
     try:
         yield RawCaller(reader, writer)
--- a/packages/standins/src/teaselledge_standins/recorder.py
+++ b/packages/standins/src/teaselledge_standins/recorder.py
@@ -1,4 +1,4 @@
-"""A mesh that keeps what is sent, for tests of one part alone."""
+"""A mesh that records sent messages, for tests of a single part."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 class RecordingMesh:
-    """Delivers nothing by itself; keeps each message in `sent`."""
+    """Records each sent message in `sent` instead of delivering it."""
 
     def __init__(self, vm: str = "own", incarnation: int = 1) -> None:
         self._origin = Origin(vm, incarnation)
@@ -33,7 +33,7 @@
         return self._origin
 
     def send(self, vm: str, message: Message) -> None:
-        """Keep a message."""
+        """Record a message."""
         found = unpack_body(message)
         if found is not None:
             self.sent.append(SentMessage(vm, *found, message.zone_name or ""))
@@ -47,7 +47,7 @@
         self._registry.deliver(origin, message)
 
     def pop_sent(self, name: str) -> list[SentMessage]:
-        """Return the messages of one name and forget them."""
+        """Remove and return the messages of one name."""
         found = [sent for sent in self.sent if sent.name == name]
         self.sent = [sent for sent in self.sent if sent.name != name]
         return found
--- a/packages/standins/src/teaselledge_standins/scripted.py
+++ b/packages/standins/src/teaselledge_standins/scripted.py
@@ -1,4 +1,4 @@
-"""An endpoint that answers with the very bytes that a test tells it."""
+"""An endpoint that responds with exactly the bytes that a test specifies."""
 
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class ScriptedRequest:
-    """A request as it came.
+    """A request as received.
 
     Attributes
     ----------
@@ -31,22 +31,22 @@
 
 
 Script = Callable[[ScriptedRequest, asyncio.StreamWriter], Awaitable[None]]
-"""Answers one request on its connection."""
+"""Responds to one request on its connection."""
 
 
 class ScriptedEndpoint(LoopbackServer):
-    """Listens on loopback and lets a script answer.
+    """Listens on loopback and lets a script respond.
 
     Attributes
     ----------
     script : callable
-        Answers each request; may be replaced between requests.
+        Responds to each request; may be replaced between requests.
     received : list of Received
         All requests, in order.
     connections : int
-        Connections accepted so far.
+        Number of accepted connections.
     client_disconnected : asyncio.Event
-        Set when the other side closes a connection during an answer.
+        Set when the client closes a connection during a response.
     """
 
     def __init__(self, script: Script) -> None:
@@ -57,7 +57,7 @@
         self.client_disconnected = asyncio.Event()
 
     async def __aenter__(self) -> "ScriptedEndpoint":
-        """Start to listen."""
+        """Start listening."""
         await self.listen()
         return self
 
@@ -68,25 +68,25 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Read one request after the other, and let the script answer each."""
+        """Read the requests one after another, and let the script respond to each."""
         self.connections += 1
         while True:
             request = await _read(reader)
             self.received.append(request)
-            answering = asyncio.ensure_future(self.script(request, writer))
-            await self._watch(reader, answering)
+            responding = asyncio.ensure_future(self.script(request, writer))
+            await self._watch(reader, responding)
 
     async def _watch(
-        self, reader: asyncio.StreamReader, answering: "asyncio.Future[None]"
+        self, reader: asyncio.StreamReader, responding: "asyncio.Future[None]"
     ) -> None:
-        """Wait for the answer, and note when the other side leaves before its end."""
-        while not answering.done():
-            await asyncio.wait([answering], timeout=0.01)
+        """Wait for the script; abort it if the client disconnects before its end."""
+        while not responding.done():
+            await asyncio.wait([responding], timeout=0.01)
             if reader.at_eof() or reader.exception() is not None:
                 self.client_disconnected.set()
-                answering.cancel()
+                responding.cancel()
                 raise ConnectionResetError
-        await answering
+        await responding
 
 
 async def _read(reader: asyncio.StreamReader) -> ScriptedRequest:
@@ -101,7 +101,7 @@
 def response_bytes(
     status: int, headers: dict[str, str], body: bytes, length: bool = True
 ) -> bytes:
-    """Return a whole answer."""
+    """Return the bytes of a complete response."""
     lines = [f"HTTP/1.1 {status} Status"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if length:
@@ -110,7 +110,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Break the connection with a reset instead of a clean end."""
+    """Close the connection with a reset instead of an orderly shutdown."""
     sock = writer.get_extra_info("socket")
     linger = struct.pack("ii", 1, 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/packages/standins/src/teaselledge_standins/vms.py
+++ b/packages/standins/src/teaselledge_standins/vms.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of VMs, which lags."""
+"""In-memory double of the platform's VM list, which shows changes with a delay."""
 
 import asyncio
 from dataclasses import replace
@@ -12,12 +12,12 @@
 
 
 class MemoryVms(VmList):
-    """A list in memory that shows each change after a lag.
+    """In-memory VM list that shows each change after a delay.
 
     Parameters
     ----------
     lag : float
-        Seconds until a change shows.
+        Seconds until a change is visible.
     """
 
     def __init__(self, lag: float = 0.0) -> None:
@@ -27,17 +27,17 @@
 
     def add(self, entry: VmEntry) -> None:
         """Add or replace a VM."""
-        self._later(entry.vm, entry)
+        self._schedule(entry.vm, entry)
 
     def remove(self, vm: str) -> None:
         """Remove a VM."""
-        self._later(vm, None)
+        self._schedule(vm, None)
 
     def mark_leaving(self, vm: str) -> None:
-        """Announce that a VM is about to be taken away."""
+        """Mark a VM as about to be removed."""
         entry = self._shown.get(vm)
         if entry is not None:
-            self._later(vm, replace(entry, leaving=True))
+            self._schedule(vm, replace(entry, leaving=True))
 
     async def list(self) -> Result[list[VmEntry], StoreError]:
         """Read the list."""
@@ -47,7 +47,7 @@
             return Error(StoreError(StoreErrorKind.UNAVAILABLE, "down"))
         return Ok(list(self._shown.values()))
 
-    def _later(self, vm: str, entry: VmEntry | None) -> None:
+    def _schedule(self, vm: str, entry: VmEntry | None) -> None:
         if self._lag <= 0:
             self._show(vm, entry)
             return
--- a/packages/standins/tests/test_fairness_bench.py
+++ b/packages/standins/tests/test_fairness_bench.py
@@ -1,4 +1,4 @@
-"""Tests that the fairness benchmark can fail."""
+"""Tests that the fairness benchmark detects unfair policies."""
 
 from teaselledge_standins.virtual.plans import get_plan_by_name
 
@@ -37,10 +37,9 @@
 
 
 def test_first_come_first_served_breaks_the_bound_of_the_gap():
-    """One organisation floods the fleet and is served in order of arrival.
+    """One organisation floods the fleet, and requests are served in order of arrival.
 
-    The others wait behind its requests. The figure must show that, or the
-    benchmark proves nothing.
+    The other organisations wait behind its requests; the gap must show this.
     """
     gap, bound = policy_gap("flood", "first-come")
     assert gap > bound
@@ -54,7 +53,7 @@
 def test_gap_counts_while_both_are_backlogged():
     jobs = [job("a", "amber", 0, 10), job("b", "birch", 2, 10)]
     progress = [(1.0, "amber", 50.0), (3.0, "amber", 3.0), (4.0, "birch", 10.0)]
-    # the 50 come before both wait; birch's share is two
+    # The 50 are served before both are backlogged; birch's share is 2.
     assert largest_gap(ground(jobs, progress)) == 3.0
 
 
@@ -68,15 +67,15 @@
     assert largest_gap(ground(jobs, progress)) == 5.0
 
 
-def test_idle_slot_is_seen_while_work_waits():
-    """A request waits three seconds before the only slot, which is free."""
+def test_idle_slot_is_detected_while_a_request_waits():
+    """A request waits three seconds while the only slot is free."""
     one = ground([job("a", "amber", 1, 6, run=(4.0, 6.0))])
     assert idle_waits(one, near=True) == [3.0]
     assert waits(one, "work") == [3.0]
     assert utilisation(one) == 0.0
 
 
-def test_work_of_another_region_counts_only_across_regions():
+def test_requests_of_another_region_count_only_across_regions():
     one = ground([job("a", "amber", 1, 6, run=(4.0, 6.0), zone="far")])
     assert idle_waits(one, near=True) == []
     assert idle_waits(one, near=False) == [3.0]
--- a/packages/standins/tests/test_knownred.py
+++ b/packages/standins/tests/test_knownred.py
@@ -1,4 +1,4 @@
-"""Tests of the known broken bounds of benchmarks."""
+"""Tests of the list of benchmark bounds that are known to be broken."""
 
 from pathlib import Path
 from tempfile import TemporaryDirectory
@@ -7,7 +7,7 @@
 from bench.knownred import KnownRed
 
 
-def known_of(text):
+def read_known(text):
     with TemporaryDirectory() as name:
         path = Path(name) / "KNOWN-RED.txt"
         path.write_text(text)
@@ -18,15 +18,15 @@
     return Case("a-faults", 1, {"idle_s": value}, {"idle_s": Bound(at_most=1)})
 
 
-def test_only_the_named_bound_is_passed_over():
-    known = known_of("# note\nbench/*-faults:idle_s, slow, 4\n")
+def test_only_the_listed_bound_is_ignored():
+    known = read_known("# note\nbench/*-faults:idle_s, slow, 4\n")
     assert known.unknown(case_of(2)) == []
     other = Case("a-even", 1, {"idle_s": 2}, {"idle_s": Bound(at_most=1)})
     assert known.unknown(other) == ["idle_s"]
 
 
-def test_line_whose_bound_holds_is_told():
-    known = known_of("bench/*-faults:idle_s, slow, 4\n")
+def test_listed_bound_that_holds_is_reported():
+    known = read_known("bench/*-faults:idle_s, slow, 4\n")
     assert known.unknown(case_of(0.5)) == []
     assert len(known.green()) == 1
     known.unknown(case_of(2))
--- a/packages/standins/tests/test_processes_fixture.py
+++ b/packages/standins/tests/test_processes_fixture.py
@@ -1,4 +1,4 @@
-"""Tests of the fleet of processes that other tests use."""
+"""Tests of the process fleet that other tests use."""
 
 import os
 import socket
@@ -19,17 +19,17 @@
 
 
 def test_ports_are_not_among_those_of_outgoing_connections():
-    """A connection takes the port of a router just before the router starts."""
+    """An outgoing connection could take a router's port before the router starts."""
     lowest = int(EPHEMERAL.read_text().split()[0]) if EPHEMERAL.exists() else 32_768
     assert max(PORTS) < lowest
     ports = free_ports(20)
     assert len(set(ports)) == 20
 
 
-async def test_a_process_that_can_not_start_is_told_with_its_output():
-    """A router finds its port taken and ends at once.
+async def test_process_that_fails_to_start_is_reported_with_its_output():
+    """A router finds its port in use and exits at once.
 
-    The test would wait a minute for it to listen and say nothing of the cause.
+    Without a check the test waits until its timeout and does not show the cause.
     """
     with TemporaryDirectory() as name:
         fleet = ProcessFleet(Path(name))
@@ -42,36 +42,35 @@
             except ProcessEndedError as error:
                 assert "Address already in use" in str(error)
             else:
-                raise AssertionError("nothing was told")
+                raise AssertionError("no error was raised")
             finally:
                 fleet.stop()
 
 
-def test_no_port_is_given_out_twice():
-    """One router's port for operators is chosen again for another's callers.
+def test_no_port_is_returned_twice():
+    """A port chosen for one router's operators is chosen again for another's callers.
 
-    Neither listens yet, so both look free. One of the two can't start, and who calls
-    the operators' port reaches the other one: it answers that there is nothing at
-    this path.
+    Neither router listens yet, so the port looks free both times. One of them can't
+    start, and clients of the operators' port get 404 from the other one.
     """
     with (
         patch.object(processes, "PORTS", range(10_000, 10_400)),
-        patch.object(processes, "SLICES", 1),
+        patch.object(processes, "RANGE_COUNT", 1),
         patch.object(processes, "_is_free", lambda port: True),
     ):
-        given = [port for _ in range(60) for port in processes.free_ports(3)]
-    assert len(set(given)) == len(given)
+        ports = [port for _ in range(60) for port in processes.free_ports(3)]
+    assert len(set(ports)) == len(ports)
 
 
-def test_processes_that_run_at_the_same_time_choose_among_other_ports():
-    """Test modules run side by side, and each starts fleets of its own."""
+def test_concurrent_processes_choose_from_different_ports():
+    """Test modules run concurrently, and each starts its own fleets."""
     chosen = []
     for pid in range(2000, 2006):
         with (
             patch.object(os, "getpid", return_value=pid),
             patch.object(processes, "PORTS", range(10_000, 10_300)),
-            patch.object(processes, "SLICES", 6),
-            patch.object(processes, "_given", deque()),
+            patch.object(processes, "RANGE_COUNT", 6),
+            patch.object(processes, "_recent_ports", deque()),
             patch.object(processes, "_is_free", lambda port: True),
         ):
             chosen.append(set(processes.free_ports(40)))
--- a/packages/wire/src/teaselledge_wire/__init__.py
+++ b/packages/wire/src/teaselledge_wire/__init__.py
@@ -1,4 +1,4 @@
 """Messages between routers, their encoding and their framing.
 
-Import what is needed from its module: a program loads no messages but its own.
+Import names from their modules, so that a program loads only the messages it uses.
 """
--- a/packages/wire/src/teaselledge_wire/codec.py
+++ b/packages/wire/src/teaselledge_wire/codec.py
@@ -1,4 +1,4 @@
-"""Encode and decode envelopes in thrift's compact protocol."""
+"""Encode and decode envelopes in Thrift's compact protocol."""
 
 from thrift.protocol import TCompactProtocol
 from thrift.transport import TTransport
@@ -8,16 +8,16 @@
 __all__ = ["PROTOCOL", "CodecError", "decode", "encode"]
 
 PROTOCOL = 1
-"""Version of the messages that this release sends."""
+"""Protocol version that this release sends."""
 
-OLDEST_PROTOCOL = 1
-"""Lowest version that this release still reads."""
+MIN_PROTOCOL = 1
+"""Lowest protocol version that this release accepts."""
 
 _factory = TCompactProtocol.TCompactProtocolAcceleratedFactory(fallback=True)
 
 
 class CodecError(Exception):
-    """Bytes that are no envelope of a version this release reads."""
+    """The bytes are not an envelope of a supported protocol version."""
 
 
 def encode(messages: list[Message], incarnation: int) -> bytes:
@@ -28,12 +28,12 @@
     messages : list of Message
         The messages, in order.
     incarnation : int
-        Identifies one life of the sending process.
+        Incarnation of the sending process.
 
     Returns
     -------
     bytes
-        The encoded envelope, without frame header.
+        The encoded envelope, without the frame header.
     """
     envelope = Envelope(PROTOCOL, incarnation, messages)
     transport = TTransport.TMemoryBuffer()
@@ -52,23 +52,23 @@
     Returns
     -------
     Envelope
-        The envelope, complete in its required parts.
+        The envelope, with all required fields.
 
     Raises
     ------
     CodecError
-        If the bytes are malformed or of a foreign version.
+        If the bytes are malformed or of an unsupported version.
     """
     envelope = Envelope()
     try:
         envelope.read(_factory.getProtocol(TTransport.TMemoryBuffer(data)))
     except Exception as error:
-        # the thrift reader raises whatever the malformed bytes lead it to
-        # (EOFError, TypeError, UnicodeDecodeError, MemoryError); a peer sees
-        # its connection closed in every case
+        # On malformed bytes the Thrift reader raises exceptions of many kinds
+        # (EOFError, TypeError, UnicodeDecodeError, MemoryError). The peer's
+        # connection is closed in all cases.
         raise CodecError(f"malformed envelope: {error!r}") from error
-    if envelope.protocol is None or envelope.protocol < OLDEST_PROTOCOL:
-        raise CodecError(f"protocol {envelope.protocol!r} is not known")
+    if envelope.protocol is None or envelope.protocol < MIN_PROTOCOL:
+        raise CodecError(f"unsupported protocol version {envelope.protocol!r}")
     if envelope.messages is None or envelope.incarnation is None:
-        raise CodecError("envelope lacks its messages")
+        raise CodecError("envelope lacks its messages or incarnation")
     return envelope
--- a/packages/wire/src/teaselledge_wire/frame.py
+++ b/packages/wire/src/teaselledge_wire/frame.py
@@ -1,4 +1,4 @@
-"""Frames on a byte stream: a length of four bytes, then the envelope."""
+"""Frames on a byte stream: a four-byte length, then the envelope."""
 
 import struct
 from collections.abc import Awaitable
@@ -7,24 +7,24 @@
 __all__ = ["MAX_FRAME", "FrameError", "pack", "read_frame"]
 
 MAX_FRAME = 4 * 1024 * 1024
-"""Largest content of a frame, in bytes."""
+"""Maximum size of a frame's content in bytes."""
 
 _HEADER = struct.Struct(">I")
 
 
 class FrameError(Exception):
-    """A frame header that announces nothing or too much."""
+    """The content of a frame is empty or larger than `MAX_FRAME`."""
 
 
 class ByteSource(Protocol):
-    """The part of a tornado stream that reading needs."""
+    """The method of a Tornado stream that `read_frame` uses."""
 
     def read_bytes(self, num_bytes: int) -> Awaitable[bytes]:
-        """Read exactly that many bytes."""
+        """Read exactly ``num_bytes`` bytes."""
 
 
 def pack(content: bytes) -> bytes:
-    """Return the content with its header.
+    """Return the content preceded by its frame header.
 
     Raises
     ------
@@ -32,7 +32,9 @@
         If the content is larger than `MAX_FRAME`.
     """
     if len(content) > MAX_FRAME:
-        raise FrameError(f"frame of {len(content)} bytes is over {MAX_FRAME}")
+        raise FrameError(
+            f"frame of {len(content)} bytes exceeds the maximum of {MAX_FRAME}"
+        )
     return _HEADER.pack(len(content)) + content
 
 
@@ -42,10 +44,12 @@
     Raises
     ------
     FrameError
-        If the header announces no content or more than `MAX_FRAME`.
+        If the length in the header is 0 or larger than `MAX_FRAME`.
     """
     header = await source.read_bytes(_HEADER.size)
     (length,) = _HEADER.unpack(header)
     if not 0 < length <= MAX_FRAME:
-        raise FrameError(f"frame header announces {length} bytes")
+        raise FrameError(
+            f"frame header gives a length of {length} bytes, not 1 to {MAX_FRAME}"
+        )
     return await source.read_bytes(length)
