--- a/packages/fleet/tests/test_admission.py
+++ b/packages/fleet/tests/test_admission.py
@@ -57,7 +57,7 @@
     )
 
 
-async def place_concurrently(fleet: SpreadFleet, per_router: int) -> int:
+async def place_concurrently(fleet: GossipFleet, per_router: int) -> int:
     """Let each router place prompts at the same moment; return how many were sent."""
     total = len(fleet.routers) * per_router
     results = await asyncio.gather(
@@ -120,18 +120,18 @@
     Sent as -1, the remaining time was taken for no limit, and the prompt was sent to an
     engine with a backlog of a second: it was late, and so were those after it.
     """
-    async with spread_fleet(
-        store_of(ENGINES[:1]), SMALL_FLEET_ROUTERS, decode_number
+    async with running_gossip_fleet(
+        make_store(ENGINES[:1]), SMALL_FLEET_ROUTERS, decode_empty_routing
     ) as fleet:
         await asyncio.sleep(5)
         engine = ENGINES[0]
         name = fleet.routers[0].admission_rpc._coordinators.for_endpoint(engine).vm
         coordinator = next(r for r in fleet.routers if r.vm == name)
-        coordinator.work.add_local(engine.id, 5, 1.0)
-        coordinator.asking.report_load([engine.id])
+        coordinator.load.add_local(engine.id, 5, 1.0)
+        coordinator.admission_rpc.report_load([engine.id])
         querying_router = next(r for r in fleet.routers if r.vm != name)
         for max_wait in (-0.0015, -0.001, 0.0):
-            decision = await querying_router.asking.request_admission(
+            decision = await querying_router.admission_rpc.request_admission(
                 engine, 0.05, max_wait
             )
             assert not decision.admitted
@@ -163,8 +163,8 @@
     admitted ones meet the objective, and the others are refused with a retry delay.
     """
     for without_admission in (True, False):
-        async with spread_fleet(
-            store_of(ENGINES[:1]), LARGE_FLEET_ROUTERS, decode_number
+        async with running_gossip_fleet(
+            make_store(ENGINES[:1]), LARGE_FLEET_ROUTERS, decode_empty_routing
         ) as fleet:
             await asyncio.sleep(6)
             if without_admission:
@@ -176,7 +176,7 @@
             sent = await place_concurrently(fleet, 2)
             await asyncio.sleep(0.2)
             prefill_seconds = sum(
-                router.work.local("e0").prefill_seconds for router in fleet.routers
+                router.load.local("e0").prefill_seconds for router in fleet.routers
             )
             if without_admission:
                 assert sent == 2 * LARGE_FLEET_ROUTERS
@@ -201,8 +201,8 @@
 
     The others time out at most twice; then all of them agree on another coordinator.
     """
-    async with spread_fleet(
-        store_of(ENGINES[:1]), SMALL_FLEET_ROUTERS, decode_number
+    async with running_gossip_fleet(
+        make_store(ENGINES[:1]), SMALL_FLEET_ROUTERS, decode_empty_routing
     ) as fleet:
         await asyncio.sleep(5)
         engine = ENGINES[0]
@@ -212,7 +212,7 @@
         assert len(coordinators) == 1
         killed = coordinators.pop()
         next(r for r in fleet.routers if r.vm == killed).kill()
-        alive = [r for r in fleet.routers if not r.frozen]
+        alive = [r for r in fleet.routers if not r.killed]
         loop = asyncio.get_running_loop()
         started = loop.time()
         for number in range(3):
@@ -221,15 +221,17 @@
         # two timeouts, and three times the replies of two routers 40 ms away
         assert loop.time() - started < 2 * 0.1 + 3 * 2 * 0.05
         await asyncio.sleep(1.5)
-        coordinators = {r.asking._coordinators.for_endpoint(engine).vm for r in alive}
+        coordinators = {
+            r.admission_rpc._coordinators.for_endpoint(engine).vm for r in alive
+        }
         assert len(coordinators) == 1
         assert killed not in coordinators
 
 
 async def test_an_isolated_router_decides_alone():
     """No message reaches or leaves a router; its callers must still be served."""
-    async with spread_fleet(
-        store_of(ENGINES), SMALL_FLEET_ROUTERS, decode_number
+    async with running_gossip_fleet(
+        make_store(ENGINES), SMALL_FLEET_ROUTERS, decode_empty_routing
     ) as fleet:
         await asyncio.sleep(5)
         isolated = fleet.routers[4]
@@ -248,8 +250,8 @@
 
 async def test_a_caller_that_disconnects_during_admission_leaves_no_load():
     """The caller closes its connection before the reply to the query arrives."""
-    async with spread_fleet(
-        store_of(ENGINES), SMALL_FLEET_ROUTERS, decode_number
+    async with running_gossip_fleet(
+        make_store(ENGINES), SMALL_FLEET_ROUTERS, decode_empty_routing
     ) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
@@ -270,6 +272,6 @@
             )
             endpoint_hash = name_hash(engine.id)
             assert all(
-                r.work.coordinated_load(endpoint_hash).in_flight == 0
+                r.load.coordinated_load(endpoint_hash).in_flight == 0
                 for r in fleet.routers
             )
--- a/packages/fleet/tests/test_directory.py
+++ b/packages/fleet/tests/test_directory.py
@@ -66,7 +66,9 @@
 
 async def test_routers_share_the_holders_of_a_prefix():
     """One router has sent a prefix to an engine; the others must find it there."""
-    async with spread_fleet(store_of(ENGINES), 6, decode_number) as fleet:
+    async with running_gossip_fleet(
+        make_store(ENGINES), 6, decode_empty_routing
+    ) as fleet:
         await asyncio.sleep(SETTLED_SECONDS)
         locator_of(fleet, 0).report_use("p1", ENGINES[0], ENGINES[2])
         await asyncio.sleep(0.1)
--- a/packages/fleet/tests/test_forwarding.py
+++ b/packages/fleet/tests/test_forwarding.py
@@ -112,7 +112,7 @@
 
 async def test_heartbeat_with_missing_fields_is_accepted():
     """Routers of other releases omit fields that they don't know."""
-    async with spread_fleet(store_of([]), 20, decode_number) as fleet:
+    async with running_gossip_fleet(make_store([]), 20, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         first, second = fleet.routers[:2]
         for scope in (*Scope, 9):
@@ -120,7 +120,7 @@
             heartbeat = Pulse(
                 PROTOCOL, sender, scope=int(scope), work=b"x", pass_to=[7]
             )
-            first.take(encode_datagram(heartbeat), second.members.own.peer_address)
+            first.receive(encode_datagram(heartbeat), second.members.own.peer_address)
         await asyncio.sleep(1)
         assert len(first.members.peers) == 19
 
--- a/packages/fleet/tests/test_gossip.py
+++ b/packages/fleet/tests/test_gossip.py
@@ -28,7 +28,7 @@
     return [router for router in fleet.routers if not router.killed]
 
 
-async def wait_for(fleet: SpreadFleet, holds) -> float:
+async def wait_for(fleet: GossipFleet, holds) -> float:
     """Return the seconds until a condition holds at all alive routers."""
     loop = asyncio.get_running_loop()
     started = loop.time()
@@ -150,18 +150,18 @@
     idle.
     """
     store = new_store()
-    async with spread_fleet(store, LARGE_FLEET, decode_number) as fleet:
+    async with running_gossip_fleet(store, LARGE_FLEET, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
             router.load.add_local("e1", 2, 0.0)
         await asyncio.sleep(2)
-        totals = {router.work.total("e1").in_flight for router in fleet.routers}
+        totals = {router.load.total("e1").in_flight for router in fleet.routers}
         assert totals == {2 * LARGE_FLEET}
 
 
 async def test_sent_bytes_stay_small_in_a_large_fleet():
     store = new_store()
-    async with spread_fleet(store, LARGE_FLEET, decode_number) as fleet:
+    async with running_gossip_fleet(store, LARGE_FLEET, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         before = sum(router.link.sent_bytes for router in fleet.routers)
         await asyncio.sleep(10)
@@ -172,7 +172,7 @@
 async def test_changes_reach_a_large_fleet_when_an_aggregator_dies():
     """The aggregator of a zone is killed just as an engine leaves."""
     store = new_store()
-    async with spread_fleet(store, LARGE_FLEET, decode_number) as fleet:
+    async with running_gossip_fleet(store, LARGE_FLEET, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         aggregators = [r for r in fleet.routers if r.gossip._topology.is_aggregator]
         assert len(aggregators) == 3
@@ -186,13 +186,13 @@
         for router in alive(fleet):
             router.load.add_local("e2", 1, 0.0)
         await asyncio.sleep(2.5)
-        totals = {router.work.total("e2").in_flight for router in alive(fleet)}
+        totals = {router.load.total("e2").in_flight for router in alive(fleet)}
         assert totals == {LARGE_FLEET - 1}
 
 
 async def test_calls_to_the_store_stay_few_in_a_large_fleet():
     store = new_store()
-    async with spread_fleet(store, LARGE_FLEET, decode_number) as fleet:
+    async with running_gossip_fleet(store, LARGE_FLEET, decode_empty_routing) as fleet:
         await asyncio.sleep(5)
         store.calls = 0
         await asyncio.sleep(10)
@@ -225,7 +225,9 @@
     Seeds send heartbeats to their own zones only. A router that no other knows gets
     no callers, and returns only its own address to those that ask for routers.
     """
-    async with spread_fleet(new_store(), LARGE_FLEET, decode_number, zones=6) as fleet:
+    async with running_gossip_fleet(
+        new_store(), LARGE_FLEET, decode_empty_routing, zones=6
+    ) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
             own = router.members.own.zone
--- a/packages/fleet/tests/test_large_fleet.py
+++ b/packages/fleet/tests/test_large_fleet.py
@@ -105,7 +105,7 @@
 
 async def test_totals_are_complete_soon_after_an_aggregator_dies():
     """Without its totals the routers of a zone see idle engines in other zones."""
-    async with spread_fleet(new_store(), 40, decode_number, 3) as fleet:
+    async with running_gossip_fleet(new_store(), 40, decode_empty_routing, 3) as fleet:
         await asyncio.sleep(5)
         for router in fleet.routers:
             router.load.add_local("e1", 2, 0.0)
@@ -124,7 +124,7 @@
 
 async def test_own_usage_does_not_count_twice_while_it_grows():
     """The totals contain a router's own usage as it was some heartbeats ago."""
-    async with spread_fleet(new_store(), 40, decode_number, 3) as fleet:
+    async with running_gossip_fleet(new_store(), 40, decode_empty_routing, 3) as fleet:
         await asyncio.sleep(5)
         shares = [router.placer.shares for router in fleet.routers]
         for step in range(1, 40):
--- a/packages/fleet/tests/test_one_router_flooded.py
+++ b/packages/fleet/tests/test_one_router_flooded.py
@@ -52,12 +52,12 @@
         routing = make_routing(make_route(RetryPolicy.ANY))
         async with running_routers(3, routing, endpoints) as routers:
             overloaded = routers[0]
-            overloaded.use_up()
+            overloaded.simulate_saturation()
             await asyncio.sleep(SETTLED_SECONDS)
             served = 0
             for number in range(REQUESTS):
                 headers = {"X-Request-Id": f"q{number}"}
-                response = await ask(overloaded.port, headers=headers)
+                response = await send_request(overloaded.port, headers=headers)
                 served += response.status == 200
     # an organisation is entitled to at least half of what the best served one gets
     assert served >= REQUESTS / 2, f"{served} of {REQUESTS} served"
--- a/packages/fleet/tests/test_relay.py
+++ b/packages/fleet/tests/test_relay.py
@@ -130,7 +130,7 @@
 async def test_neighbour_without_capacity_refuses(pair):
     """Several routers choose the same neighbour before it reports its utilisation."""
     pair.neighbour.router._connection_limit._limit = 0
-    response = await ask(pair.overloaded.port)
+    response = await send_request(pair.overloaded.port)
     assert response.status == 503
     assert not pair.engine.received
     assert float(response.headers["retry-after"]) > 0
--- a/packages/fleet/tests/test_restored_store.py
+++ b/packages/fleet/tests/test_restored_store.py
@@ -34,7 +34,7 @@
 
 async def restore_after_outage(store: MemoryStateStore, copy) -> None:
     """Restore a copy after an outage of the store."""
-    store.away.add("*")
+    store.unreachable_vms.add("*")
     await asyncio.sleep(AWAY_SECONDS)
     store.restore(copy)
     store.unreachable_vms.clear()
@@ -85,7 +85,7 @@
     A row that stays for `CONFIRM_SECONDS` is current: the row of an endpoint that is
     gone expires earlier, and one with another state writes its row again.
     """
-    cache = StoreCache("r1", decode_number)
+    cache = StoreCache("r1", decode_empty_routing)
     loop = asyncio.get_running_loop()
 
     def read(era: int, sequence: int, leaving: bool) -> bool:
@@ -108,7 +108,7 @@
 
 async def test_response_from_before_a_restore_is_dropped():
     """A slow response arrives after another router reported the restore."""
-    cache = StoreCache("r1", decode_number)
+    cache = StoreCache("r1", decode_empty_routing)
     loop = asyncio.get_running_loop()
     entry = EndpointEntry.from_row("e0", Revision(1, 4), engine("e0"))
     assert cache.update_era(2, "r2")
--- a/packages/fleet/tests/test_storecache.py
+++ b/packages/fleet/tests/test_storecache.py
@@ -26,14 +26,14 @@
 
 async def test_a_version_never_goes_back():
     """A router that was cut off sends an old configuration after a newer one."""
-    cache = StoreCache("r1", decode_number)
+    cache = StoreCache("r1", decode_empty_routing)
     cache.update_configuration(b"7", "store")
     cache.update_configuration(b"5", "r2")
     assert cache.version == 7
 
 
 async def test_the_last_good_configuration_stays():
-    cache = StoreCache("r1", decode_number)
+    cache = StoreCache("r1", decode_empty_routing)
     cache.update_configuration(b"7", "store")
     assert not cache.update_configuration(b"torn", "store")
     assert cache.version == 7
@@ -44,7 +44,7 @@
 
     Within seconds, the engine must get no new requests.
     """
-    cache = StoreCache("r1", decode_number)
+    cache = StoreCache("r1", decode_empty_routing)
     cache.update_from_rows(rows(5, entry("e1", 4), entry("e2", 5)), now())
     await asyncio.sleep(0.7)
     cache.update_from_rows(rows(9, entry("e1", 4)), now())
@@ -57,7 +57,7 @@
     The rows are written again within two seconds of its return. Until then every
     engine would look deleted, and every request would be refused.
     """
-    cache = StoreCache("r1", decode_number)
+    cache = StoreCache("r1", decode_empty_routing)
     cache.update_from_rows(rows(5, entry("e1", 4), entry("e2", 5)), now())
     await asyncio.sleep(6.0)
     cache.update_from_rows(rows(9), now())
@@ -70,7 +70,7 @@
 
 
 async def test_a_leaving_endpoint_gets_no_work_while_the_store_is_away():
-    cache = StoreCache("r1", decode_number)
+    cache = StoreCache("r1", decode_empty_routing)
     cache.update_from_rows(rows(5, entry("e1", 4), entry("e2", 5)), now())
     cache.merge_entries([entry("e2", 8, leaving=True)], "r2")
     await asyncio.sleep(20.0)
@@ -78,7 +78,7 @@
 
 
 async def test_outdated_entry_does_not_restore_a_deleted_endpoint():
-    cache = StoreCache("r1", decode_number)
+    cache = StoreCache("r1", decode_empty_routing)
     cache.update_from_rows(rows(5, entry("e1", 4)), now())
     cache.update_from_rows(rows(9), now())
     cache.merge_entries([entry("e1", 4)], "r2")
@@ -98,7 +98,7 @@
 
 
 async def test_age_is_adopted_for_an_equal_view_only():
-    cache = StoreCache("r1", decode_number)
+    cache = StoreCache("r1", decode_empty_routing)
     cache.update_from_rows(rows(5, entry("e1", 4)), now())
     await asyncio.sleep(2.0)
     cache.update_age(cache.view.digest + 1, 0.1, "r2")
@@ -110,7 +110,7 @@
 async def test_of_two_pollers_the_first_by_name_continues():
     """Two routers poll the store at the same time, and each gets the other's reads."""
     for vm, other, poller in (("r1", "r2", "r1"), ("r2", "r1", "r1")):
-        cache = StoreCache(vm, decode_number)
+        cache = StoreCache(vm, decode_empty_routing)
         cache.update_from_rows(rows(5, entry("e1", 4)), now())
         await asyncio.sleep(0.5)
         cache.update_age(cache.view.digest, 0.1, other)
--- a/packages/standins/src/teaselledge_standins/fleetrouters.py
+++ b/packages/standins/src/teaselledge_standins/fleetrouters.py
@@ -61,7 +61,7 @@
 
     def simulate_saturation(self) -> None:
         """Make the router consider its CPU saturated."""
-        self.router._busyness = SaturatedLoopMonitor()  # type: ignore[assignment]
+        self.router._event_loop = SaturatedLoopMonitor()  # type: ignore[assignment]
 
 
 def _settings(number: int, seeds: tuple[str, ...]) -> FleetSettings:
