--- a/packages/standins/src/teaselledge_standins/__init__.py
+++ b/packages/standins/src/teaselledge_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for endpoints and the platform, and tools to test the fleet."""
+"""Test doubles of endpoints and the platform, and tools to test the fleet."""
--- a/packages/standins/src/teaselledge_standins/virtual/naive.py
+++ b/packages/standins/src/teaselledge_standins/virtual/naive.py
@@ -54,14 +54,14 @@
 
     async def _attempt(self, request: CallerRequest) -> bytes | None:
         dependencies = self.dependencies
-        ticket = SlotRequest(
+        slot_request = SlotRequest(
             request.organisation,
             request.service,
             request.kind,
             request.kind_entry.cost_hint,
             request.deadline,
         )
-        acquired = await dependencies.ingress.acquire(ticket)
+        acquired = await dependencies.ingress.acquire(slot_request)
         if acquired.is_error():
             return None
         granted = acquired.ok
