--- a/packages/router/tests/test_forward.py
+++ b/packages/router/tests/test_forward.py
@@ -6,7 +6,7 @@
 from teaselledge_standins.faults import EndpointFaults
 from teaselledge_standins.virtual.endpoint import (
     CHUNKS,
-    _VirtualAnswer,
+    _VirtualResponse,
     response_text,
 )
 from teaselledge_standins.virtual.orders import order_fleet, runs_by_name
@@ -149,11 +149,11 @@
     def headers_of_another_request(response):
         return HTTPHeaders({"X-Request-Id": "another"})
 
-    original = _VirtualAnswer.headers
-    _VirtualAnswer.headers = property(headers_of_another_request)
+    own = _VirtualResponse.headers
+    _VirtualResponse.headers = property(headers_of_another_request)
     try:
         outcome = await send_request(fleet, "ledger", "read", cost=0.1)
     finally:
-        _VirtualAnswer.headers = original
+        _VirtualResponse.headers = own
     assert outcome.fault.kind is ErrorKind.ENDPOINT_GARBAGE
     assert not outcome.sink.started
