--- a/packages/standins/src/teaselledge_standins/virtual/endpoint.py
+++ b/packages/standins/src/teaselledge_standins/virtual/endpoint.py
@@ -243,7 +243,7 @@
             raise
         await network.wait_until_resumed(self.vm)
         if not started:
-            return Error(SendFailure(True, "the endpoint sent no response"))
+            return Error(SendFailure(True, "the endpoint gave no answer"))
         return Ok(response)
 
     def close(self) -> None:
