--- a/packages/router/tests/test_order.py
+++ b/packages/router/tests/test_order.py
@@ -337,12 +337,12 @@
     """
     await place_order(fleet, "vm-0")
     node = fleet.nodes["vm-1"]
-    request = fleet._make(node, "amber", "ledger", "order", "o", 0.1, "o", 0)
+    request = fleet._make_request(node, "amber", "ledger", "order", "o", 0.1, "o", 0)
     ran = await node.orders.refuse(request, Fault(ErrorKind.LEAVING))
     assert ran.error.ran is Ran.YES
     sink = MemorySink()
     replayed = await node.orders.refuse(request, Fault(ErrorKind.LEAVING), sink)
     assert replayed.is_ok() and sink.complete
-    other = fleet._make(node, "amber", "ledger", "order", "p", 0.1, "p", 0)
+    other = fleet._make_request(node, "amber", "ledger", "order", "p", 0.1, "p", 0)
     new = await node.orders.refuse(other, Fault(ErrorKind.LEAVING))
     assert new.error.ran is Ran.NO
