--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,6 +1,8 @@
 """Run the benchmarks and print a JSON line for each case.
 
-The exit code is not zero if a bound is broken that isn't listed in KNOWN-RED.txt.
+The exit code is 1 if a bound is broken that isn't listed in KNOWN-RED.txt, if a run of
+all cases shows that the bounds of an entry in KNOWN-RED.txt hold, or if no case ran.
+Otherwise it is 0.
 """
 
 import sys
--- a/packages/ctl/src/teaselctl/commands/apply.py
+++ b/packages/ctl/src/teaselctl/commands/apply.py
@@ -27,7 +27,7 @@
     if FLAGS.base is None:
         raise CommandError(
             "no base: give --base=N, the version that your files start from; "
-            "`teaselctl history` lists versions, and 0 is for an empty fleet"
+            "`teaselctl history` lists versions; use 0 if none is published yet"
         )
     body = {
         "apply_id": new_apply_id(),
--- a/packages/fleet/src/teaselledge_fleet/process/placing.py
+++ b/packages/fleet/src/teaselledge_fleet/process/placing.py
@@ -43,24 +43,27 @@
 MIN_LOOKUP_TOKENS = 1000
 """Minimum length of a shared prefix for which the fleet's directory is queried.
 
-For fewer tokens an engine needs less than 15 ms of prefill, which is about as long as
-the query and the copy take.
+The prefill of fewer tokens takes an engine less than 15 ms. Query and copy together
+take about as long, unless the queried coordinator is in another region: that round trip
+alone takes 40 ms.
 """
 
 MAX_ADMISSION_QUERIES = 3
 """Maximum number of endpoints whose coordinator is queried for one request.
 
-Each coordinator may be 40 ms away; a request that finds its three best endpoints full
-would not be served in time."""
+A query of a coordinator in another region takes 40 ms, and endpoints are queried one
+after another. A request for which three of its best endpoints have no room is unlikely
+to be served in time."""
 
 MIN_RETRY_AFTER_SECONDS = 0.3
 MAX_RETRY_AFTER_SECONDS = 1.2
 """Range from which the Retry-After of refused callers is drawn uniformly.
 
-Engines work off a backlog at the limit within 0.4 s; callers that all retried at once
-would cause the next one. For organisations over their share the range extends to
-the time at which their usage has left the window, up to 4 s: before that they would be
-refused again.
+Engines process a backlog as long as the limit on queueing time (`waiting.py`) within
+0.4 s; callers that all retried at once would cause the next one. For organisations over
+their share, the upper end is raised, up to 4 s, to the time at which enough of their
+usage has left the sliding window (`shares.py`): before that they would be refused
+again.
 """
 
 
@@ -175,7 +178,11 @@
     def record_demand(
         self, call: CallerRequest, organisation: Organisation | None, weight: int = 1
     ) -> None:
-        """Count the tokens that a request asks for."""
+        """Count the tokens that a request asks for.
+
+        `weight` is the number of requests that this one represents; the others were
+        refused without being read.
+        """
         if call.prompt is not None:
             owner = organisation.name if organisation is not None else ""
             self._shares.record_request(owner, weight * _token_cost(call.prompt))
@@ -274,10 +281,14 @@
     async def _admit(
         self, context: RequestContext, best: Candidate, max_wait: float
     ) -> Candidate | None:
-        """Count a request at an endpoint if the endpoint's coordinator admits it.
+        """Query the endpoint's coordinator whether a request may be sent there.
+
+        Without a reply in time, the request is admitted if the queueing time estimated
+        by this router is within `max_wait`. The request counts as load at the endpoint
+        during the query, and afterwards if it is admitted.
 
-        Returns the candidate with the queueing time computed from the coordinator's
-        reply; None if it is not admitted.
+        Returns the candidate, its queueing time computed from the coordinator's reply
+        if there is one; None if the request is not admitted.
         """
         name = best.endpoint.id
         self._record_attempt(context, best)
@@ -424,8 +435,9 @@
 def _token_cost(prompt: Prompt) -> int:
     """Return the cost of a request: 1 per prompt token and 2 per generated token.
 
-    Shared prefixes are not counted: engines cache them, and organisations whose prompts
-    share long ones would seem to have received more than the others.
+    The tokens of a shared prefix are not counted, as engines cache them and do not
+    compute them again. If they were, organisations whose prompts have long shared
+    prefixes would seem to have been allocated more than the others.
     """
     return (
         prompt.input_tokens
--- a/packages/fleet/tests/test_log.py
+++ b/packages/fleet/tests/test_log.py
@@ -38,6 +38,7 @@
     """The reader of the log hangs; the router must not block at its next line."""
     reader, descriptor = pipe
     writer = LineWriter(descriptor)
+    # refilled before each line, so that the rate limit does not drop any
     writer._available_lines = 1e9
     handler = loguru.logger.add(writer)
     log = get_log("test")
--- a/packages/router/src/teaselledge/process/drain.py
+++ b/packages/router/src/teaselledge/process/drain.py
@@ -1,4 +1,8 @@
-"""Graceful shutdown: leave the address lists, refuse new requests, finish, exit."""
+"""Graceful shutdown of a router.
+
+It leaves the address lists, later refuses new requests, and waits until requests and
+orders in progress have ended and the journal records of orders are written.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -73,7 +77,8 @@
     target : DrainTarget
         The router to shut down.
     in_progress : callable
-        Returns the number of requests in progress and of unsaved journal records.
+        Returns 0 once no request and no order is in progress and all journal records
+        of orders are written; otherwise the count of `DrainGate.in_progress`.
     address_seconds : float
         Time for which callers cache the address list.
     drain_seconds : float
@@ -138,7 +143,9 @@
             _log.info("All requests in progress have ended.")
             return DrainExit.WHOLE
         remaining = self._in_progress()
-        _log.warning(f"Cutting {remaining} requests in progress.")
+        _log.warning(
+            f"Cutting {remaining} requests, orders and unwritten journal records."
+        )
         return DrainExit.SECOND_SIGNAL if second_signal in done else DrainExit.DEADLINE
 
     async def _drain(self) -> None:
@@ -155,7 +162,7 @@
 
 
 class DrainGate:
-    """Counts the requests in progress and refuses new ones during a shutdown."""
+    """Counts requests and orders in progress, and refuses new ones in a shutdown."""
 
     def __init__(self, runner: Runner, orders: OrderExecutor) -> None:
         self._runner = runner
@@ -165,7 +172,11 @@
 
     @property
     def in_progress(self) -> int:
-        """Number of requests in progress and of unsaved journal records."""
+        """Number of requests in progress plus number of orders not yet completed.
+
+        An order is completed once it has ended and its journal record is written. It
+        counts twice while its request is in progress too.
+        """
         return self._running + self._orders.pending
 
     async def run(self, request: CallerRequest, sink: Sink) -> Result[None, Fault]:
